--- a/src/decide/excess.c
+++ b/src/decide/excess.c
@@ -1,15 +1,20 @@
 /*
- * Load pattern: a narrow service below is full.  Its callers' calls then come
- * at its pace, whatever runs above it, and a fit of calls to running requests
- * (fanout.c) takes the steady part of them for the work of whichever route runs
- * steadily: uploads that call nobody were given ten calls each, and refused for
- * the sake of a service that they never reach.
+ * Tests whether requests of a route make calls, by comparing the call rate
+ * while a request runs with the rate before and after.
  *
- * A request that makes calls shows it by itself: more are made while it runs
- * than in as long a time just before and just after.  The mean of both sides
- * takes out a rate that rises or falls, and what other requests do at the same
- * time falls on all three alike.  It tells rather late how many calls a request
- * makes, but soon that a route does not make as many as it was given.
+ * Load pattern: a downstream service is saturated. Its callers' calls then
+ * arrive at the rate at which it serves them, whatever runs above it, and the
+ * fit of calls to running requests (fanout.c) attributes the constant part of
+ * that rate to whichever route runs constantly. Uploads that call nothing were
+ * estimated at ten calls each, and refused on behalf of a service that they
+ * never reach.
+ *
+ * If a request makes calls, more calls are counted while it runs than in
+ * equally long intervals just before and just after it. Averaging both sides
+ * cancels a rate that rises or falls, and calls of other requests add equally
+ * to all three intervals. It takes long to tell by this how many calls a
+ * request makes, but not long to tell that a route does not make as many as the
+ * fit says.
  */
 
 #include <glib.h>
@@ -22,24 +27,37 @@
 
 #define ROUTES LOOM_FANOUT_ROUTES
 
-/* Short to the time of a request, long to what a count costs. */
-#define SLOT_US (UINT64_C(5) * LOOM_US_PER_MS)
-#define SLOTS 1024 /* power of two: 5 s */
-/* Three times of it and a wait fit into the slots. */
-#define RUN_MAX_US (UINT64_C(1200) * LOOM_US_PER_MS)
-#define RUNS 512 /* power of two: whose time after is not over yet */
-/* Requests over which the excess is averaged. */
-#define REQUESTS 800.0
-/* Before it the spread is not known. */
+/*
+ * Width of a bucket of the call counter: short compared with a request, long
+ * enough that advancing the counter costs little.
+ */
+#define BUCKET_US (UINT64_C(5) * LOOM_US_PER_MS)
+#define BUCKETS 1024 /* power of two: 5 s */
+/*
+ * The buckets must hold three times this (before, during and after), and the
+ * time that a request waits to be measured.
+ */
+#define REQUEST_MAX_US (UINT64_C(1200) * LOOM_US_PER_MS)
+/* Requests whose following interval is not over yet; a power of two. */
+#define PENDING_MAX 512
+/* Number of requests over which the excess is averaged. */
+#define AVERAGING_REQUESTS 800.0
+/* With fewer samples the variance is unknown. */
 #define REQUESTS_MIN 10.0
 #define OVERLAP_WEIGHT 0.05
-/* Chance alone passes it for one in two hundred. */
-#define ERRORS 2.5
-/* Other requests make fewer calls for those of this one where the service
- * below is full: an excess of half of the calls is no denial. */
-#define PART 0.5
+/*
+ * Half width of the confidence interval; chance alone exceeds it in one of two
+ * hundred cases.
+ */
+#define STANDARD_ERRORS 2.5
+/*
+ * When the downstream service is saturated, the calls of this request displace
+ * calls of others. So a measured excess of half the estimated calls does not
+ * contradict the estimate.
+ */
+#define CALLS_RATIO_MIN 0.5
 
-struct run {
+struct request {
 	uint32_t route;
 	uint64_t began_us;
 	uint64_t ended_us;
@@ -47,24 +65,27 @@
 
 struct excess {
 	double requests;
-	double mean; /* calls */
-	double square; /* their spread, squared */
+	double mean; /* mean of the excess calls per request */
+	double variance; /* of the excess calls */
 };
 
-/* Requests of one route at the same time see the same chance. */
+/*
+ * How much requests of one route overlap. Overlapping requests measure the same
+ * fluctuations, so their samples are not independent.
+ */
 struct overlap {
-	uint64_t ended_us; /* the last one */
-	double took_us; /* averaged, as is the time between two ends */
-	double gap_us;
+	uint64_t ended_us; /* of the last request that ended */
+	double duration_us; /* moving average */
+	double interval_us; /* between two ends, moving average */
 };
 
 struct loom_excess {
-	/* calls since the start, up to the end of each slot */
-	uint32_t total[ROUTES][SLOTS];
+	/* calls since the start, up to the end of each bucket */
+	uint32_t total_until[ROUTES][BUCKETS];
 	uint32_t calls[ROUTES];
-	uint64_t slot; /* the present one: time by SLOT_US */
-	struct run runs[RUNS];
-	uint32_t first_run, nruns;
+	uint64_t bucket; /* current one: time / BUCKET_US */
+	struct request pending[PENDING_MAX];
+	uint32_t first_pending, npending;
 	struct excess excess[ROUTES][ROUTES]; /* [route][inner] */
 	struct overlap overlaps[ROUTES];
 };
@@ -78,79 +99,94 @@
 static void
 advance(struct loom_excess *excess, uint64_t now_us)
 {
-	uint64_t slot = now_us / SLOT_US;
+	uint64_t bucket = now_us / BUCKET_US;
 	uint32_t i;
 
-	if (slot > excess->slot + SLOTS)
-		excess->slot = slot - SLOTS;
-	while (excess->slot < slot) {
+	if (bucket > excess->bucket + BUCKETS)
+		excess->bucket = bucket - BUCKETS;
+	while (excess->bucket < bucket) {
 		for (i = 0; i < ROUTES; i++)
-			excess->total[i][excess->slot % SLOTS] =
+			excess->total_until[i][excess->bucket % BUCKETS] =
 			    excess->calls[i];
-		excess->slot++;
+		excess->bucket++;
 	}
 }
 
-/* Calls made before a time that lies in the slots. */
+/*
+ * Number of calls made before at_us, which must lie within the stored buckets.
+ */
 static double
-calls_before(const struct loom_excess *excess, uint32_t inner, uint64_t at_us)
+interpolate_calls(
+    const struct loom_excess *excess, uint32_t inner, uint64_t at_us)
 {
-	uint64_t slot = at_us / SLOT_US;
-	double part = (double)(at_us % SLOT_US) / SLOT_US;
+	uint64_t bucket = at_us / BUCKET_US;
+	double fraction = (double)(at_us % BUCKET_US) / BUCKET_US;
 	double from, to;
 
-	from = excess->total[inner][(slot - 1) % SLOTS];
-	to = excess->total[inner][slot % SLOTS];
-	return from + (to - from) * part;
+	from = excess->total_until[inner][(bucket - 1) % BUCKETS];
+	to = excess->total_until[inner][bucket % BUCKETS];
+	return from + (to - from) * fraction;
 }
 
 static void
-note(struct excess *excess, double calls)
+add_sample(struct excess *excess, double calls)
 {
-	double off;
-
-	excess->requests = MIN(excess->requests + 1, REQUESTS);
-	off = calls - excess->mean;
-	excess->mean += off / excess->requests;
-	excess->square +=
-	    (off * (calls - excess->mean) - excess->square) / excess->requests;
+	double deviation;
+
+	excess->requests = MIN(excess->requests + 1, AVERAGING_REQUESTS);
+	deviation = calls - excess->mean;
+	excess->mean += deviation / excess->requests;
+	excess->variance +=
+	    (deviation * (calls - excess->mean) - excess->variance) /
+	    excess->requests;
 }
 
 static void
-judge(struct loom_excess *excess, const struct run *run)
+measure_request(struct loom_excess *excess, const struct request *request)
 {
-	const uint64_t took_us = run->ended_us - run->began_us;
-	double before, began, ended, after;
+	const uint64_t duration_us = request->ended_us - request->began_us;
+	double total_before, total_at_start, total_at_end, total_after;
 	uint32_t i;
 
 	for (i = 0; i < ROUTES; i++) {
-		before = calls_before(excess, i, run->began_us - took_us);
-		began = calls_before(excess, i, run->began_us);
-		ended = calls_before(excess, i, run->ended_us);
-		after = calls_before(excess, i, run->ended_us + took_us);
-		note(&excess->excess[run->route][i],
-		    (ended - began) - (began - before + after - ended) / 2);
+		total_before = interpolate_calls(
+		    excess, i, request->began_us - duration_us);
+		total_at_start =
+		    interpolate_calls(excess, i, request->began_us);
+		total_at_end = interpolate_calls(excess, i, request->ended_us);
+		total_after = interpolate_calls(
+		    excess, i, request->ended_us + duration_us);
+		add_sample(&excess->excess[request->route][i],
+		    (total_at_end - total_at_start) -
+			(total_at_start - total_before + total_after -
+			    total_at_end) /
+			    2);
 	}
 }
 
 static void
-judge_runs(struct loom_excess *excess)
+measure_pending(struct loom_excess *excess)
 {
-	const struct run *run;
-	uint64_t after_us;
-
-	while (excess->nruns > 0) {
-		run = &excess->runs[excess->first_run % RUNS];
-		after_us = run->ended_us + (run->ended_us - run->began_us);
-		/* one that takes longer holds up those behind it, until they
-		 * are pushed out */
-		if (after_us / SLOT_US >= excess->slot)
+	const struct request *request;
+	uint64_t window_end_us;
+
+	while (excess->npending > 0) {
+		request = &excess->pending[excess->first_pending % PENDING_MAX];
+		window_end_us =
+		    request->ended_us + (request->ended_us - request->began_us);
+		/*
+		 * Measured in order: a longer request delays those behind it
+		 * until they are dropped from the queue.
+		 */
+		if (window_end_us / BUCKET_US >= excess->bucket)
 			return;
-		if (run->began_us / SLOT_US + SLOTS - 1 >
-		    excess->slot + (run->ended_us - run->began_us) / SLOT_US)
-			judge(excess, run);
-		excess->first_run++;
-		excess->nruns--;
+		/* skipped if its preceding interval is no longer stored */
+		if (request->began_us / BUCKET_US + BUCKETS - 1 >
+		    excess->bucket +
+			(request->ended_us - request->began_us) / BUCKET_US)
+			measure_request(excess, request);
+		excess->first_pending++;
+		excess->npending--;
 	}
 }
 
@@ -159,22 +195,23 @@
 {
 	advance(excess, now_us);
 	excess->calls[inner]++;
-	judge_runs(excess);
+	measure_pending(excess);
 }
 
 static void
-note_overlap(struct overlap *overlap, uint64_t took_us, uint64_t now_us)
+update_overlap(struct overlap *overlap, uint64_t duration_us, uint64_t now_us)
 {
-	double gap_us = (double)(now_us - overlap->ended_us);
+	double interval_us = (double)(now_us - overlap->ended_us);
 
 	if (overlap->ended_us == 0) {
-		overlap->took_us = (double)took_us;
-		gap_us = overlap->gap_us = (double)took_us;
+		overlap->duration_us = (double)duration_us;
+		interval_us = overlap->interval_us = (double)duration_us;
 	}
 	overlap->ended_us = now_us;
-	overlap->took_us +=
-	    ((double)took_us - overlap->took_us) * OVERLAP_WEIGHT;
-	overlap->gap_us += (gap_us - overlap->gap_us) * OVERLAP_WEIGHT;
+	overlap->duration_us +=
+	    ((double)duration_us - overlap->duration_us) * OVERLAP_WEIGHT;
+	overlap->interval_us +=
+	    (interval_us - overlap->interval_us) * OVERLAP_WEIGHT;
 }
 
 void
@@ -182,20 +219,20 @@
     uint64_t now_us)
 {
 	advance(excess, now_us);
-	judge_runs(excess);
-	note_overlap(&excess->overlaps[route], now_us - began_us, now_us);
-	if (now_us - began_us > RUN_MAX_US || now_us - began_us < SLOT_US)
+	measure_pending(excess);
+	update_overlap(&excess->overlaps[route], now_us - began_us, now_us);
+	if (now_us - began_us > REQUEST_MAX_US || now_us - began_us < BUCKET_US)
 		return;
-	if (excess->nruns == RUNS) {
-		excess->first_run++;
-		excess->nruns--;
+	if (excess->npending == PENDING_MAX) {
+		excess->first_pending++;
+		excess->npending--;
 	}
-	excess->runs[(excess->first_run + excess->nruns++) % RUNS] =
-	    (struct run){
-		    .route = route,
-		    .began_us = began_us,
-		    .ended_us = now_us,
-	    };
+	excess->pending[(excess->first_pending + excess->npending++) %
+	    PENDING_MAX] = (struct request){
+		.route = route,
+		.began_us = began_us,
+		.ended_us = now_us,
+	};
 }
 
 void
@@ -211,36 +248,43 @@
 loom_excess_forget_route(struct loom_excess *excess, uint32_t route)
 {
 	memset(excess->excess[route], 0, sizeof(excess->excess[route]));
-	excess->overlaps[route] = (struct overlap){ .took_us = 0 };
+	excess->overlaps[route] = (struct overlap){ .duration_us = 0 };
 }
 
-/* Of the mean.  Those at the same time share about half of what they see. */
+/*
+ * Standard error of the mean. Overlapping requests share about half of the
+ * fluctuations they measure.
+ */
 static double
-error_of(const struct loom_excess *excess, uint32_t route, uint32_t inner)
+standard_error(const struct loom_excess *excess, uint32_t route, uint32_t inner)
 {
-	const struct excess *seen = &excess->excess[route][inner];
+	const struct excess *stats = &excess->excess[route][inner];
 	const struct overlap *overlap = &excess->overlaps[route];
-	double at_once = 1 + overlap->took_us / MAX(2 * overlap->gap_us, 1);
+	double overlap_factor =
+	    1 + overlap->duration_us / MAX(2 * overlap->interval_us, 1);
 
-	return sqrt(seen->square / seen->requests * at_once);
+	return sqrt(stats->variance / stats->requests * overlap_factor);
 }
 
 bool
 loom_excess_denies(const struct loom_excess *excess, uint32_t route,
     uint32_t inner, double calls)
 {
-	const struct excess *seen = &excess->excess[route][inner];
+	const struct excess *stats = &excess->excess[route][inner];
 
-	return seen->requests >= REQUESTS_MIN &&
-	    seen->mean + ERRORS * error_of(excess, route, inner) < PART * calls;
+	return stats->requests >= REQUESTS_MIN &&
+	    stats->mean +
+		STANDARD_ERRORS * standard_error(excess, route, inner) <
+	    CALLS_RATIO_MIN * calls;
 }
 
 bool
 loom_excess_shows(
     const struct loom_excess *excess, uint32_t route, uint32_t inner)
 {
-	const struct excess *seen = &excess->excess[route][inner];
+	const struct excess *stats = &excess->excess[route][inner];
 
-	return seen->requests >= REQUESTS_MIN &&
-	    seen->mean > ERRORS * error_of(excess, route, inner);
+	return stats->requests >= REQUESTS_MIN &&
+	    stats->mean >
+	    STANDARD_ERRORS * standard_error(excess, route, inner);
 }
--- a/src/decide/fanout.c
+++ b/src/decide/fanout.c
@@ -1,25 +1,32 @@
 /*
- * Load pattern: requests of several routes at one upstream, of which some make
- * many calls to a narrow service and others none.  Refusing all of them for
- * its sake turns uploads away that never go there.
+ * Estimates which routes' requests make the calls of an upstream.
  *
- * Calls do not say which request made them.  But how many requests of each
- * route run varies all the time, and the calls with them: a least-squares fit
- * of the calls made in a stretch of time to the time that each route's
- * requests ran in it gives the calls a second of each, and with the time that
- * a request takes the calls that it makes.  Recursive least squares with
- * forgetting, one fit for all inner routes, since they share what ran.  It
- * begins with each route making calls in proportion to its time, and knows
- * routes apart within 8 s at 8 and 80 requests a second (test_keep).
+ * Load pattern: an upstream serves several routes, of which some make many
+ * calls to a saturated service and others none. If all of them were refused on
+ * its behalf, uploads that never call it would be turned away.
  *
- * The fit alone gives a rare route beside one that makes all the calls a part
- * of them by chance, and a larger one when the service below is full
- * (excess.c). Its requests would be refused for the sake of a service that they
- * never reach.  So of each inner route the calls are taken to be made by the
- * route that runs most, unless that is denied, and by others once it shows.
+ * Calls do not say which request made them. But the number of running requests
+ * of each route varies all the time, and the calls vary with it: a
+ * least-squares fit of the calls made in a time bin to the time that each
+ * route's requests ran in it yields calls per second of each route. Multiplied
+ * by the mean duration of a request this is the number of calls per request.
+ * The fit is a recursive least squares with exponential forgetting; all inner
+ * routes share one covariance matrix, because they have the same regressors.
+ * The coefficients start at zero, so that the first calls are attributed to
+ * routes in proportion to their running time. Routes are told apart within 8 s
+ * at 8 and 80 requests per second (test_keep).
  *
- * Time that requests ran, and not how many began: those that lie across the
- * edge of a bin would blur the fit by as much as a rare route's whole part.
+ * By chance, the fit alone attributes a part of the calls to a rare route that
+ * runs beside the one that makes them all, and a larger part when the
+ * downstream service is saturated (excess.c). The rare route's requests would
+ * then be refused on behalf of a service that they never reach. So the calls on
+ * an inner route are attributed to the route with the most running time, unless
+ * loom_excess_denies() rules that out, and to other routes only once
+ * loom_excess_shows() confirms them.
+ *
+ * The regressor is the time that requests ran, not the number that started:
+ * requests that span two bins would add an error as large as the whole part of
+ * a rare route.
  */
 
 #include <glib.h>
@@ -31,38 +38,47 @@
 #include "loom/excess.h"
 #include "loom/fanout.h"
 
-/* Some service times, so that calls and the requests that make them fall into
- * the same one; short enough for ten of them within seconds. */
+/*
+ * Several times the duration of a request, so that calls mostly fall into the
+ * same bin as the requests that make them; short enough that ten bins pass
+ * within seconds.
+ */
 #define BIN_US (UINT64_C(250) * LOOM_US_PER_MS)
-/* A changed call graph is learned within 60 bins, 15 s. */
-#define FORGET 0.985
-/* Of an unknown coefficient, to that of the calls in a bin: far more than any
- * true one, in calls a second squared. */
-#define VARIANCE_START 1e4
-/* Keeps an unused route's variance from growing without end. */
-#define VARIANCE_MAX 1e5
-#define USE_DECAY 0.9 /* a bin: the least used route gives way */
+/* A changed call graph is learned within 60 bins, or 15 s. */
+#define FORGETTING_FACTOR 0.985
+/*
+ * Initial variance of an unknown coefficient, relative to the variance of the
+ * calls in a bin: far larger than the square of any real coefficient in calls
+ * per second.
+ */
+#define COVARIANCE_START 1e4
+/*
+ * Bounds the variance of an unused route, which would otherwise grow without
+ * limit.
+ */
+#define COVARIANCE_MAX 1e5
+#define USAGE_DECAY 0.9 /* per bin; the least used route is replaced first */
 
 #define ROUTES LOOM_FANOUT_ROUTES
 
-struct side {
-	uint64_t ids[ROUTES]; /* 0 for none */
-	double counts[ROUTES]; /* of the running bin: seconds run, or calls */
-	double used[ROUTES]; /* decayed counts */
+struct route_table {
+	uint64_t ids[ROUTES]; /* 0 if unused */
+	double counts[ROUTES]; /* of the current bin: seconds run, or calls */
+	double usage[ROUTES]; /* decayed sum of counts */
 };
 
 struct loom_fanout {
-	struct side ran;
+	struct route_table routes;
 	uint32_t running[ROUTES]; /* requests of each route */
-	/* decayed like ran.used */
-	double begun[ROUTES];
+	/* number of requests, decayed like routes.usage */
+	double started[ROUTES];
 	double ended[ROUTES];
-	struct side called;
+	struct route_table inner_routes;
 	double calls_per_s[ROUTES][ROUTES]; /* [inner][route] */
-	double variance[ROUTES][ROUTES];
+	double covariance[ROUTES][ROUTES];
 	struct loom_excess *excess; /* owned */
-	uint64_t bin_us; /* when the running bin began */
-	uint64_t at_us; /* up to when ran.counts goes */
+	uint64_t bin_start_us; /* when the current bin began */
+	uint64_t counted_until_us; /* running time up to here is in counts */
 };
 
 struct loom_fanout *
@@ -72,80 +88,80 @@
 
 	if (fanout == NULL)
 		return NULL;
-	fanout->bin_us = fanout->at_us = now_us;
+	fanout->bin_start_us = fanout->counted_until_us = now_us;
 	fanout->excess = loom_excess_new(fanout);
 	return fanout;
 }
 
 static uint32_t
-find(const struct side *side, uint64_t id)
+find_route(const struct route_table *table, uint64_t id)
 {
 	uint32_t i;
 
-	for (i = 0; i < ROUTES && side->ids[i] != id; i++)
+	for (i = 0; i < ROUTES && table->ids[i] != id; i++)
 		;
 	return i;
 }
 
 static uint32_t
-least_used(const struct side *side)
+least_used(const struct route_table *table)
 {
 	uint32_t i, least = 0;
 
 	for (i = 0; i < ROUTES; i++) {
-		if (side->ids[i] == 0)
+		if (table->ids[i] == 0)
 			return i;
-		if (side->used[i] < side->used[least])
+		if (table->usage[i] < table->usage[least])
 			least = i;
 	}
 	return least;
 }
 
 static uint32_t
-replace(struct side *side, uint64_t id)
+replace_least_used(struct route_table *table, uint64_t id)
 {
-	uint32_t i = least_used(side);
+	uint32_t i = least_used(table);
 
-	side->ids[i] = id;
-	side->counts[i] = 0;
-	side->used[i] = 0;
+	table->ids[i] = id;
+	table->counts[i] = 0;
+	table->usage[i] = 0;
 	return i;
 }
 
 static void
-forget_variance(struct loom_fanout *fanout, uint32_t at)
+reset_covariance(struct loom_fanout *fanout, uint32_t route)
 {
 	uint32_t i;
 
 	for (i = 0; i < ROUTES; i++) {
-		fanout->variance[i][at] = 0;
-		fanout->variance[at][i] = 0;
+		fanout->covariance[i][route] = 0;
+		fanout->covariance[route][i] = 0;
 	}
-	fanout->variance[at][at] = VARIANCE_START;
+	fanout->covariance[route][route] = COVARIANCE_START;
 }
 
 static void
-forget_route(struct loom_fanout *fanout, uint32_t at)
+reset_route(struct loom_fanout *fanout, uint32_t route)
 {
 	uint32_t i;
 
 	for (i = 0; i < ROUTES; i++)
-		fanout->calls_per_s[i][at] = 0;
-	forget_variance(fanout, at);
+		fanout->calls_per_s[i][route] = 0;
+	reset_covariance(fanout, route);
 }
 
-/* gain = variance * x / (FORGET + x' * variance * x) */
+/* gain = P * x / (FORGETTING_FACTOR + x' * P * x), P being the covariance. */
 static void
 compute_gain(const struct loom_fanout *fanout, double gain[ROUTES])
 {
-	const double *x = fanout->ran.counts;
-	double sum = FORGET;
+	const double *x = fanout->routes.counts;
+	double sum = FORGETTING_FACTOR;
 	uint32_t i, j;
 
 	for (i = 0; i < ROUTES; i++) {
 		gain[i] = 0;
 		for (j = 0; j < ROUTES; j++)
-			gain[i] += fanout->variance[i][j] * x[j];
+			gain[i] += fanout->covariance[i][j] * x[j];
 	}
 	for (i = 0; i < ROUTES; i++)
 		sum += x[i] * gain[i];
@@ -160,138 +176,143 @@
 	uint32_t inner, i;
 
 	for (inner = 0; inner < ROUTES; inner++) {
-		error = fanout->called.counts[inner];
+		error = fanout->inner_routes.counts[inner];
 		for (i = 0; i < ROUTES; i++)
 			error -= fanout->calls_per_s[inner][i] *
-			    fanout->ran.counts[i];
+			    fanout->routes.counts[i];
 		for (i = 0; i < ROUTES; i++)
 			fanout->calls_per_s[inner][i] += gain[i] * error;
 	}
 }
 
 static void
-update_variance(struct loom_fanout *fanout, const double gain[ROUTES])
+update_covariance(struct loom_fanout *fanout, const double gain[ROUTES])
 {
-	double seen[ROUTES] = { 0 };
+	double projected[ROUTES] = { 0 };
 	uint32_t i, j;
 
 	for (j = 0; j < ROUTES; j++) {
 		for (i = 0; i < ROUTES; i++)
-			seen[j] +=
-			    fanout->ran.counts[i] * fanout->variance[i][j];
+			projected[j] +=
+			    fanout->routes.counts[i] * fanout->covariance[i][j];
 	}
 	for (i = 0; i < ROUTES; i++) {
 		for (j = 0; j < ROUTES; j++)
-			fanout->variance[i][j] =
-			    (fanout->variance[i][j] - gain[i] * seen[j]) /
-			    FORGET;
+			fanout->covariance[i][j] = (fanout->covariance[i][j] -
+						       gain[i] * projected[j]) /
+			    FORGETTING_FACTOR;
 	}
 	for (i = 0; i < ROUTES; i++) {
-		if (fanout->variance[i][i] > VARIANCE_MAX)
-			forget_variance(fanout, i);
+		if (fanout->covariance[i][i] > COVARIANCE_MAX)
+			reset_covariance(fanout, i);
 	}
 }
 
 static void
-clear_bin(struct side *side)
+clear_bin(struct route_table *table)
 {
 	uint32_t i;
 
 	for (i = 0; i < ROUTES; i++) {
-		side->used[i] = side->used[i] * USE_DECAY + side->counts[i];
-		side->counts[i] = 0;
+		table->usage[i] =
+		    table->usage[i] * USAGE_DECAY + table->counts[i];
+		table->counts[i] = 0;
 	}
 }
 
 static void
-count_time(struct loom_fanout *fanout, uint64_t now_us)
+count_running_time(struct loom_fanout *fanout, uint64_t now_us)
 {
-	double gap_s = (double)(now_us - fanout->at_us) / LOOM_US_PER_S;
+	double elapsed_s =
+	    (double)(now_us - fanout->counted_until_us) / LOOM_US_PER_S;
 	uint32_t i;
 
 	for (i = 0; i < ROUTES; i++)
-		fanout->ran.counts[i] += fanout->running[i] * gap_s;
-	fanout->at_us = now_us;
+		fanout->routes.counts[i] += fanout->running[i] * elapsed_s;
+	fanout->counted_until_us = now_us;
 }
 
-/* An idle bin tells nothing, and would only let what is known fade. */
+/*
+ * Ends the current bin if it is over. A bin in which nothing ran is not fitted:
+ * it carries no information, and would only fade what has been learned.
+ */
 static void
 close_bin(struct loom_fanout *fanout, uint64_t now_us)
 {
-	double gain[ROUTES], ran = 0;
+	double gain[ROUTES], run_s = 0;
 	uint32_t i;
 
-	count_time(fanout, now_us);
-	if (now_us < fanout->bin_us + BIN_US)
+	count_running_time(fanout, now_us);
+	if (now_us < fanout->bin_start_us + BIN_US)
 		return;
-	fanout->bin_us = now_us;
+	fanout->bin_start_us = now_us;
 	for (i = 0; i < ROUTES; i++)
-		ran += fanout->ran.counts[i];
-	if (ran > 0) {
+		run_s += fanout->routes.counts[i];
+	if (run_s > 0) {
 		compute_gain(fanout, gain);
 		update_calls(fanout, gain);
-		update_variance(fanout, gain);
+		update_covariance(fanout, gain);
 	}
 	for (i = 0; i < ROUTES; i++) {
-		fanout->begun[i] *= USE_DECAY;
-		fanout->ended[i] *= USE_DECAY;
+		fanout->started[i] *= USAGE_DECAY;
+		fanout->ended[i] *= USAGE_DECAY;
 	}
-	clear_bin(&fanout->ran);
-	clear_bin(&fanout->called);
+	clear_bin(&fanout->routes);
+	clear_bin(&fanout->inner_routes);
 }
 
 void
 loom_fanout_begin(
     struct loom_fanout *fanout, uint64_t route_id, uint64_t now_us)
 {
-	uint32_t at;
+	uint32_t route;
 
 	close_bin(fanout, now_us);
-	at = find(&fanout->ran, route_id);
-	if (at == ROUTES) {
-		at = replace(&fanout->ran, route_id);
-		fanout->running[at] = 0;
-		fanout->begun[at] = 0;
-		fanout->ended[at] = 0;
-		forget_route(fanout, at);
-		loom_excess_forget_route(fanout->excess, at);
+	route = find_route(&fanout->routes, route_id);
+	if (route == ROUTES) {
+		route = replace_least_used(&fanout->routes, route_id);
+		fanout->running[route] = 0;
+		fanout->started[route] = 0;
+		fanout->ended[route] = 0;
+		reset_route(fanout, route);
+		loom_excess_forget_route(fanout->excess, route);
 	}
-	fanout->running[at]++;
-	fanout->begun[at]++;
+	fanout->running[route]++;
+	fanout->started[route]++;
 }
 
 void
 loom_fanout_end(struct loom_fanout *fanout, uint64_t route_id,
     uint64_t began_us, uint64_t now_us)
 {
-	uint32_t at;
+	uint32_t route;
 
 	close_bin(fanout, now_us);
-	at = find(&fanout->ran, route_id);
-	/* another route may have taken its place meanwhile */
-	if (at == ROUTES || fanout->running[at] == 0)
+	route = find_route(&fanout->routes, route_id);
+	/* the slot may have been reused for another route meanwhile */
+	if (route == ROUTES || fanout->running[route] == 0)
 		return;
-	fanout->running[at]--;
-	fanout->ended[at]++;
-	loom_excess_ran(fanout->excess, at, began_us, now_us);
+	fanout->running[route]--;
+	fanout->ended[route]++;
+	loom_excess_ran(fanout->excess, route, began_us, now_us);
 }
 
 void
 loom_fanout_called(
     struct loom_fanout *fanout, uint64_t inner_id, uint64_t now_us)
 {
-	uint32_t at;
+	uint32_t inner;
 
 	close_bin(fanout, now_us);
-	at = find(&fanout->called, inner_id);
-	if (at == ROUTES) {
-		at = replace(&fanout->called, inner_id);
-		memset(fanout->calls_per_s[at], 0,
-		    sizeof(fanout->calls_per_s[at]));
-		loom_excess_forget_inner(fanout->excess, at);
+	inner = find_route(&fanout->inner_routes, inner_id);
+	if (inner == ROUTES) {
+		inner = replace_least_used(&fanout->inner_routes, inner_id);
+		memset(fanout->calls_per_s[inner], 0,
+		    sizeof(fanout->calls_per_s[inner]));
+		loom_excess_forget_inner(fanout->excess, inner);
 	}
-	fanout->called.counts[at]++;
-	loom_excess_called(fanout->excess, at, now_us);
+	fanout->inner_routes.counts[inner]++;
+	loom_excess_called(fanout->excess, inner, now_us);
 }
 
 uint32_t
@@ -301,97 +322,103 @@
 	uint32_t i, n = 0;
 
 	for (i = 0; i < ROUTES; i++) {
-		if (fanout->called.ids[i] != 0)
-			ids[n++] = fanout->called.ids[i];
+		if (fanout->inner_routes.ids[i] != 0)
+			ids[n++] = fanout->inner_routes.ids[i];
 	}
 	return n;
 }
 
 /*
- * Requests that the counted calls and times belong to: half of those that run
- * is still to come.  By those that ended alone a request cost hundreds of calls
- * when many had begun after a start and the first had just ended.
+ * Number of requests that the counted calls and running times correspond to.
+ * Requests that still run count as half, being half done on average. With
+ * completed requests alone, the estimate was hundreds of calls per request
+ * after a start, when many requests had begun and the first had just ended.
  */
 static double
-requests_of(const struct loom_fanout *fanout, uint32_t at)
+count_requests(const struct loom_fanout *fanout, uint32_t route)
 {
-	return (fanout->begun[at] + fanout->ended[at]) / 2;
+	return (fanout->started[route] + fanout->ended[route]) / 2;
 }
 
 static double
-fitted_calls(const struct loom_fanout *fanout, uint32_t at, uint32_t inner)
+fitted_calls(const struct loom_fanout *fanout, uint32_t route, uint32_t inner)
 {
-	double ran_s;
+	double mean_run_s;
 
-	if (fanout->ended[at] <= 0)
+	if (fanout->ended[route] <= 0)
 		return 0;
-	ran_s = fanout->ran.used[at] / requests_of(fanout, at);
-	return MAX(fanout->calls_per_s[inner][at], 0) * ran_s;
+	mean_run_s =
+	    fanout->routes.usage[route] / count_requests(fanout, route);
+	return MAX(fanout->calls_per_s[inner][route], 0) * mean_run_s;
 }
 
 static bool
-is_denied(const struct loom_fanout *fanout, uint32_t at, uint32_t inner)
+is_ruled_out(const struct loom_fanout *fanout, uint32_t route, uint32_t inner)
 {
 	return loom_excess_denies(
-	    fanout->excess, at, inner, fitted_calls(fanout, at, inner));
+	    fanout->excess, route, inner, fitted_calls(fanout, route, inner));
 }
 
-/* Of those that may make such calls it runs most. */
+/* Whether no other route that may make these calls has more running time. */
 static bool
-runs_most(const struct loom_fanout *fanout, uint32_t at, uint32_t inner)
+is_busiest_candidate(
+    const struct loom_fanout *fanout, uint32_t route, uint32_t inner)
 {
 	uint32_t i;
 
 	for (i = 0; i < ROUTES; i++) {
-		if (fanout->ran.used[i] > fanout->ran.used[at] &&
-		    !is_denied(fanout, i, inner))
+		if (fanout->routes.usage[i] > fanout->routes.usage[route] &&
+		    !is_ruled_out(fanout, i, inner))
 			return false;
 	}
 	return true;
 }
 
 static bool
-makes_calls(const struct loom_fanout *fanout, uint32_t at, uint32_t inner)
+makes_calls(const struct loom_fanout *fanout, uint32_t route, uint32_t inner)
 {
-	if (fanout->ran.ids[at] == 0 || is_denied(fanout, at, inner))
+	if (fanout->routes.ids[route] == 0 ||
+	    is_ruled_out(fanout, route, inner))
 		return false;
-	return runs_most(fanout, at, inner) ||
-	    loom_excess_shows(fanout->excess, at, inner);
+	return is_busiest_candidate(fanout, route, inner) ||
+	    loom_excess_shows(fanout->excess, route, inner);
 }
 
 /*
- * What the fit gave to routes that make none was made by the others, and one
- * alone made all: then no fit is needed.
+ * The route's fraction of the calls. What the fit attributed to routes that
+ * make no such calls is divided among those that do; a single one gets all.
  */
 static double
-part_of_fit(const struct loom_fanout *fanout, uint32_t at, uint32_t inner)
+fraction_of_calls(
+    const struct loom_fanout *fanout, uint32_t route, uint32_t inner)
 {
-	double all = 0;
+	double total = 0;
 	uint32_t i, n = 0;
 
 	for (i = 0; i < ROUTES; i++) {
 		if (!makes_calls(fanout, i, inner))
 			continue;
-		all += fitted_calls(fanout, i, inner) * requests_of(fanout, i);
+		total +=
+		    fitted_calls(fanout, i, inner) * count_requests(fanout, i);
 		n++;
 	}
 	if (n == 1)
 		return 1;
-	return all > 0
-	    ? fitted_calls(fanout, at, inner) * requests_of(fanout, at) / all
-	    : 0;
+	return total > 0 ? fitted_calls(fanout, route, inner) *
+		count_requests(fanout, route) / total
+			 : 0;
 }
 
 double
 loom_fanout_calls(
     const struct loom_fanout *fanout, uint64_t route_id, uint64_t inner_id)
 {
-	uint32_t at = find(&fanout->ran, route_id);
-	uint32_t inner = find(&fanout->called, inner_id);
+	uint32_t route = find_route(&fanout->routes, route_id);
+	uint32_t inner = find_route(&fanout->inner_routes, inner_id);
 
-	if (at == ROUTES || inner == ROUTES || fanout->ended[at] <= 0 ||
-	    !makes_calls(fanout, at, inner))
+	if (route == ROUTES || inner == ROUTES || fanout->ended[route] <= 0 ||
+	    !makes_calls(fanout, route, inner))
 		return 0;
-	return part_of_fit(fanout, at, inner) * fanout->called.used[inner] /
-	    requests_of(fanout, at);
+	return fraction_of_calls(fanout, route, inner) *
+	    fanout->inner_routes.usage[inner] / count_requests(fanout, route);
 }
