--- a/src/decide/costs.c
+++ b/src/decide/costs.c
@@ -1,8 +1,11 @@
 /*
- * Load pattern: a service deep down is full, and entries refuse the requests
- * that lead to it.  Which those are, and how much of its room each takes, is
- * learned from answers: executors add what their requests cost further down
- * (daemon/keep.c).
+ * Learns how many calls requests of each route make at which downstream
+ * services.
+ *
+ * Load pattern: a service deep in the call graph is saturated, and entries
+ * refuse the requests that lead to it. Answers tell the entries which requests
+ * these are and how many calls each makes there: executors add the downstream
+ * costs of their requests (daemon/keep.c).
  */
 
 #include <glib.h>
@@ -12,30 +15,33 @@
 #include "loom/costs.h"
 
 /*
- * A route that is refused for its cost gets no answers that would correct it.
- * So a cost that no answer has named for this long is tried with one request;
- * all others are judged by it meanwhile.  Forgotten instead, it let in all that
- * came until the first of them was answered, and flooded a service that was
- * full already.
+ * A route that is refused because of its cost gets no answers that could
+ * correct the cost. So one request is admitted as a probe when no answer has
+ * confirmed a cost for this long, while all others are still judged by it. When
+ * a stale cost was discarded instead, everything was admitted until the first
+ * answer came, which flooded a service that was already saturated.
+ */
+#define PROBE_INTERVAL_US (3 * LOOM_US_PER_S)
+/*
+ * Each probe that confirms a cost doubles the interval to the next one, up to
+ * this many times, since the probes of all entries together take capacity from
+ * regular requests.
  */
-#define RETRY_US (3 * LOOM_US_PER_S)
-/* Each try that confirms a cost doubles the time to the next, so often: tries
- * of all entries together take room from requests that count. */
 #define DOUBLINGS_MAX 3
-/* Of a new word on a cost: the last few count most. */
-#define WEIGHT 0.2
+/* Of a new report, in the exponential moving average. */
+#define UPDATE_WEIGHT 0.2
 
-struct told_cost {
+struct known_cost {
 	struct loom_cost cost;
-	uint64_t told_us; /* when an answer last named it */
-	uint64_t tried_us; /* or a request was last let past it */
-	uint32_t doublings; /* of the time between tries */
+	uint64_t reported_us; /* when an answer last reported it */
+	uint64_t probed_us; /* last report or admitted probe */
+	uint32_t doublings; /* of the probe interval */
 };
 
 struct loom_route_costs {
 	uint64_t route_id;
-	uint64_t service_id; /* that ran the last one */
-	struct told_cost costs[LOOM_COSTS_MAX];
+	uint64_t service_id; /* sent the last answer */
+	struct known_cost costs[LOOM_COSTS_MAX];
 	uint32_t n;
 };
 
@@ -64,7 +70,7 @@
 }
 
 static struct loom_route_costs *
-find_or_make(struct loom_costs *costs, uint64_t route_id)
+find_or_create_route(struct loom_costs *costs, uint64_t route_id)
 {
 	struct loom_route_costs *route =
 	    g_hash_table_lookup(costs->routes, &route_id);
@@ -77,7 +83,7 @@
 	return route;
 }
 
-static struct told_cost *
+static struct known_cost *
 find_cost(struct loom_route_costs *route, uint64_t service_id)
 {
 	uint32_t i;
@@ -93,62 +99,64 @@
 loom_costs_answer(
     struct loom_costs *costs, uint64_t route_id, uint64_t service_id)
 {
-	struct loom_route_costs *route = find_or_make(costs, route_id);
+	struct loom_route_costs *route = find_or_create_route(costs, route_id);
 
 	route->service_id = service_id;
 	return route;
 }
 
 static bool
-is_stale(const struct told_cost *told, uint64_t now_us)
+is_stale(const struct known_cost *known, uint64_t now_us)
 {
-	return now_us - told->told_us >= RETRY_US;
+	return now_us - known->reported_us >= PROBE_INTERVAL_US;
 }
 
 void
 loom_costs_note(struct loom_route_costs *route, uint64_t service_id,
     double calls, uint64_t now_us)
 {
-	struct told_cost *told = find_cost(route, service_id);
+	struct known_cost *known = find_cost(route, service_id);
 
-	if (told == NULL) {
+	if (known == NULL) {
 		if (route->n == LOOM_COSTS_MAX)
 			return;
-		told = &route->costs[route->n++];
-		told->cost = (struct loom_cost){
+		known = &route->costs[route->n++];
+		known->cost = (struct loom_cost){
 			.service_id = service_id,
 			.calls = calls,
 		};
-		told->told_us = now_us;
+		known->reported_us = now_us;
 	}
-	if (is_stale(told, now_us))
-		told->doublings = MIN(told->doublings + 1, DOUBLINGS_MAX);
-	told->cost.calls += (calls - told->cost.calls) * WEIGHT;
-	told->told_us = told->tried_us = now_us;
+	if (is_stale(known, now_us))
+		known->doublings = MIN(known->doublings + 1, DOUBLINGS_MAX);
+	known->cost.calls += (calls - known->cost.calls) * UPDATE_WEIGHT;
+	known->reported_us = known->probed_us = now_us;
 }
 
 /*
- * Executors leave out what their requests do not cost.  Without this a cost
- * that one of them once had taken for true stood, and a route that never goes
- * to the narrow service was refused for its sake.  Of a cost that was tried the
- * one answer that there is decides.
+ * Weight of an answer that omits the cost. Executors omit services that their
+ * requests do not call, so an omission counts as zero. Without this, a cost
+ * that one executor had once estimated wrongly persisted, and a route that
+ * never calls the saturated service was refused on its behalf. A stale cost has
+ * only the answer to the probe, which then decides alone.
  */
 static double
-weight_unsaid(const struct told_cost *told, uint64_t now_us)
+omission_weight(const struct known_cost *known, uint64_t now_us)
 {
-	return is_stale(told, now_us) ? 1.0 : WEIGHT;
+	return is_stale(known, now_us) ? 1.0 : UPDATE_WEIGHT;
 }
 
 void
 loom_costs_answer_end(struct loom_route_costs *route, uint64_t now_us)
 {
-	struct told_cost *told;
+	struct known_cost *known;
 	uint32_t i;
 
 	for (i = 0; i < route->n; i++) {
-		told = &route->costs[i];
-		if (told->told_us < now_us)
-			told->cost.calls *= 1.0 - weight_unsaid(told, now_us);
+		known = &route->costs[i];
+		if (known->reported_us < now_us)
+			known->cost.calls *=
+			    1.0 - omission_weight(known, now_us);
 	}
 }
 
@@ -166,13 +174,13 @@
 	return route == NULL ? 0 : route->service_id;
 }
 
-/* Whether the request at hand is the one that tries it. */
+/* Whether the current request is admitted as a probe of this cost. */
 static bool
-tries(struct told_cost *told, uint64_t now_us)
+claim_probe(struct known_cost *known, uint64_t now_us)
 {
-	if (now_us - told->tried_us < RETRY_US << told->doublings)
+	if (now_us - known->probed_us < PROBE_INTERVAL_US << known->doublings)
 		return false;
-	told->tried_us = now_us;
+	known->probed_us = now_us;
 	return true;
 }
 
@@ -182,14 +190,14 @@
 {
 	struct loom_route_costs *route =
 	    g_hash_table_lookup(costs->routes, &route_id);
-	struct told_cost *told;
+	struct known_cost *known;
 	uint32_t i, n = 0;
 
 	for (i = 0; route != NULL && i < route->n; i++) {
-		told = &route->costs[i];
-		if (told->cost.calls >= LOOM_COSTS_CALLS_MIN &&
-		    !tries(told, now_us))
-			out[n++] = told->cost;
+		known = &route->costs[i];
+		if (known->cost.calls >= LOOM_COSTS_CALLS_MIN &&
+		    !claim_probe(known, now_us))
+			out[n++] = known->cost;
 	}
 	return n;
 }
--- a/src/decide/retry_after.c
+++ b/src/decide/retry_after.c
@@ -1,17 +1,18 @@
 /*
- * Waits of refusals that come without an estimate.
+ * Retry-After waits for refusals that come without an estimate.
  *
- * Load pattern: clients that are told nothing come back at once, all of them,
- * and again, for as long as what refused them lasts; each round is work that
- * is refused, and the first to be let in meet a burst.  A request that is
- * given up gets its final answer now and this wait with it: an answer held
- * back instead would keep a connection and its caller for nothing.
+ * Load pattern: clients that are told nothing retry at once, all together, for
+ * as long as the cause of the refusal lasts. Each round is work that is refused
+ * again, and the first requests to be admitted meet a burst. A refused request
+ * gets its final answer immediately, with this wait; delaying the answer
+ * instead would occupy a connection and the caller for no benefit.
  *
- * Two lengths suffice.  Where another daemon or host can serve at once, the
- * wait only spreads the callers of one host over the others.  Where something
- * has to start, or was too slow for its callers, a wait of under a second
- * meets the same again; a daemon is ready some 4 s after its start, and the
- * spread is several times the least wait so that they do not return together.
+ * Two ranges are enough. SHORT_WAIT is for refusals where another daemon or
+ * host can serve the request at once, so that the wait only distributes the
+ * callers of one host over the others. LONG_WAIT is for cases where something
+ * has to start or was too slow for its callers: a retry within a second would
+ * be refused again, since a daemon is ready some 4 s after its start. The range
+ * is several times the minimum, so that callers do not return together.
  */
 
 #include <stddef.h>
@@ -20,49 +21,49 @@
 
 struct wait {
 	enum loom_result code;
-	uint16_t least_ms;
+	uint16_t min_ms;
 	uint16_t spread_ms;
 };
 
-#define ELSEWHERE(which)               \
+#define SHORT_WAIT(which)              \
 	{                              \
 		LOOM_##which, 250, 750 \
 	}
-#define LATER(which)                     \
+#define LONG_WAIT(which)                 \
 	{                                \
 		LOOM_##which, 1000, 4000 \
 	}
 
 static const struct wait waits[] = {
-	ELSEWHERE(DRAINING),
-	ELSEWHERE(BELOW_FULL),
-	ELSEWHERE(RATE_UNKNOWN),
-	ELSEWHERE(UPSTREAM_CUT),
-	ELSEWHERE(PEER_CUT),
-	ELSEWHERE(PEER_CONNECT),
-	ELSEWHERE(CONTEXT_STALE),
-	ELSEWHERE(TICKET_BUSY),
-	ELSEWHERE(TICKET_MOVING),
-	ELSEWHERE(TICKET_MOVED),
-	LATER(NO_MEMORY),
-	LATER(TEAM_RATE),
-	LATER(OVERLOAD),
-	LATER(QUEUE_DEADLINE),
-	LATER(NO_TARGET),
-	LATER(NO_MANIFEST),
-	LATER(RETRY_BUDGET),
-	LATER(LATE),
-	LATER(STARTING),
-	LATER(UPSTREAM_CONNECT),
-	LATER(UPSTREAM_SHED),
-	LATER(DEADLINE),
-	LATER(QUARANTINED),
-	LATER(SUSPECT),
-	LATER(UPSTREAM_CRASHED),
+	SHORT_WAIT(DRAINING),
+	SHORT_WAIT(BELOW_FULL),
+	SHORT_WAIT(RATE_UNKNOWN),
+	SHORT_WAIT(UPSTREAM_CUT),
+	SHORT_WAIT(PEER_CUT),
+	SHORT_WAIT(PEER_CONNECT),
+	SHORT_WAIT(CONTEXT_STALE),
+	SHORT_WAIT(TICKET_BUSY),
+	SHORT_WAIT(TICKET_MOVING),
+	SHORT_WAIT(TICKET_MOVED),
+	LONG_WAIT(NO_MEMORY),
+	LONG_WAIT(TEAM_RATE),
+	LONG_WAIT(OVERLOAD),
+	LONG_WAIT(QUEUE_DEADLINE),
+	LONG_WAIT(NO_TARGET),
+	LONG_WAIT(NO_MANIFEST),
+	LONG_WAIT(RETRY_BUDGET),
+	LONG_WAIT(LATE),
+	LONG_WAIT(STARTING),
+	LONG_WAIT(UPSTREAM_CONNECT),
+	LONG_WAIT(UPSTREAM_SHED),
+	LONG_WAIT(DEADLINE),
+	LONG_WAIT(QUARANTINED),
+	LONG_WAIT(SUSPECT),
+	LONG_WAIT(UPSTREAM_CRASHED),
 };
 
 static const struct wait *
-find(enum loom_result code)
+find_wait(enum loom_result code)
 {
 	size_t i;
 
@@ -76,17 +77,17 @@
 bool
 loom_retry_after_helps(enum loom_result code)
 {
-	return find(code) != NULL;
+	return find_wait(code) != NULL;
 }
 
 uint32_t
 loom_retry_after_ms(enum loom_result code, const struct loom_random *random)
 {
-	const struct wait *wait = find(code);
+	const struct wait *wait = find_wait(code);
 
 	if (wait == NULL)
 		return 0;
-	return wait->least_ms +
+	return wait->min_ms +
 	    (uint32_t)loom_random_below(random, wait->spread_ms + UINT64_C(1));
 }
 
--- a/src/decide/returns.c
+++ b/src/decide/returns.c
@@ -1,25 +1,26 @@
 /*
- * When refused callers may come back.
+ * Schedules the return of refused callers.
  *
- * Answers: the moment after a burst, and the end of an overload.  Without a
- * schedule all refused callers return after the same wait and make the next
- * burst as large as the first; a random wait of fixed width thins it by a
- * constant, however many there are.  Here each refusal takes the next free
- * place of one schedule, so that the width grows with their number.
+ * Load pattern: the moment after a burst, and the end of an overload. Without a
+ * schedule, all refused callers return after the same wait, and the next burst
+ * is as large as the first. A random wait of fixed width reduces the burst only
+ * by a constant factor, however many callers there are. Here each refusal takes
+ * the next free slot of a schedule, so that the width grows with the number of
+ * callers.
  *
- * All importances together may bring back a twentieth of what the service
- * ends, the more important ones more of it.  Entries and executors hand out
- * places on their own, so about twice that arrives, which a service that is
- * used to 70% before a surge takes on top.  A surge of 3x that lasts 4 s turns
- * away what takes 80 s to return into
- * that room, so the schedule reaches 60 s; past it places are drawn from its
- * upper half.  With 5 s (measured) a surge of 4 s was followed by more than
- * 4 s of overload by its own returns.
+ * All importances together may return at a twentieth of the rate that the
+ * service completes, with larger shares for the more important ones. Entries
+ * and executors assign slots independently, so about twice that rate arrives,
+ * which a service at 70% utilization before the surge can serve in addition. A
+ * 3x surge of 4 s refuses calls whose return takes 80 s at that rate, so the
+ * schedule extends to 60 s; beyond that, waits are drawn at random from the
+ * upper half. With 5 s (measured), a surge of 4 s was followed by more than 4 s
+ * of overload from its own returning callers.
  */
 
 #include "loom/returns.h"
 
-/* Of what the service ends. */
+/* Fraction of the service's completion rate. */
 static const double return_share[LOOM_IMPORTANCES] = {
 	[LOOM_CRITICAL] = 0.02,
 	[LOOM_HIGH] = 0.015,
@@ -27,7 +28,7 @@
 	[LOOM_LOW] = 0.005,
 };
 
-#define RATE_MIN 1.0 /* calls/s, for a service that ends none */
+#define RATE_MIN 1.0 /* calls/s, for a service that completes none */
 
 static uint64_t
 jitter(const struct loom_random *random, uint64_t width_us)
