--- a/src/decide/demand.c
+++ b/src/decide/demand.c
@@ -1,6 +1,6 @@
 /*
- * An exponentially weighted rate.  With a time constant of one second the
- * decayed count of events is the rate itself.
+ * An exponentially weighted event rate. With a time constant of one second, the
+ * decayed count of events equals the rate.
  */
 
 #include <math.h>
@@ -10,7 +10,7 @@
 #define TIME_CONSTANT_US 1e6
 
 static double
-decayed(const struct loom_demand *demand, uint64_t now_us)
+decayed_weight(const struct loom_demand *demand, uint64_t now_us)
 {
 	if (now_us <= demand->at_us)
 		return demand->weight;
@@ -21,7 +21,7 @@
 void
 loom_demand_add(struct loom_demand *demand, double events, uint64_t now_us)
 {
-	demand->weight = decayed(demand, now_us) + events;
+	demand->weight = decayed_weight(demand, now_us) + events;
 	if (now_us > demand->at_us)
 		demand->at_us = now_us;
 }
@@ -29,5 +29,5 @@
 double
 loom_demand_per_s(const struct loom_demand *demand, uint64_t now_us)
 {
-	return decayed(demand, now_us);
+	return decayed_weight(demand, now_us);
 }
--- a/src/decide/demand.h
+++ b/src/decide/demand.h
@@ -2,15 +2,15 @@
 #define LOOM_DECIDE_DEMAND_H
 
 /*
- * How fast calls come: events per second, weighted by e^(-age / 1 s).  One
- * second is long against a loan's renewal, so that a loan is not sized by
- * noise, and short against a surge.
+ * Estimates the rate of calls in events per second, weighted by e^(-age / 1 s).
+ * One second is long compared with the renewal interval of a loan, so that
+ * loans are not sized by noise, and short compared with a surge.
  */
 
 #include <stdint.h>
 
 struct loom_demand {
-	double weight; /* events, decayed to at_us */
+	double weight; /* number of events, decayed to at_us */
 	uint64_t at_us;
 };
 
--- a/src/decide/integer.h
+++ b/src/decide/integer.h
@@ -1,9 +1,7 @@
 #ifndef LOOM_DECIDE_INTEGER_H
 #define LOOM_DECIDE_INTEGER_H
 
-/*
- * Arithmetic on unsigned amounts that must not wrap.
- */
+/* Minimum, maximum and saturating subtraction of unsigned integers. */
 
 #include <stdint.h>
 
@@ -19,7 +17,7 @@
 	return a > b ? a : b;
 }
 
-/* a - b, and 0 where b is more. */
+/* a - b, or 0 if b is larger. */
 static inline uint64_t
 less(uint64_t a, uint64_t b)
 {
--- a/src/decide/mix.h
+++ b/src/decide/mix.h
@@ -2,14 +2,15 @@
 #define LOOM_DECIDE_MIX_H
 
 /*
- * Finalizers of 64-bit hashes: each bit of the result depends on all of the
- * argument, and both are bijections, so that two ids never tie.  Daemons of
- * one fleet must agree on the results; neither may change.
+ * Finalizers of 64-bit hash functions: each bit of the result depends on all
+ * bits of the argument. Both are bijections, so that distinct ids never tie.
+ * All daemons of a fleet must compute the same results, so neither function may
+ * change.
  */
 
 #include <stdint.h>
 
-/* That of MurmurHash3. */
+/* The finalizer of MurmurHash3. */
 static inline uint64_t
 mix_murmur(uint64_t x)
 {
@@ -20,7 +21,7 @@
 	return x ^ x >> 33;
 }
 
-/* That of splitmix64. */
+/* The finalizer of splitmix64. */
 static inline uint64_t
 mix_split(uint64_t x)
 {
--- a/src/decide/pace.c
+++ b/src/decide/pace.c
@@ -1,9 +1,9 @@
 /*
- * The pace of a reader's calls; see the header.
+ * Timing of a reader's calls to the platform.
  *
- * A gap after each answer lets a storm of changes be read in few calls.  A
- * backoff with full jitter after each failure keeps readers that failed
- * together from coming back together.
+ * The gap after each answer allows many changes in quick succession to be read
+ * in few calls. The backoff with jitter after each failure prevents readers
+ * that failed together from retrying together.
  */
 
 #include <glib.h>
@@ -31,9 +31,9 @@
 }
 
 /*
- * A call that is lost in an outage occupies the reader until its time-out.
- * After a failure the platform is therefore asked for what it has now: that
- * is answered at once or not at all.
+ * A call that is lost in an outage blocks the reader until it times out. After
+ * a failure the reader therefore asks for the current state only: the platform
+ * answers that immediately or not at all.
  */
 uint32_t
 loom_pace_wait_ms(const struct loom_pace *pace, uint32_t failures)
@@ -41,18 +41,21 @@
 	return failures == 0 ? pace->wait_ms : 0;
 }
 
-/* Full jitter over a doubling range, never under half of the first delay. */
+/*
+ * Random delay, uniform between half of the first delay and a limit that
+ * doubles with each failure, up to backoff_max_ms.
+ */
 static uint32_t
 backoff_ms(const struct loom_pace *pace, uint32_t failures,
     const struct loom_random *random)
 {
-	uint64_t range = pace->backoff_ms, least = pace->backoff_ms / 2;
+	uint64_t max_ms = pace->backoff_ms, min_ms = pace->backoff_ms / 2;
 
-	while (failures-- > 1 && range < pace->backoff_max_ms)
-		range *= 2;
-	range = MIN(range, pace->backoff_max_ms);
-	return (uint32_t)(least +
-	    loom_random_below(random, range - MIN(range, least) + 1));
+	while (failures-- > 1 && max_ms < pace->backoff_max_ms)
+		max_ms *= 2;
+	max_ms = MIN(max_ms, pace->backoff_max_ms);
+	return (uint32_t)(min_ms +
+	    loom_random_below(random, max_ms - MIN(max_ms, min_ms) + 1));
 }
 
 uint32_t
--- a/src/decide/rest.c
+++ b/src/decide/rest.c
@@ -1,21 +1,25 @@
 /*
- * Load pattern: more events than one core can take.  A loop that never waits,
- * on a host with one core for all threads, kept the thread that reads the
- * platform from running for as long as the load lasted (no new manifest, no
- * loan of a rate, no answer to peers), and the one that would have told entries
- * to send less.
+ * Load pattern: more events than one core can process. An event loop that never
+ * waited, on a host with one core for all threads, starved two other threads
+ * for as long as the load lasted: the one that reads the platform (no new
+ * manifest, no rate loans, no answers to peers) and the one that would have
+ * told entries to send less.
  *
- * What counts is the sum of the waits: the others run in many short ones as
- * well as in one.  By its longest wait a loop with many events and time to
- * spare would rest, and make calls late for nothing.
+ * The criterion is the sum of the waits, because other threads get to run in
+ * many short waits as well as in one long wait. Judged by its longest wait, a
+ * loop with many events but spare time would pause and delay calls for no
+ * benefit.
  */
 
 #include "loom/rest.h"
 
 /* Two ticks of admission, which runs on another thread. */
-#define SPAN_US (20 * LOOM_US_PER_MS)
+#define WINDOW_US (20 * LOOM_US_PER_MS)
 
-/* A shorter wait is the system call that finds an event there already. */
+/*
+ * A shorter wait is only the duration of a system call that found an event
+ * ready.
+ */
 #define WAIT_MIN_US 50
 
 void
@@ -31,5 +35,5 @@
 		rest->waited_us += waited_us;
 	if (rest->waited_us >= LOOM_REST_US)
 		loom_rest_init(rest, now_us);
-	return now_us - rest->since_us >= SPAN_US;
+	return now_us - rest->since_us >= WINDOW_US;
 }
--- a/src/decide/stop.c
+++ b/src/decide/stop.c
@@ -1,9 +1,9 @@
 /*
- * The division of the time until a kill.
+ * Divides the time until the process is killed.
  *
- * Load pattern: a rolling restart under load.  A daemon that ends before it
- * must cuts uploads that had time left; one that ends later is killed with
- * the answers of all that it still runs.
+ * Load pattern: a rolling restart under load. A daemon that stops too early
+ * cuts off uploads that still had time; one that stops too late is killed
+ * before it has answered the calls that it still runs.
  */
 
 #include <glib.h>
@@ -11,12 +11,14 @@
 #include "loom/clock.h"
 #include "loom/stop.h"
 
-/* For closing connections and freeing memory, on a busy host. */
+/* Reserved for closing connections and freeing memory on a busy host. */
 #define MARGIN_MIN_US (200 * LOOM_US_PER_MS)
-#define MARGIN_PART 10
-/* Callers that are not moved away in time still get their answers; calls that
- * have no time left do not. */
-#define DELAY_PART 2
+#define MARGIN_DIVISOR 10
+/*
+ * At most half of the time is spent on the delay: callers that have not moved
+ * away by its end still get answers, but calls that have no time left do not.
+ */
+#define DELAY_DIVISOR 2
 
 struct loom_stop
 loom_stop_plan(const struct loom_stop *wanted, uint64_t within_us)
@@ -26,8 +28,8 @@
 
 	if (within_us == 0)
 		return plan;
-	margin_us = MAX(within_us / MARGIN_PART, MARGIN_MIN_US);
-	plan.delay_us = MIN(plan.delay_us, within_us / DELAY_PART);
+	margin_us = MAX(within_us / MARGIN_DIVISOR, MARGIN_MIN_US);
+	plan.delay_us = MIN(plan.delay_us, within_us / DELAY_DIVISOR);
 	plan.end_us = within_us - MIN(within_us, plan.delay_us + margin_us);
 	return plan;
 }
--- a/src/decide/wait_share.c
+++ b/src/decide/wait_share.c
@@ -1,12 +1,13 @@
 /*
- * Load pattern: a deep service slows, and each upstream above it answers later
- * though it does no more itself.  A limit that follows latency then shrinks at
- * all of them, the idle ones too, and the whole chain refuses what only its
- * last service cannot carry.  Where inner calls name their parents their time
- * is known; where they do not, the mean over all that run stands in for it.
+ * Load pattern: a service deep in the call graph slows down, and each upstream
+ * above it answers later although it does no more work itself. A concurrency
+ * limit that follows latency then shrinks at all of them, idle ones included,
+ * and the whole chain refuses what only its last service cannot carry. Where
+ * inner calls name their parent call, the time spent waiting for them is known;
+ * elsewhere, the mean over all running calls is used.
  *
- * Several inner calls of one request at once count as one wait: no more calls
- * can wait than run.
+ * Concurrent inner calls of one request count as one wait, so at most as many
+ * calls wait as run.
  */
 
 #include <glib.h>
@@ -15,23 +16,27 @@
 #include "loom/clock.h"
 #include "loom/wait_share.h"
 
-/* As long as a few service times, so that the share belongs to the calls that
- * it is applied to, and short of a change of load. */
-#define TAU_US (1.0 * LOOM_US_PER_S)
-/* The rest is the upstream's own, however little: a sample of none would make
- * a floor of none. */
+/*
+ * A few service times, so that the share describes the calls that it is applied
+ * to, but shorter than typical load changes.
+ */
+#define TIME_CONSTANT_US (1.0 * LOOM_US_PER_S)
+/*
+ * At least the rest is the upstream's own time: a latency sample of zero would
+ * set the latency floor to zero.
+ */
 #define SHARE_MAX 0.95
 
 void
 loom_wait_share_change(
     struct loom_wait_share *share, int running, int inner, uint64_t now_us)
 {
-	double gap_us = (double)(now_us - share->at_us);
-	double left = exp(-gap_us / TAU_US);
+	double elapsed_us = (double)(now_us - share->at_us);
+	double decay = exp(-elapsed_us / TIME_CONSTANT_US);
 
-	share->run_us = share->run_us * left + gap_us * share->running;
-	share->wait_us =
-	    share->wait_us * left + gap_us * MIN(share->inner, share->running);
+	share->run_us = share->run_us * decay + elapsed_us * share->running;
+	share->wait_us = share->wait_us * decay +
+	    elapsed_us * MIN(share->inner, share->running);
 	share->at_us = now_us;
 	share->running = (uint32_t)((int64_t)share->running + running);
 	share->inner = (uint32_t)((int64_t)share->inner + inner);
