--- a/include/loom/costs.h
+++ b/include/loom/costs.h
@@ -2,22 +2,25 @@
 #define LOOM_COSTS_H
 
 /*
- * How many calls a request of a route makes at each service below the one that
- * runs it, as answers tell.  One table for each worker thread, no lock.
+ * Learns from answers how many calls a request of a route makes at each service
+ * downstream of the one that runs it. One table for each worker thread, without
+ * a lock.
  */
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Services below one route: a header of them takes 1.5 KB at most. */
+/*
+ * Downstream services per route: a header that lists them takes 1.5 KB at most.
+ */
 #define LOOM_COSTS_MAX 32
 
 struct loom_cost {
 	uint64_t service_id;
-	double calls; /* that one request makes there */
+	double calls; /* made there by one request */
 };
 
-/* Fewer calls than this are the noise of the estimate. */
+/* Fewer calls than this are within the error of the estimate. */
 #define LOOM_COSTS_CALLS_MIN 0.3
 
 struct loom_costs;
@@ -25,22 +28,28 @@
 
 struct loom_costs *loom_costs_new(void *ctx);
 
-/* An answer to a request of the route came from this service, which names what
- * the request cost further down: loom_costs_note() for each, then
- * loom_costs_answer_end(). */
+/*
+ * Begins to record an answer to a request of the route, received from this
+ * service. loom_costs_note() has to follow for each downstream cost that the
+ * answer reports, and loom_costs_answer_end() after the last one.
+ */
 struct loom_route_costs *loom_costs_answer(
     struct loom_costs *, uint64_t route_id, uint64_t service_id);
 void loom_costs_note(struct loom_route_costs *, uint64_t service_id,
     double calls, uint64_t now_us);
 void loom_costs_answer_end(struct loom_route_costs *, uint64_t now_us);
 
-/* The service that answered last, 0 before any answer; and what requests of
- * the route cost below it, *n of them in out. */
+/*
+ * Returns the service that answered last, or 0 if none did, and writes the *n
+ * known downstream costs of the route's requests to out.
+ */
 uint64_t loom_costs_known(const struct loom_costs *, uint64_t route_id,
     struct loom_cost out[LOOM_COSTS_MAX], uint32_t *n);
 
-/* By which of them a root request that comes now is let in or refused; how
- * many are in out. */
+/*
+ * Writes the costs by which a root request that arrives now has to be judged to
+ * out; returns their number. A cost that the request shall probe is left out.
+ */
 uint32_t loom_costs_judge(struct loom_costs *, uint64_t route_id,
     uint64_t now_us, struct loom_cost out[LOOM_COSTS_MAX]);
 
--- a/include/loom/excess.h
+++ b/include/loom/excess.h
@@ -2,8 +2,8 @@
 #define LOOM_EXCESS_H
 
 /*
- * Whether an upstream makes more calls while requests of a route run.  Routes
- * and inner routes are numbered by the owner.  Not thread-safe.
+ * Tests whether an upstream makes more calls while requests of a route run. The
+ * caller assigns the numbers of routes and inner routes. Not thread-safe.
  */
 
 #include <stdbool.h>
@@ -16,22 +16,30 @@
 /* Owned by ctx (talloc). */
 struct loom_excess *loom_excess_new(void *ctx);
 
-/* The upstream made a call; times never go back. */
+/* The upstream made a call. Times must not decrease. */
 void loom_excess_called(struct loom_excess *, uint32_t inner, uint64_t now_us);
 
-/* A request ran. */
+/* A request of the route ran from began_us to now_us. */
 void loom_excess_ran(
     struct loom_excess *, uint32_t route, uint64_t began_us, uint64_t now_us);
 
-/* The number now stands for another one. */
+/*
+ * Discards what was measured under the number, which is reused for another
+ * route.
+ */
 void loom_excess_forget_inner(struct loom_excess *, uint32_t inner);
 void loom_excess_forget_route(struct loom_excess *, uint32_t route);
 
-/* So many calls a request would have shown by now. */
+/*
+ * Whether the measurements rule out that a request of the route makes this many
+ * calls.
+ */
 bool loom_excess_denies(
     const struct loom_excess *, uint32_t route, uint32_t inner, double calls);
 
-/* Requests of the route are seen to make such calls. */
+/*
+ * Whether the measurements confirm that requests of the route make such calls.
+ */
 bool loom_excess_shows(
     const struct loom_excess *, uint32_t route, uint32_t inner);
 
--- a/include/loom/rest.h
+++ b/include/loom/rest.h
@@ -2,8 +2,8 @@
 #define LOOM_REST_H
 
 /*
- * When an event loop that hardly waits has to rest, so that the other threads
- * of its process get their turns on a host with one core.
+ * Decides when an event loop that hardly ever waits has to pause, so that the
+ * other threads of its process get to run on a host with one core.
  */
 
 #include <stdbool.h>
@@ -11,19 +11,22 @@
 
 #include "loom/clock.h"
 
-/* The length of one rest. */
+/* Duration of one pause. */
 #define LOOM_REST_US (2 * LOOM_US_PER_MS)
 
-/* Zeroed but for the time of its start. */
+/* Zeroed except for the start time. */
 struct loom_rest {
-	uint64_t since_us; /* the span that is looked at */
-	uint64_t waited_us; /* in it */
+	uint64_t since_us; /* start of the observed window */
+	uint64_t waited_us; /* time waited in it */
 };
 
 void loom_rest_init(struct loom_rest *, uint64_t now_us);
 
-/* The loop has waited so long, until now.  True when it has to rest now, for
- * LOOM_REST_US; loom_rest_init() is to be called after it. */
+/*
+ * Records that the loop waited for waited_us until now_us. Returns true if it
+ * has to pause now for LOOM_REST_US; loom_rest_init() has to be called after
+ * the pause.
+ */
 bool loom_rest_due(struct loom_rest *, uint64_t waited_us, uint64_t now_us);
 
 #endif
--- a/include/loom/retry_after.h
+++ b/include/loom/retry_after.h
@@ -2,8 +2,8 @@
 #define LOOM_RETRY_AFTER_H
 
 /*
- * How long a refused caller shall wait, where the place that refused has no
- * estimate of its own (a queue, a team's rate, a quarantine have one).
+ * Determines how long a refused caller shall wait if the component that refused
+ * it has no estimate of its own (queues, team rates and quarantines have one).
  */
 
 #include <stdbool.h>
@@ -12,16 +12,22 @@
 #include "loom/clock.h"
 #include "loom/result.h"
 
-/* A longer wait is no honest promise about load. */
+/* A longer wait would not be a reliable statement about load. */
 #define LOOM_RETRY_AFTER_MAX_MS (60 * 60 * 1000)
 
-/* Whether the same request may succeed later, with nothing changed in it. */
+/* Whether the same request may succeed later without being changed. */
 bool loom_retry_after_helps(enum loom_result);
 
-/* A wait with its spread; 0 for a code where waiting does not help. */
+/*
+ * Returns a random wait from the code's range; 0 for a code where waiting does
+ * not help.
+ */
 uint32_t loom_retry_after_ms(enum loom_result, const struct loom_random *);
 
-/* An estimate in milliseconds, rounded up, and cut to the longest wait. */
+/*
+ * Converts an estimate to milliseconds, rounded up and limited to
+ * LOOM_RETRY_AFTER_MAX_MS.
+ */
 uint32_t loom_retry_after_ms_of(uint64_t wait_us);
 
 #endif
--- a/include/loom/returns.h
+++ b/include/loom/returns.h
@@ -2,9 +2,9 @@
 #define LOOM_RETURNS_H
 
 /*
- * When refused callers may come back.  Each refusal reserves a place on a
- * schedule that is as thin as the load which can be let in on top, so that
- * callers who obey Retry-After do not return all at once.
+ * Schedules when refused callers may return. Each refusal reserves a slot in a
+ * schedule whose rate is limited to the additional load that can be admitted,
+ * so that callers who obey Retry-After do not all return at once.
  */
 
 #include <stdint.h>
@@ -16,13 +16,17 @@
 #define LOOM_RETURN_MAX_US (UINT64_C(60) * LOOM_US_PER_S)
 
 struct loom_returns {
-	/* The next free place; each importance has a schedule of its own, so
-	 * that a critical call does not come back after a thousand lookups. */
+	/*
+	 * Next free slot. Each importance has its own schedule, so that a
+	 * critical call does not return after a thousand lookups.
+	 */
 	uint64_t next_us[LOOM_IMPORTANCES];
 };
 
-/* Reserve a place for one refused call at a service that ends rate_per_s
- * calls; returns how long the caller shall wait, with its spread. */
+/*
+ * Reserves a slot for one refused call at a service that completes rate_per_s
+ * calls per second. Returns how long the caller shall wait, jitter included.
+ */
 uint64_t loom_returns_after(struct loom_returns *, enum loom_importance,
     double rate_per_s, const struct loom_random *, uint64_t now_us);
 
--- a/include/loom/stop.h
+++ b/include/loom/stop.h
@@ -2,20 +2,21 @@
 #define LOOM_STOP_H
 
 /*
- * How the time between a request to stop and the kill is divided: first all
- * is served on while callers move away, then what is under way ends.
+ * Divides the time between a request to stop and the kill: first everything is
+ * served as before while callers move away, then the calls in progress
+ * complete.
  */
 
 #include <stdint.h>
 
 struct loom_stop {
-	uint64_t delay_us; /* served on */
-	uint64_t end_us; /* for what is under way, after the delay */
+	uint64_t delay_us; /* requests are served as before */
+	uint64_t end_us; /* for calls in progress, after the delay */
 };
 
 /*
- * wanted holds the two times as they are set.  within_us is the time until
- * the process is killed, 0 when nobody kills it: then wanted is the answer.
+ * wanted holds the two configured times. within_us is the time until the
+ * process is killed, or 0 if nothing kills it; the plan then equals wanted.
  */
 struct loom_stop loom_stop_plan(
     const struct loom_stop *wanted, uint64_t within_us);
--- a/include/loom/wait_share.h
+++ b/include/loom/wait_share.h
@@ -2,8 +2,9 @@
 #define LOOM_WAIT_SHARE_H
 
 /*
- * How much of their time an upstream's calls wait for calls of their own, where
- * nothing tells which inner call belongs to which.  Not thread-safe.
+ * Estimates the fraction of their time that an upstream's calls wait for calls
+ * of their own, where inner calls cannot be matched to the calls that made
+ * them. Not thread-safe.
  */
 
 #include <stdint.h>
@@ -11,16 +12,16 @@
 struct loom_wait_share {
 	uint32_t running; /* calls at the upstream */
 	uint32_t inner; /* calls that the upstream waits for */
-	uint64_t at_us; /* of the sums */
-	double run_us; /* decayed: time that calls ran */
-	double wait_us; /* of it, with an inner call under way */
+	uint64_t at_us; /* when run_us and wait_us were last updated */
+	double run_us; /* decayed sum of the time that calls ran */
+	double wait_us; /* the part of run_us spent waiting for inner calls */
 };
 
-/* One of both counts changes by one, or by none. */
+/* Adds running and inner, each -1, 0 or 1, to the two counts. */
 void loom_wait_share_change(
     struct loom_wait_share *, int running, int inner, uint64_t now_us);
 
-/* Between 0 and 0.95. */
+/* Returns the fraction, between 0 and 0.95. */
 double loom_wait_share(const struct loom_wait_share *);
 
 #endif
