--- a/include/loom/keep.h
+++ b/include/loom/keep.h
@@ -22,10 +22,7 @@
 	double steered;
 	double share; /* reported to entries: lower while a queue stands */
 	uint64_t ticked_us;
-	/*
-	 * the shortest queue of this window and the last one, relative to the
-	 * limit
-	 */
+	/* shortest queue in this and the last window, relative to the limit */
 	double queue_min[2];
 	uint64_t window_us; /* start of the current window */
 };
--- a/tests/decide/test_costs.c
+++ b/tests/decide/test_costs.c
@@ -1,6 +1,6 @@
 /*
- * What entries believe of the calls that requests make further down, from
- * answers that grow rare as requests are refused.
+ * Tests what entries assume about the downstream calls of requests, when
+ * answers become rare because the requests are refused.
  */
 
 #include <talloc.h>
@@ -12,117 +12,126 @@
 #define MS LOOM_US_PER_MS
 #define S LOOM_US_PER_S
 #define ROUTE 1
-#define RUNS_AT 2
-#define NARROW 3
+#define EXECUTOR 2
+#define SERVICE 3
 #define CALLS 8.0
 #define GAP_US (40 * MS) /* between requests at one entry */
-#define ANSWER_US (700 * MS) /* a chain of calls: its answer tells the cost */
-#define PLAY_US (30 * S)
+#define ANSWER_US (700 * MS) /* until a chain of calls is answered */
+#define SIMULATED_US (30 * S)
 
 static void
-answer(struct loom_costs *costs, double calls, uint64_t now_us)
+add_answer(struct loom_costs *costs, double calls, uint64_t now_us)
 {
 	struct loom_route_costs *route =
-	    loom_costs_answer(costs, ROUTE, RUNS_AT);
+	    loom_costs_answer(costs, ROUTE, EXECUTOR);
 
 	if (calls > 0)
-		loom_costs_note(route, NARROW, calls, now_us);
+		loom_costs_note(route, SERVICE, calls, now_us);
 	loom_costs_answer_end(route, now_us);
 }
 
 static bool
-is_judged(struct loom_costs *costs, uint64_t now_us)
+is_checked(struct loom_costs *costs, uint64_t now_us)
 {
 	struct loom_cost found[LOOM_COSTS_MAX];
 
 	return loom_costs_judge(costs, ROUTE, now_us, found) > 0;
 }
 
-/* Requests that pass by the cost in a play where none is let in by it; each is
- * answered with what it really costs. */
+/*
+ * Counts the requests that are not judged by the cost, in a simulation where
+ * every request that is judged by it is refused. Each admitted request is
+ * answered with its actual cost.
+ */
 static unsigned
-count_passed(struct loom_costs *costs, double calls)
+count_admitted(struct loom_costs *costs, double calls)
 {
 	GArray *answers = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	uint64_t now_us, answer_us, end_us = S + PLAY_US;
-	unsigned passed = 0;
+	uint64_t now_us, answer_us, end_us = S + SIMULATED_US;
+	unsigned admitted = 0;
 	guint next = 0;
 
-	answer(costs, CALLS, S);
+	add_answer(costs, CALLS, S);
 	for (now_us = S; now_us < end_us; now_us += GAP_US) {
 		for (; next < answers->len &&
 		     g_array_index(answers, uint64_t, next) <= now_us;
 		     next++)
-			answer(costs, calls, now_us);
-		if (is_judged(costs, now_us))
+			add_answer(costs, calls, now_us);
+		if (is_checked(costs, now_us))
 			continue;
-		passed++;
+		admitted++;
 		answer_us = now_us + ANSWER_US;
 		g_array_append_val(answers, answer_us);
 	}
 	g_array_free(answers, TRUE);
-	return passed;
+	return admitted;
 }
 
-/* Guards against entries that forget what a route costs while they refuse it,
- * and flood the service below each time that they do. */
+/*
+ * Guards against entries that forget the cost of a route while they refuse it,
+ * and flood the downstream service each time they do.
+ */
 static void
-test_refused_for_long(void)
+test_long_refusal(void)
 {
 	static const struct {
 		const char *name;
-		double calls; /* in truth */
-		unsigned least, most; /* requests let past, of 750 */
+		double calls; /* actual cost */
+		unsigned min, max; /* admitted requests, of 750 */
 	} rows[] = {
-		{ "it still costs that", CALLS, 2, 5 },
-		{ "it costs nothing any more", 0, 600, 750 },
+		{ "cost unchanged", CALLS, 2, 5 },
+		{ "cost dropped to zero", 0, 600, 750 },
 	};
 	struct loom_costs *costs;
-	unsigned passed;
+	unsigned admitted;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(rows); i++) {
 		costs = loom_costs_new(NULL);
-		passed = count_passed(costs, rows[i].calls);
-		TEST_CHECK(passed >= rows[i].least && passed <= rows[i].most,
-		    "%s: %u passed", rows[i].name, passed);
+		admitted = count_admitted(costs, rows[i].calls);
+		TEST_CHECK(admitted >= rows[i].min && admitted <= rows[i].max,
+		    "%s: %u admitted", rows[i].name, admitted);
 		talloc_free(costs);
 	}
 }
 
-/* Guards against news of a narrow service that ends at a daemon in the middle
- * of a chain, since none of its own calls came back lately. */
+/*
+ * Guards against a daemon in the middle of a chain that no longer reports a
+ * downstream cost, because none of its own calls was answered recently.
+ */
 static void
-test_told_on(void)
+test_stale_costs_are_forwarded(void)
 {
 	struct loom_costs *costs = loom_costs_new(NULL);
 	struct loom_cost found[LOOM_COSTS_MAX];
-	uint64_t runs_at;
+	uint64_t executor;
 	uint32_t n;
 
-	answer(costs, CALLS, S);
-	is_judged(costs, S + 10 * S);
-	runs_at = loom_costs_known(costs, ROUTE, found, &n);
-	TEST_CHECK(n == 1, "known after 10 s");
-	TEST_CHECK(found[0].service_id == NARROW, "of the narrow service");
-	TEST_CHECK(runs_at == RUNS_AT, "runs there");
+	add_answer(costs, CALLS, S);
+	is_checked(costs, S + 10 * S);
+	executor = loom_costs_known(costs, ROUTE, found, &n);
+	TEST_CHECK(n == 1, "cost forgotten after 10 s");
+	TEST_CHECK(found[0].service_id == SERVICE, "cost of another service");
+	TEST_CHECK(executor == EXECUTOR, "another executor");
 	talloc_free(costs);
 }
 
-/* Answers that name a cost move it; those that leave it out let it fade. */
+/*
+ * Answers that report a cost move its average; answers that omit it lower it.
+ */
 static void
-test_words(void)
+test_averaging(void)
 {
 	static const struct {
 		const char *name;
-		double words[4]; /* 0: left out */
+		double reports[4]; /* 0: omitted */
 		unsigned n;
-		double least, most;
+		double min, max;
 	} rows[] = {
-		{ "the first word is whole", { 8 }, 1, 8, 8 },
-		{ "the last few count", { 8, 2, 2 }, 3, 5, 7 },
-		{ "left out", { 8, 0, 0, 0 }, 4, 3, 5 },
-		{ "named again", { 8, 0, 0, 8 }, 4, 5, 7 },
+		{ "first report taken as it is", { 8 }, 1, 8, 8 },
+		{ "last few reports dominate", { 8, 2, 2 }, 3, 5, 7 },
+		{ "omitted", { 8, 0, 0, 0 }, 4, 3, 5 },
+		{ "omitted, then reported again", { 8, 0, 0, 8 }, 4, 5, 7 },
 	};
 	struct loom_cost found[LOOM_COSTS_MAX];
 	struct loom_costs *costs;
@@ -133,19 +142,19 @@
 	for (i = 0; i < G_N_ELEMENTS(rows); i++) {
 		costs = loom_costs_new(NULL);
 		for (j = 0; j < rows[i].n; j++)
-			answer(costs, rows[i].words[j], S + j * MS);
+			add_answer(costs, rows[i].reports[j], S + j * MS);
 		loom_costs_known(costs, ROUTE, found, &n);
-		TEST_CHECK(n == 1 && found[0].calls >= rows[i].least &&
-			found[0].calls <= rows[i].most,
+		TEST_CHECK(n == 1 && found[0].calls >= rows[i].min &&
+			found[0].calls <= rows[i].max,
 		    "%s: %u, %.2f calls", rows[i].name, n, found[0].calls);
 		talloc_free(costs);
 	}
 }
 
 static const struct test_case tests[] = {
-	{ "refused for long", test_refused_for_long },
-	{ "told on", test_told_on },
-	{ "words", test_words },
+	{ "long refusal", test_long_refusal },
+	{ "stale costs are forwarded", test_stale_costs_are_forwarded },
+	{ "averaging", test_averaging },
 };
 
 TEST_MAIN("costs", tests)
--- a/tests/decide/test_excess.c
+++ b/tests/decide/test_excess.c
@@ -1,5 +1,6 @@
 /*
- * Whose calls they are, by what is called while requests of a route run.
+ * Tests which routes the calls of an upstream are attributed to, from the calls
+ * made while their requests run.
  */
 
 #include <talloc.h>
@@ -10,7 +11,7 @@
 
 #define MS LOOM_US_PER_MS
 #define S LOOM_US_PER_S
-/* A host that has run for a day. */
+/* The clock of a host that has run for a day. */
 #define START (86400 * S)
 
 enum {
@@ -20,47 +21,48 @@
 };
 
 #define CALL 99
-#define RUNS_MAX 1024
+#define REQUESTS_MAX 1024
 
-struct run {
-	bool used;
+struct request {
+	bool active;
 	unsigned kind;
 	uint64_t began_us;
-	uint64_t next_us; /* its next step */
+	uint64_t next_us; /* time of its next step */
 	unsigned calls_left;
-	bool waits; /* for the narrow service */
+	bool waits; /* for the saturated service */
 };
 
-struct world {
+struct simulation {
 	struct loom_fanout *fanout;
 	struct loom_excess *excess;
 	struct loom_random random;
-	struct run runs[RUNS_MAX];
-	uint64_t free_us; /* when the narrow service can take a call */
-	uint64_t pace_us; /* between two calls that it takes */
+	struct request requests[REQUESTS_MAX];
+	uint64_t available_us; /* when the service accepts the next call */
+	uint64_t call_interval_us; /* between calls that it accepts */
 };
 
 struct load {
 	const char *name;
 	double per_s[KINDS];
-	unsigned calls[KINDS]; /* that a request makes, one after the other */
-	uint64_t pace_us;
+	unsigned calls[KINDS]; /* consecutive calls that a request makes */
+	uint64_t call_interval_us;
 	unsigned seconds;
-	bool upload_makes; /* what is to be found */
+	bool upload_makes_calls; /* expected result */
 };
 
 static void
-begin_run(struct world *world, unsigned kind, unsigned calls, uint64_t now_us)
+begin_request(
+    struct simulation *sim, unsigned kind, unsigned calls, uint64_t now_us)
 {
 	unsigned i;
 
-	for (i = 0; i < RUNS_MAX && world->runs[i].used; i++)
+	for (i = 0; i < REQUESTS_MAX && sim->requests[i].active; i++)
 		;
-	if (i == RUNS_MAX)
+	if (i == REQUESTS_MAX)
 		return;
-	loom_fanout_begin(world->fanout, kind + 1, now_us);
-	world->runs[i] = (struct run){
-		.used = true,
+	loom_fanout_begin(sim->fanout, kind + 1, now_us);
+	sim->requests[i] = (struct request){
+		.active = true,
 		.kind = kind,
 		.began_us = now_us,
 		.next_us = now_us + (calls > 0 ? 5 : 130) * MS,
@@ -68,118 +70,126 @@
 	};
 }
 
-/* The narrow service takes one call after another, each for 40 ms. */
+/*
+ * The downstream service accepts calls at a fixed interval, and answers each
+ * 40 ms later.
+ */
 static void
-make_call(struct world *world, struct run *run, uint64_t now_us)
+make_call(struct simulation *sim, struct request *request, uint64_t now_us)
 {
-	loom_fanout_called(world->fanout, CALL, now_us);
-	loom_excess_called(world->excess, 0, now_us);
-	world->free_us = MAX(world->free_us + world->pace_us, now_us);
-	run->next_us = world->free_us + 40 * MS;
-	run->calls_left--;
+	loom_fanout_called(sim->fanout, CALL, now_us);
+	loom_excess_called(sim->excess, 0, now_us);
+	sim->available_us =
+	    MAX(sim->available_us + sim->call_interval_us, now_us);
+	request->next_us = sim->available_us + 40 * MS;
+	request->calls_left--;
 }
 
 static void
-step(struct world *world, uint64_t now_us)
+step(struct simulation *sim, uint64_t now_us)
 {
-	struct run *run;
+	struct request *request;
 	unsigned i;
 
-	for (i = 0; i < RUNS_MAX; i++) {
-		run = &world->runs[i];
-		if (!run->used || now_us < run->next_us)
+	for (i = 0; i < REQUESTS_MAX; i++) {
+		request = &sim->requests[i];
+		if (!request->active || now_us < request->next_us)
 			continue;
-		if (run->calls_left > 0) {
-			make_call(world, run, now_us);
+		if (request->calls_left > 0) {
+			make_call(sim, request, now_us);
 			continue;
 		}
-		run->used = false;
+		request->active = false;
 		loom_fanout_end(
-		    world->fanout, run->kind + 1, run->began_us, now_us);
+		    sim->fanout, request->kind + 1, request->began_us, now_us);
 		loom_excess_ran(
-		    world->excess, run->kind, run->began_us, now_us);
+		    sim->excess, request->kind, request->began_us, now_us);
 	}
 }
 
-static struct world *
-play(const struct load *load, uint64_t seed)
+static struct simulation *
+simulate(const struct load *load, uint64_t seed)
 {
-	struct world *world = talloc_zero(NULL, struct world);
+	struct simulation *sim = talloc_zero(NULL, struct simulation);
 	uint64_t now_us;
 	unsigned kind;
 
-	world->fanout = loom_fanout_new(world, START);
-	world->excess = loom_excess_new(world);
-	world->random = test_random_new(seed);
-	world->pace_us = load->pace_us;
+	sim->fanout = loom_fanout_new(sim, START);
+	sim->excess = loom_excess_new(sim);
+	sim->random = test_random_new(seed);
+	sim->call_interval_us = load->call_interval_us;
 	for (now_us = START; now_us < START + load->seconds * S; now_us += MS) {
 		for (kind = 0; kind < KINDS; kind++) {
-			if (loom_random_unit(&world->random) <
+			if (loom_random_unit(&sim->random) <
 			    load->per_s[kind] / 1e3)
-				begin_run(
-				    world, kind, load->calls[kind], now_us);
+				begin_request(
+				    sim, kind, load->calls[kind], now_us);
 		}
-		step(world, now_us);
+		step(sim, now_us);
 	}
-	test_random_free(&world->random);
-	return world;
+	test_random_free(&sim->random);
+	return sim;
 }
 
 /*
- * Callers of uploads were refused for want of room at a service that uploads
- * never reach.  It is full: calls come at its pace, whatever runs, and the
- * steady part of them was taken for the work of the uploads that run steadily.
- * The look-ups that do make the calls must be known for it all the while.
+ * Guards against refusing uploads because of a service that uploads never call.
+ * When that service is saturated, calls are made at its rate, whatever runs,
+ * and the constant part of them was attributed to the uploads, which run at a
+ * constant rate. The lookups that do make the calls must be recognized all the
+ * while.
  */
 static void
-test_whose(void)
+test_attribution(void)
 {
 	static const struct load rows[] = {
-		{ .name = "full, uploads rare",
+		{ .name = "saturated, few uploads",
 		    .per_s = { [LOOKUP] = 120, [UPLOAD] = 15 },
 		    .calls = { [LOOKUP] = 4 },
-		    .pace_us = 2 * MS,
+		    .call_interval_us = 2 * MS,
 		    .seconds = 5 },
-		{ .name = "full, uploads often",
+		{ .name = "saturated, many uploads",
 		    .per_s = { [LOOKUP] = 130, [UPLOAD] = 60 },
 		    .calls = { [LOOKUP] = 4 },
-		    .pace_us = 2 * MS,
+		    .call_interval_us = 2 * MS,
 		    .seconds = 5 },
-		{ .name = "at ease",
+		{ .name = "not saturated",
 		    .per_s = { [LOOKUP] = 60, [UPLOAD] = 15 },
 		    .calls = { [LOOKUP] = 4 },
-		    .pace_us = MS / 2,
+		    .call_interval_us = MS / 2,
 		    .seconds = 5 },
 		{ .name = "both make calls",
 		    .per_s = { [LOOKUP] = 60, [UPLOAD] = 30 },
 		    .calls = { [LOOKUP] = 4, [UPLOAD] = 4 },
-		    .pace_us = MS / 2,
+		    .call_interval_us = MS / 2,
 		    .seconds = 30,
-		    .upload_makes = true },
+		    .upload_makes_calls = true },
 	};
-	struct world *world;
+	struct simulation *sim;
 	double upload, lookup;
 	uint64_t seed;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(rows); i++) {
 		for (seed = 1; seed <= 8; seed++) {
-			world = play(&rows[i], seed);
+			sim = simulate(&rows[i], seed);
 			lookup =
-			    loom_fanout_calls(world->fanout, LOOKUP + 1, CALL);
+			    loom_fanout_calls(sim->fanout, LOOKUP + 1, CALL);
 			upload =
-			    loom_fanout_calls(world->fanout, UPLOAD + 1, CALL);
+			    loom_fanout_calls(sim->fanout, UPLOAD + 1, CALL);
 			TEST_CHECK(lookup > 1, "%s, seed %u: lookup %.2f",
 			    rows[i].name, (unsigned)seed, lookup);
-			TEST_CHECK((upload > 0.3) == rows[i].upload_makes,
+			TEST_CHECK((upload > 0.3) == rows[i].upload_makes_calls,
 			    "%s, seed %u: upload %.2f", rows[i].name,
 			    (unsigned)seed, upload);
-			talloc_free(world);
+			talloc_free(sim);
 		}
 	}
 }
 
-/* A load that doubles within two seconds is no excess of any route. */
+/*
+ * A load that doubles within two seconds must not be taken for calls of any
+ * route.
+ */
 static void
 test_rising_load(void)
 {
@@ -198,15 +208,17 @@
 		if (began_us > START + 200 * MS)
 			loom_excess_ran(excess, 3, began_us, now_us);
 	}
-	TEST_CHECK(!loom_excess_shows(excess, 3, 0), "it shows");
-	TEST_CHECK(loom_excess_denies(excess, 3, 0, 40), "40 calls each");
+	TEST_CHECK(
+	    !loom_excess_shows(excess, 3, 0), "calls attributed to the route");
+	TEST_CHECK(loom_excess_denies(excess, 3, 0, 40),
+	    "40 calls per request not ruled out");
 	talloc_free(excess);
 	test_random_free(&random);
 }
 
 static const struct test_case tests[] = {
-	{ "whose calls", test_whose },
-	{ "a rising load", test_rising_load },
+	{ "attribution", test_attribution },
+	{ "rising load", test_rising_load },
 };
 
 TEST_MAIN("excess", tests)
--- a/tests/decide/test_pace.c
+++ b/tests/decide/test_pace.c
@@ -1,5 +1,6 @@
 /*
- * The pace of readers through outages of the platform, on a fake clock.
+ * Tests the timing of readers through outages of the platform, on a simulated
+ * clock.
  */
 
 #include <string.h>
@@ -7,25 +8,26 @@
 #include "loom/pace.h"
 #include "support/test.h"
 
-#define OUTAGE_FROM_MS 20000
+#define OUTAGE_START_MS 20000
 #define ROUND_TRIP_MS 10
 #define DRAWS 2000
-/* Of all readers together. */
+/* Platform budget for all readers together. */
 #define CALLS_PER_S 2000
 
-/* What becomes of calls in an outage. */
+/* What happens to calls in an outage. */
 enum outage {
-	OUTAGE_SILENT, /* those made in it are never answered */
-	OUTAGE_FORGETS, /* nor those that wait when it begins */
-	OUTAGE_REFUSES, /* each fails at once */
+	OUTAGE_SILENT, /* calls made during it are never answered */
+	OUTAGE_LOSES_HELD, /* nor are calls held when it begins */
+	OUTAGE_REFUSES, /* each call fails immediately */
 	OUTAGES,
 };
 
-struct play {
+struct simulation {
 	struct loom_pace pace;
 	enum outage outage;
-	uint32_t to_ms; /* the platform is back */
-	uint32_t change_ms; /* shipped then, not before to_ms */
+	uint32_t outage_end_ms; /* when the platform is back */
+	/* when a change is published; at least outage_end_ms */
+	uint32_t change_ms;
 	struct loom_random *random;
 	uint32_t calls[64]; /* made in each second */
 };
@@ -37,74 +39,75 @@
 };
 
 static bool
-is_out(const struct play *play, uint32_t now_ms)
+is_out(const struct simulation *sim, uint32_t now_ms)
 {
-	return now_ms >= OUTAGE_FROM_MS && now_ms < play->to_ms;
+	return now_ms >= OUTAGE_START_MS && now_ms < sim->outage_end_ms;
 }
 
 static struct outcome
-play_call(const struct play *play, uint32_t now_ms, uint32_t wait_ms)
+simulate_call(const struct simulation *sim, uint32_t now_ms, uint32_t wait_ms)
 {
-	uint32_t held_to_ms = now_ms + wait_ms;
-	bool spans = now_ms < OUTAGE_FROM_MS && held_to_ms >= OUTAGE_FROM_MS;
-	bool lost =
-	    is_out(play, now_ms) || (spans && play->outage != OUTAGE_SILENT);
+	uint32_t held_until_ms = now_ms + wait_ms;
+	bool spans_start =
+	    now_ms < OUTAGE_START_MS && held_until_ms >= OUTAGE_START_MS;
+	bool lost = is_out(sim, now_ms) ||
+	    (spans_start && sim->outage != OUTAGE_SILENT);
 	struct outcome outcome = { .answered = !lost };
 
-	if (lost && play->outage == OUTAGE_REFUSES) {
-		outcome.end_ms = MAX(now_ms, OUTAGE_FROM_MS) + ROUND_TRIP_MS;
+	if (lost && sim->outage == OUTAGE_REFUSES) {
+		outcome.end_ms = MAX(now_ms, OUTAGE_START_MS) + ROUND_TRIP_MS;
 	} else if (lost) {
-		outcome.end_ms = held_to_ms + play->pace.answer_ms;
-	} else if (held_to_ms >= play->change_ms) {
+		outcome.end_ms = held_until_ms + sim->pace.answer_ms;
+	} else if (held_until_ms >= sim->change_ms) {
 		outcome.has_change = true;
-		outcome.end_ms = MAX(now_ms, play->change_ms) + ROUND_TRIP_MS;
+		outcome.end_ms = MAX(now_ms, sim->change_ms) + ROUND_TRIP_MS;
 	} else {
-		/* what ends in the outage is answered after it */
-		outcome.end_ms = is_out(play, held_to_ms)
-		    ? play->to_ms
-		    : held_to_ms + ROUND_TRIP_MS;
+		/* a call whose hold ends in the outage is answered after it */
+		outcome.end_ms = is_out(sim, held_until_ms)
+		    ? sim->outage_end_ms
+		    : held_until_ms + ROUND_TRIP_MS;
 	}
 	return outcome;
 }
 
-/* Returns when the change is read; the reader starts at start_ms. */
+/* Returns when the reader, which starts at start_ms, reads the change. */
 static uint32_t
-play_reader(struct play *play, uint32_t start_ms)
+simulate_reader(struct simulation *sim, uint32_t start_ms)
 {
 	struct outcome outcome;
 	uint32_t now_ms = start_ms, failures = 0;
 
 	for (;;) {
-		play->calls[now_ms / 1000 % G_N_ELEMENTS(play->calls)]++;
-		outcome = play_call(
-		    play, now_ms, loom_pace_wait_ms(&play->pace, failures));
+		sim->calls[now_ms / 1000 % G_N_ELEMENTS(sim->calls)]++;
+		outcome = simulate_call(
+		    sim, now_ms, loom_pace_wait_ms(&sim->pace, failures));
 		if (outcome.has_change)
 			return outcome.end_ms;
 		failures = outcome.answered ? 0 : failures + 1;
 		now_ms = outcome.end_ms +
-		    loom_pace_delay_ms(&play->pace, failures, play->random);
+		    loom_pace_delay_ms(&sim->pace, failures, sim->random);
 	}
 }
 
 static uint32_t
-worst_lag_ms(struct play *play, uint32_t outage_ms)
+max_lag_ms(struct simulation *sim, uint32_t outage_ms)
 {
-	uint32_t worst_ms = 0, draw, read_ms;
+	uint32_t max_seen_ms = 0, draw, read_ms;
 
-	play->to_ms = OUTAGE_FROM_MS + outage_ms;
+	sim->outage_end_ms = OUTAGE_START_MS + outage_ms;
 	for (draw = 0; draw < DRAWS; draw++) {
-		play->change_ms = play->to_ms +
-		    (uint32_t)loom_random_below(play->random, 3000);
-		read_ms = play_reader(play,
-		    (uint32_t)loom_random_below(play->random, OUTAGE_FROM_MS));
-		worst_ms = MAX(worst_ms, read_ms - play->change_ms);
+		sim->change_ms = sim->outage_end_ms +
+		    (uint32_t)loom_random_below(sim->random, 3000);
+		read_ms = simulate_reader(sim,
+		    (uint32_t)loom_random_below(sim->random, OUTAGE_START_MS));
+		max_seen_ms = MAX(max_seen_ms, read_ms - sim->change_ms);
 	}
-	return worst_ms;
+	return max_seen_ms;
 }
 
 static const uint32_t outages_ms[] = { 100, 500, 1300, 2500, 6000, 20000 };
 
-/* Guards against a change that stays unread after the platform is back. */
+/* Guards against a change that remains unread after the platform is back. */
 static void
 test_lag_after_outage(void)
 {
@@ -120,18 +123,18 @@
 		    2650 },
 	};
 	struct loom_random random = test_random_new(3);
-	struct play play;
+	struct simulation sim;
 	uint32_t lag_ms;
 	size_t i, j;
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
 		for (j = 0; j < OUTAGES * G_N_ELEMENTS(outages_ms); j++) {
-			play = (struct play){
+			sim = (struct simulation){
 				.pace = loom_pace_with_defaults(&cases[i].pace),
 				.outage = (enum outage)(j % OUTAGES),
 				.random = &random,
 			};
-			lag_ms = worst_lag_ms(&play, outages_ms[j / OUTAGES]);
+			lag_ms = max_lag_ms(&sim, outages_ms[j / OUTAGES]);
 			TEST_CHECK(lag_ms <= cases[i].bound_ms,
 			    "%s, outage %u of %u ms: %u ms", cases[i].name,
 			    (unsigned)(j % OUTAGES), outages_ms[j / OUTAGES],
@@ -141,10 +144,12 @@
 	test_random_free(&random);
 }
 
-/* Guards against readers that outrun the platform's budget while it is away
- * or in the second it is back. */
+/*
+ * Guards against readers that exceed the platform's budget while it is down or
+ * in the second in which it is back.
+ */
 static void
-test_load_of_outage(void)
+test_load_in_outage(void)
 {
 	static const struct {
 		struct loom_pace pace;
@@ -154,32 +159,32 @@
 		{ { .wait_ms = 1300, .answer_ms = 700 }, 200 },
 	};
 	struct loom_random random = test_random_new(5);
-	struct play play;
+	struct simulation sim;
 	size_t i, second;
 	unsigned outage;
 	uint32_t n;
 
 	for (i = 0; i < G_N_ELEMENTS(cases) * OUTAGES; i++) {
 		outage = (unsigned)(i % OUTAGES);
-		play = (struct play){
+		sim = (struct simulation){
 			.pace =
 			    loom_pace_with_defaults(&cases[i / OUTAGES].pace),
 			.outage = (enum outage)outage,
-			.to_ms = OUTAGE_FROM_MS + 20000,
-			.change_ms = OUTAGE_FROM_MS + 25000,
+			.outage_end_ms = OUTAGE_START_MS + 20000,
+			.change_ms = OUTAGE_START_MS + 25000,
 			.random = &random,
 		};
 		for (n = 0; n < cases[i / OUTAGES].readers; n++)
-			play_reader(&play, n);
-		for (second = 0; second < G_N_ELEMENTS(play.calls); second++)
-			TEST_CHECK(play.calls[second] <= CALLS_PER_S,
+			simulate_reader(&sim, n);
+		for (second = 0; second < G_N_ELEMENTS(sim.calls); second++)
+			TEST_CHECK(sim.calls[second] <= CALLS_PER_S,
 			    "outage %u: %u calls in second %zu", outage,
-			    play.calls[second], second);
+			    sim.calls[second], second);
 	}
 	test_random_free(&random);
 }
 
-/* Guards against readers that failed together and come back together. */
+/* Guards against readers that failed together and retry together. */
 static void
 test_backoff(void)
 {
@@ -224,7 +229,7 @@
 
 static const struct test_case tests[] = {
 	{ "lag after an outage", test_lag_after_outage },
-	{ "load of an outage", test_load_of_outage },
+	{ "load during an outage", test_load_in_outage },
 	{ "backoff", test_backoff },
 };
 
--- a/tests/decide/test_rest.c
+++ b/tests/decide/test_rest.c
@@ -1,18 +1,18 @@
-/*
- * Which event loops have to rest for the sake of other threads.
- */
+/* Tests which event loops have to pause for the sake of other threads. */
 
 #include "loom/rest.h"
 #include "support/test.h"
 
 #define RUN_US (10 * LOOM_US_PER_S)
 
-/* The part of the time that a loop rests which does so much between two waits
- * of that length. */
+/*
+ * Returns the fraction of its time for which a loop pauses that works for
+ * work_us between two waits of wait_us.
+ */
 static double
-part_of_rests(uint64_t work_us, uint64_t wait_us)
+fraction_paused(uint64_t work_us, uint64_t wait_us)
 {
-	uint64_t now_us = LOOM_US_PER_S, rested_us = 0;
+	uint64_t now_us = LOOM_US_PER_S, paused_us = 0;
 	struct loom_rest rest;
 
 	loom_rest_init(&rest, now_us);
@@ -21,43 +21,45 @@
 		if (!loom_rest_due(&rest, wait_us, now_us))
 			continue;
 		now_us += LOOM_REST_US;
-		rested_us += LOOM_REST_US;
+		paused_us += LOOM_REST_US;
 		loom_rest_init(&rest, now_us);
 	}
-	return (double)rested_us / (double)(now_us - LOOM_US_PER_S);
+	return (double)paused_us / (double)(now_us - LOOM_US_PER_S);
 }
 
-/* Guards against a loop that has time to spare and rests all the same, which
- * delays each call through it, and against one that never lets others run. */
+/*
+ * Guards against a loop that pauses although it has spare time, which delays
+ * each call through it, and against a loop that never lets other threads run.
+ */
 static void
-test_rests(void)
+test_pauses(void)
 {
 	static const struct {
 		const char *name;
 		uint64_t work_us, wait_us;
-		double least, most;
+		double min, max;
 	} cases[] = {
 		{ "never waits", 50, 0, 0.08, 0.1 },
-		{ "finds an event at each look", 80, 10, 0.08, 0.1 },
-		{ "waits for a hundredth", 9900, 100, 0.08, 0.1 },
+		{ "finds an event at each poll", 80, 10, 0.08, 0.1 },
+		{ "waits for 1% of the time", 9900, 100, 0.08, 0.1 },
 		{ "a call each millisecond", 200, 800, 0, 0 },
-		{ "calls back to back, half of it waits", 50, 50, 0, 0 },
-		{ "waits for a fifth", 400, 100, 0, 0 },
+		{ "consecutive calls, half of the time waits", 50, 50, 0, 0 },
+		{ "waits for 20% of the time", 400, 100, 0, 0 },
 		{ "one long piece of work, then a wait", 100000, 3000, 0, 0 },
 		{ "idle", 100, 1000000, 0, 0 },
 	};
-	double part;
+	double fraction;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
-		part = part_of_rests(cases[i].work_us, cases[i].wait_us);
-		TEST_CHECK(part >= cases[i].least && part <= cases[i].most,
-		    "%s: rests for %.3f of the time", cases[i].name, part);
+		fraction = fraction_paused(cases[i].work_us, cases[i].wait_us);
+		TEST_CHECK(fraction >= cases[i].min && fraction <= cases[i].max,
+		    "%s: pauses for %.3f of the time", cases[i].name, fraction);
 	}
 }
 
 static const struct test_case tests[] = {
-	{ "rests", test_rests },
+	{ "pauses", test_pauses },
 };
 
 TEST_MAIN("rest", tests)
--- a/tests/decide/test_retry_after.c
+++ b/tests/decide/test_retry_after.c
@@ -1,6 +1,4 @@
-/*
- * Which refusals tell their caller to come back, and when.
- */
+/* Tests which refusals tell their caller to come back, and when. */
 
 #include "loom/retry_after.h"
 #include "support/test.h"
@@ -9,12 +7,14 @@
 #define WAIT_MAX_MS 5000
 #define DRAWS 100
 
-/* The same request meets the same answer whenever it is sent, or needs a
- * change first, as a fresh ticket. */
+/*
+ * Whether a retry cannot help: the same request gets the same answer whenever
+ * it is sent, or has to be changed first, for example with a new ticket.
+ */
 static bool
-is_last_word(enum loom_result code)
+is_final(enum loom_result code)
 {
-	static const enum loom_result last_words[] = { LOOM_INTERNAL,
+	static const enum loom_result final_codes[] = { LOOM_INTERNAL,
 		LOOM_BAD_REQUEST, LOOM_KEY_MISSING, LOOM_KEY_UNKNOWN,
 		LOOM_KEY_WITHDRAWN, LOOM_ROUTE_UNKNOWN, LOOM_CONTEXT_INVALID,
 		LOOM_CONTEXT_EXPIRED, LOOM_BODY_TOO_LARGE, LOOM_HEADER_INVALID,
@@ -24,8 +24,8 @@
 		LOOM_TICKET_UNKNOWN, LOOM_CONTEXT_REPLAYED, LOOM_CONTEXT_HOPS };
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(last_words); i++) {
-		if (last_words[i] == code)
+	for (i = 0; i < G_N_ELEMENTS(final_codes); i++) {
+		if (final_codes[i] == code)
 			return true;
 	}
 	return false;
@@ -35,27 +35,29 @@
 check_code(const struct loom_result_info *info)
 {
 	struct loom_random random = test_random_new(7);
-	uint32_t ms, least = UINT32_MAX, most = 0;
+	uint32_t ms, min_ms = UINT32_MAX, max_ms = 0;
 	int i;
 
 	for (i = 0; i < DRAWS; i++) {
 		ms = loom_retry_after_ms(info->code, &random);
-		least = MIN(least, ms);
-		most = MAX(most, ms);
+		min_ms = MIN(min_ms, ms);
+		max_ms = MAX(max_ms, ms);
 	}
-	if (is_last_word(info->code))
-		TEST_CHECK(most == 0 && !loom_retry_after_helps(info->code),
-		    "%s: %u ms", info->name, most);
+	if (is_final(info->code))
+		TEST_CHECK(max_ms == 0 && !loom_retry_after_helps(info->code),
+		    "%s: %u ms", info->name, max_ms);
 	else
 		TEST_CHECK(loom_retry_after_helps(info->code) &&
-			least >= WAIT_MIN_MS && most <= WAIT_MAX_MS &&
-			most >= 2 * least,
-		    "%s: %u to %u ms", info->name, least, most);
+			min_ms >= WAIT_MIN_MS && max_ms <= WAIT_MAX_MS &&
+			max_ms >= 2 * min_ms,
+		    "%s: %u to %u ms", info->name, min_ms, max_ms);
 	test_random_free(&random);
 }
 
-/* Each code that a caller can see is either a last word or has a wait, which
- * is spread; a new code has to be put on one of the two lists. */
+/*
+ * Each code that a caller can see is either final or has a wait with jitter. A
+ * new code has to be added to one of the two lists.
+ */
 static void
 test_every_code(void)
 {
@@ -74,8 +76,10 @@
 	}
 }
 
-/* A token that comes in less than a millisecond is still a wait, and an
- * estimate of days is cut where 32 bits would wrap around. */
+/*
+ * A token that is available in less than a millisecond is still a wait, and an
+ * estimate of days is limited where 32 bits would overflow.
+ */
 static void
 test_estimates(void)
 {
@@ -97,7 +101,7 @@
 	for (i = 0; i < G_N_ELEMENTS(cases); i++)
 		TEST_CHECK(
 		    loom_retry_after_ms_of(cases[i].wait_us) == cases[i].ms,
-		    "%" G_GUINT64_FORMAT, cases[i].wait_us);
+		    "wait of %" G_GUINT64_FORMAT " us", cases[i].wait_us);
 }
 
 static const struct test_case tests[] = {
--- a/tests/decide/test_stop.c
+++ b/tests/decide/test_stop.c
@@ -1,6 +1,4 @@
-/*
- * The time between a request to stop and the kill.
- */
+/* Tests how the time between a request to stop and the kill is divided. */
 
 #include <inttypes.h>
 
@@ -9,22 +7,24 @@
 
 #define MS(n) ((uint64_t)(n)*LOOM_US_PER_MS)
 
-/* Guards against a daemon that ends seconds before its kill and cuts an upload,
- * and against one that is killed while it still answers. */
+/*
+ * Guards against a daemon that exits seconds before it would be killed and cuts
+ * off an upload, and against one that is killed while it still answers.
+ */
 static void
-test_within(void)
+test_plan(void)
 {
 	static const struct {
 		uint64_t delay_ms, end_ms, within_ms;
 		uint64_t plan_delay_ms, plan_end_ms;
 	} rows[] = {
-		/* nobody kills it */
+		/* nothing kills it */
 		{ 2200, 60000, 0, 2200, 60000 },
 		{ 2200, 60000, 6000, 2200, 3200 },
 		{ 2200, 60000, 10000, 2200, 6800 },
 		{ 2200, 60000, 30000, 2200, 24800 },
 		{ 0, 60000, 10000, 0, 9000 },
-		/* too short for the delay that is wanted */
+		/* too short for the configured delay */
 		{ 2200, 60000, 3000, 1500, 1200 },
 		{ 2200, 60000, 200, 100, 0 },
 		{ 2200, 60000, 100, 50, 0 },
@@ -46,7 +46,7 @@
 }
 
 static const struct test_case tests[] = {
-	{ "within", test_within },
+	{ "within", test_plan },
 };
 
 TEST_MAIN("stop", tests)
