--- a/include/loom/gate.h
+++ b/include/loom/gate.h
@@ -2,13 +2,14 @@
 #define LOOM_GATE_H
 
 /*
- * The gate in front of one upstream: how many calls run and how many may, in
- * one atomic word.  When there is room and nobody waits a call enters by one
- * compare-and-swap, without a lock and without memory.  Safe from any thread.
+ * Non-blocking counting semaphore for the calls in flight at one upstream. It
+ * keeps the count and the limit in one atomic word. While there is a free slot
+ * and no call waits, a call takes a slot with one compare-and-swap, without a
+ * lock or an allocation. All functions may be called from any thread.
  *
- * The watch flag sends every call the slow way: it is set while somebody
- * waits or a shedding threshold is in force, and only under the lock of the
- * owner (struct loom_admission).
+ * While the slow-path (watch) flag is set, every call must go through the
+ * owner's lock. The owner, struct loom_admission, sets the flag under that lock
+ * while a call waits or a shedding threshold is in force.
  */
 
 #include <stdatomic.h>
@@ -18,25 +19,27 @@
 #define LOOM_GATE_LIMIT_MAX UINT32_C(0xffffff)
 
 struct loom_gate {
-	/* bit 63 watch, bits 32-55 limit, bits 0-31 calls inside */
+	/* bit 63: slow-path flag, bits 32-55: limit, bits 0-31: in flight */
 	atomic_uint_fast64_t word;
 };
 
-/* limit is cut to LOOM_GATE_LIMIT_MAX. */
+/* A limit above LOOM_GATE_LIMIT_MAX is reduced to it. */
 void loom_gate_init(struct loom_gate *, uint32_t limit);
 
-/* True when the call is in; false when full or watched. */
+/* Takes a slot. Returns false when none is free or the slow-path flag is set.
+ * */
 bool loom_gate_enter(struct loom_gate *);
 
-/* As loom_gate_enter(), but the watch flag does not keep it out: for the
- * owner, who hands room to those that wait. */
+/* As loom_gate_enter(), but ignores the slow-path flag. For the owner, which
+ * gives free slots to waiting calls. */
 bool loom_gate_enter_watched(struct loom_gate *);
 
-/* A call is out.  True when the gate is watched, so that the owner must look
- * for a call that waits. */
+/* Releases a slot. Returns true when the slow-path flag is set: the caller must
+ * then take the owner's lock and dispatch a waiting call, if there is one. */
 bool loom_gate_leave(struct loom_gate *);
 
-/* A limit below the calls inside lets none in until enough have left. */
+/* With a limit below the number of calls in flight, no call enters until enough
+ * have left. */
 void loom_gate_set_limit(struct loom_gate *, uint32_t limit);
 
 void loom_gate_set_watch(struct loom_gate *, bool watch);
--- a/src/decide/gate.c
+++ b/src/decide/gate.c
@@ -1,33 +1,38 @@
 /*
- * The gate in front of one upstream.
+ * Non-blocking counting semaphore that bounds the calls in flight at one
+ * upstream.
  *
- * Answers: the ordinary load, far below the limit, where each microsecond that
- * a decision takes is added to every hop of a chain.  Without it each call
- * would queue for one lock, and the lock would be the first thing to saturate.
+ * Most calls arrive while the load is far below the limit, and each microsecond
+ * spent here is added at every hop of a call chain. Taking a lock for each call
+ * would also make that lock the first resource to saturate.
  *
- * Limit, calls inside and the watch flag share one word, so that "is there
- * room, does nobody wait, take a place" is one compare-and-swap.  No wake-up
- * is lost: the owner sets the watch flag before it looks for room a last time,
- * and leaving is one atomic step that returns the flag.  Either the leave came
- * first, and the owner sees the room; or it came second, and sees the flag.
+ * The limit, the number of calls in flight and the slow-path flag share one
+ * word, so that a single compare-and-swap checks the flag, checks for a free
+ * slot and takes it.
+ *
+ * No wake-up is lost. The owner sets the flag before it checks for a free slot
+ * a last time, and a release is one atomic step that returns the flag. A
+ * release that precedes the flag has already freed the slot when the owner
+ * checks; a release that follows it returns the flag, and its caller must
+ * dispatch a waiting call.
  */
 
 #include "loom/gate.h"
 
-#define GATE_WATCH (UINT64_C(1) << 63)
-#define GATE_LIMIT_SHIFT 32
-#define GATE_INSIDE_MASK UINT64_C(0xffffffff)
+#define SLOW_PATH_FLAG (UINT64_C(1) << 63)
+#define LIMIT_SHIFT 32
+#define IN_FLIGHT_MASK UINT64_C(0xffffffff)
 
 static uint32_t
-word_inside(uint64_t word)
+in_flight_of(uint64_t word)
 {
-	return (uint32_t)(word & GATE_INSIDE_MASK);
+	return (uint32_t)(word & IN_FLIGHT_MASK);
 }
 
 static uint32_t
-word_limit(uint64_t word)
+limit_of(uint64_t word)
 {
-	return (uint32_t)(word >> GATE_LIMIT_SHIFT) & LOOM_GATE_LIMIT_MAX;
+	return (uint32_t)(word >> LIMIT_SHIFT) & LOOM_GATE_LIMIT_MAX;
 }
 
 static uint64_t
@@ -35,7 +40,7 @@
 {
 	if (limit > LOOM_GATE_LIMIT_MAX)
 		limit = LOOM_GATE_LIMIT_MAX;
-	return (uint64_t)limit << GATE_LIMIT_SHIFT;
+	return (uint64_t)limit << LIMIT_SHIFT;
 }
 
 void
@@ -45,14 +50,14 @@
 }
 
 static bool
-enter(struct loom_gate *gate, uint64_t kept_out_by)
+try_acquire(struct loom_gate *gate, uint64_t blocking_flags)
 {
 	uint64_t word = atomic_load_explicit(&gate->word, memory_order_relaxed);
 
 	do {
-		if ((word & kept_out_by) != 0)
+		if ((word & blocking_flags) != 0)
 			return false;
-		if (word_inside(word) >= word_limit(word))
+		if (in_flight_of(word) >= limit_of(word))
 			return false;
 	} while (!atomic_compare_exchange_weak_explicit(&gate->word, &word,
 	    word + 1, memory_order_acq_rel, memory_order_relaxed));
@@ -62,13 +67,13 @@
 bool
 loom_gate_enter(struct loom_gate *gate)
 {
-	return enter(gate, GATE_WATCH);
+	return try_acquire(gate, SLOW_PATH_FLAG);
 }
 
 bool
 loom_gate_enter_watched(struct loom_gate *gate)
 {
-	return enter(gate, 0);
+	return try_acquire(gate, 0);
 }
 
 bool
@@ -78,17 +83,17 @@
 
 	before =
 	    atomic_fetch_sub_explicit(&gate->word, 1, memory_order_acq_rel);
-	return (before & GATE_WATCH) != 0;
+	return (before & SLOW_PATH_FLAG) != 0;
 }
 
 void
 loom_gate_set_limit(struct loom_gate *gate, uint32_t limit)
 {
 	uint64_t word = atomic_load_explicit(&gate->word, memory_order_relaxed);
-	uint64_t other = GATE_WATCH | GATE_INSIDE_MASK;
+	uint64_t preserved_bits = SLOW_PATH_FLAG | IN_FLIGHT_MASK;
 
 	while (!atomic_compare_exchange_weak_explicit(&gate->word, &word,
-	    (word & other) | limit_bits(limit), memory_order_acq_rel,
+	    (word & preserved_bits) | limit_bits(limit), memory_order_acq_rel,
 	    memory_order_relaxed))
 		;
 }
@@ -98,29 +103,29 @@
 {
 	if (watch)
 		atomic_fetch_or_explicit(
-		    &gate->word, GATE_WATCH, memory_order_acq_rel);
+		    &gate->word, SLOW_PATH_FLAG, memory_order_acq_rel);
 	else
 		atomic_fetch_and_explicit(
-		    &gate->word, ~GATE_WATCH, memory_order_acq_rel);
+		    &gate->word, ~SLOW_PATH_FLAG, memory_order_acq_rel);
 }
 
 bool
 loom_gate_watched(struct loom_gate *gate)
 {
 	return (atomic_load_explicit(&gate->word, memory_order_acquire) &
-		   GATE_WATCH) != 0;
+		   SLOW_PATH_FLAG) != 0;
 }
 
 uint32_t
 loom_gate_inside(struct loom_gate *gate)
 {
-	return word_inside(
+	return in_flight_of(
 	    atomic_load_explicit(&gate->word, memory_order_acquire));
 }
 
 uint32_t
 loom_gate_limit(struct loom_gate *gate)
 {
-	return word_limit(
+	return limit_of(
 	    atomic_load_explicit(&gate->word, memory_order_acquire));
 }
--- a/tests/decide/test_gate.c
+++ b/tests/decide/test_gate.c
@@ -1,6 +1,6 @@
 /*
- * The gate: never more inside than the limit, and no lost wake-up, also with
- * several threads.
+ * The gate never lets in more calls than its limit and never loses a wake-up,
+ * with one thread and with several.
  */
 
 #include <pthread.h>
@@ -13,7 +13,7 @@
 #define LIMIT 3
 
 static void
-test_room(void)
+test_limit(void)
 {
 	struct loom_gate gate;
 
@@ -29,7 +29,8 @@
 	CU_ASSERT(loom_gate_leave(&gate));
 	loom_gate_set_watch(&gate, false);
 	CU_ASSERT(loom_gate_enter(&gate));
-	/* A lower limit lets those inside finish and nobody else in. */
+	/* After the limit is lowered, running calls finish and no new call
+	 * enters until the count is below it. */
 	loom_gate_set_limit(&gate, 1);
 	loom_gate_leave(&gate);
 	CU_ASSERT_FALSE(loom_gate_enter(&gate));
@@ -42,28 +43,29 @@
 
 struct shared {
 	struct loom_gate gate;
-	atomic_int inside;
-	atomic_int most;
-	atomic_int woken;
+	atomic_int in_flight;
+	atomic_int max_in_flight;
+	atomic_int waiter_signalled;
 	atomic_int stop;
 };
 
 static void
-enter_and_leave(struct shared *shared)
+hold_and_release(struct shared *shared)
 {
-	int now = atomic_fetch_add(&shared->inside, 1) + 1;
-	int most = atomic_load(&shared->most);
+	int now = atomic_fetch_add(&shared->in_flight, 1) + 1;
+	int max_in_flight = atomic_load(&shared->max_in_flight);
 
-	while (now > most &&
-	    !atomic_compare_exchange_weak(&shared->most, &most, now))
+	while (now > max_in_flight &&
+	    !atomic_compare_exchange_weak(
+		&shared->max_in_flight, &max_in_flight, now))
 		;
-	atomic_fetch_sub(&shared->inside, 1);
+	atomic_fetch_sub(&shared->in_flight, 1);
 	if (loom_gate_leave(&shared->gate))
-		atomic_store(&shared->woken, 1);
+		atomic_store(&shared->waiter_signalled, 1);
 }
 
 static void *
-run_thread(void *data)
+acquire_rounds(void *data)
 {
 	struct shared *shared = data;
 	int done = 0;
@@ -73,15 +75,15 @@
 			g_thread_yield();
 			continue;
 		}
-		enter_and_leave(shared);
+		hold_and_release(shared);
 		done++;
 	}
 	return NULL;
 }
 
 /*
- * Four threads take turns at three places.  With a load and a store in place
- * of the compare-and-swap two of them take the same last place.
+ * Four threads compete for three slots. With a separate load and store instead
+ * of the compare-and-swap, two of them could take the same last slot.
  */
 static void
 test_threads(void)
@@ -92,22 +94,22 @@
 
 	loom_gate_init(&shared.gate, LIMIT);
 	for (i = 0; i < THREADS; i++)
-		pthread_create(&threads[i], NULL, run_thread, &shared);
+		pthread_create(&threads[i], NULL, acquire_rounds, &shared);
 	for (i = 0; i < THREADS; i++)
 		pthread_join(threads[i], NULL);
-	TEST_CHECK(atomic_load(&shared.most) <= LIMIT, "%d inside",
-	    atomic_load(&shared.most));
+	TEST_CHECK(atomic_load(&shared.max_in_flight) <= LIMIT, "%d in flight",
+	    atomic_load(&shared.max_in_flight));
 	CU_ASSERT_EQUAL(loom_gate_inside(&shared.gate), 0);
 }
 
 static void *
-hold_again_and_again(void *data)
+acquire_until_stopped(void *data)
 {
 	struct shared *shared = data;
 
 	while (atomic_load(&shared->stop) == 0) {
 		if (loom_gate_enter(&shared->gate))
-			enter_and_leave(shared);
+			hold_and_release(shared);
 		else
 			g_thread_yield();
 	}
@@ -115,40 +117,41 @@
 }
 
 /*
- * One thread holds the only place; another finds it full, sets the watch and
- * looks once more.  Either it gets the place, or the leaver is told that
- * somebody waits; else the second would wait for ever.
+ * One thread holds the only slot while another finds it taken, sets the
+ * slow-path flag and tries once more. Either the retry succeeds, or the release
+ * must return the flag; otherwise the second thread would wait for ever.
  */
 static void
 test_no_lost_wakeup(void)
 {
 	pthread_t thread;
 	struct shared shared = { 0 };
-	bool got;
+	bool acquired;
 	int i;
 
 	for (i = 0; i < 300; i++) {
 		loom_gate_init(&shared.gate, 1);
-		atomic_store(&shared.woken, 0);
+		atomic_store(&shared.waiter_signalled, 0);
 		atomic_store(&shared.stop, 0);
-		pthread_create(&thread, NULL, hold_again_and_again, &shared);
+		pthread_create(&thread, NULL, acquire_until_stopped, &shared);
 		while (loom_gate_enter(&shared.gate)) {
 			loom_gate_leave(&shared.gate);
 			g_thread_yield();
 		}
 		loom_gate_set_watch(&shared.gate, true);
-		got = loom_gate_enter_watched(&shared.gate);
-		if (got)
+		acquired = loom_gate_enter_watched(&shared.gate);
+		if (acquired)
 			loom_gate_leave(&shared.gate);
 		atomic_store(&shared.stop, 1);
 		pthread_join(thread, NULL);
-		TEST_CHECK(got || atomic_load(&shared.woken) == 1,
-		    "round %d: nobody was told", i);
+		TEST_CHECK(
+		    acquired || atomic_load(&shared.waiter_signalled) == 1,
+		    "round %d: the release did not return the flag", i);
 	}
 }
 
 static const struct test_case tests[] = {
-	{ "room", test_room },
+	{ "limit", test_limit },
 	{ "threads", test_threads },
 	{ "no lost wake-up", test_no_lost_wakeup },
 };
