--- a/src/decide/admission.c
+++ b/src/decide/admission.c
@@ -152,7 +152,7 @@
 lasting_limit(const struct loom_admission *adm)
 {
 	if (adm->limit.phase != LOOM_LIMIT_STEADY)
-		return adm->limit.trial_limit;
+		return adm->limit.pre_trial_limit;
 	return adm->limit.limit;
 }
 
@@ -160,15 +160,15 @@
 static double
 turn_us(const struct loom_admission *adm)
 {
-	return adm->limit.occupancy_us / lasting_limit(adm);
+	return adm->limit.mean_latency_us / lasting_limit(adm);
 }
 
 static uint64_t
 standing_us(const struct loom_admission *adm)
 {
-	uint64_t occupancy_us = (uint64_t)adm->limit.occupancy_us;
+	uint64_t mean_latency_us = (uint64_t)adm->limit.mean_latency_us;
 
-	return occupancy_us > STANDING_US ? occupancy_us : STANDING_US;
+	return mean_latency_us > STANDING_US ? mean_latency_us : STANDING_US;
 }
 
 /* As many wait as run: they take one service time. */
@@ -409,7 +409,7 @@
 }
 
 static uint64_t
-own_us(const struct loom_call_result *result)
+self_us(const struct loom_call_result *result)
 {
 	if (result->deeper_us >= result->latency_us)
 		return 0;
@@ -433,7 +433,7 @@
 		if ((double)result->latency_us < FAILED_SLOW * usual_us)
 			return;
 	}
-	loom_limit_sample(&adm->limit, w->call_class, own_us(result),
+	loom_limit_sample(&adm->limit, w->call_class, self_us(result),
 	    result->latency_us, now_us);
 }
 
@@ -690,7 +690,7 @@
 		.inside = loom_gate_inside(&adm->gate),
 		.waiting = loom_queue_length(adm->queue),
 		.newest_first = adm->newest_first,
-		.latency_us = adm->limit.occupancy_us,
+		.latency_us = adm->limit.mean_latency_us,
 		.latency_ratio = adm->limit.ratio,
 	};
 	unlock(adm);
--- a/src/decide/gate.c
+++ b/src/decide/gate.c
@@ -3,15 +3,15 @@
  * upstream.
  *
  * Most calls arrive while the load is far below the limit, and each microsecond
- * spent here is added at every hop of a call chain. Taking a lock for each call
- * would also make that lock the first resource to saturate.
+ * spent here is added at every hop of a call chain.  Taking a lock for each
+ * call would also make that lock the first resource to saturate.
  *
  * The limit, the number of calls in flight and the slow-path flag share one
  * word, so that a single compare-and-swap checks the flag, checks for a free
  * slot and takes it.
  *
- * No wake-up is lost. The owner sets the flag before it checks for a free slot
- * a last time, and a release is one atomic step that returns the flag. A
+ * No wake-up is lost.  The owner sets the flag before it checks for a free slot
+ * a last time, and a release is one atomic step that returns the flag.  A
  * release that precedes the flag has already freed the slot when the owner
  * checks; a release that follows it returns the flag, and its caller must
  * dispatch a waiting call.
--- a/src/decide/window.c
+++ b/src/decide/window.c
@@ -1,26 +1,28 @@
 /*
- * The measurements of a limit's window.
+ * Collects latency samples for the adaptive limit without a lock.
  *
- * Answers: many threads that end calls at once.  Each adds to a few relaxed
- * atomics; whoever ends the window, under the owner's lock, takes them out.
+ * Many threads finish calls at the same time.  Each adds its sample to a few
+ * relaxed atomic counters; the thread that ends the window, under the owner's
+ * lock, reads and clears them.
  */
 
 #include "decide/window.h"
 
 void
-loom_limit_sample(struct loom_limit *limit, uint8_t call_class, uint64_t own_us,
-    uint64_t whole_us, uint64_t now_us)
+loom_limit_sample(struct loom_limit *limit, uint8_t call_class,
+    uint64_t self_us, uint64_t total_us, uint64_t now_us)
 {
 	struct loom_class_samples *samples;
 
-	if (now_us < whole_us +
-		atomic_load_explicit(&limit->since_us, memory_order_relaxed))
+	if (now_us < total_us +
+		atomic_load_explicit(
+		    &limit->min_call_start_us, memory_order_relaxed))
 		return;
 	samples = &limit->samples[call_class % LOOM_CALL_CLASSES];
 	atomic_fetch_add_explicit(
-	    &samples->own_us, own_us, memory_order_relaxed);
+	    &samples->self_us, self_us, memory_order_relaxed);
 	atomic_fetch_add_explicit(
-	    &samples->whole_us, whole_us, memory_order_relaxed);
+	    &samples->total_us, total_us, memory_order_relaxed);
 	atomic_fetch_add_explicit(&samples->count, 1, memory_order_relaxed);
 }
 
@@ -31,7 +33,7 @@
 }
 
 uint32_t
-loom_window_pending(const struct loom_limit *limit)
+loom_limit_window_pending(const struct loom_limit *limit)
 {
 	uint32_t calls = 0;
 	int i;
@@ -42,17 +44,18 @@
 	return calls;
 }
 
-/* A sample that is added between two of the exchanges shifts one call's time
- * into the next window: an error of one in 32, on one side and then on the
- * other. */
+/* The counters of one class are read one after the other.  A sample that is
+ * added in between puts one call's time into the next window: an error of about
+ * one call in 32 that the next window evens out. */
 void
-loom_window_take(struct loom_limit *limit, struct loom_window *window)
+loom_limit_window_take(
+    struct loom_limit *limit, struct loom_limit_window *window)
 {
 	struct loom_class_samples *samples;
 	double calls;
 	int i;
 
-	*window = (struct loom_window){
+	*window = (struct loom_limit_window){
 		.overloads = (double)atomic_exchange_explicit(
 		    &limit->overloads, 0, memory_order_relaxed),
 	};
@@ -63,14 +66,14 @@
 		if (calls == 0)
 			continue;
 		window->calls[i] = calls;
-		window->all_calls += calls;
-		window->own_us[i] =
+		window->total_calls += calls;
+		window->self_us[i] =
 		    (double)atomic_exchange_explicit(
-			&samples->own_us, 0, memory_order_relaxed) /
+			&samples->self_us, 0, memory_order_relaxed) /
 		    calls;
-		window->whole_us[i] =
+		window->total_us[i] =
 		    (double)atomic_exchange_explicit(
-			&samples->whole_us, 0, memory_order_relaxed) /
+			&samples->total_us, 0, memory_order_relaxed) /
 		    calls;
 	}
 }
--- a/tests/decide/test_gate.c
+++ b/tests/decide/test_gate.c
@@ -82,7 +82,7 @@
 }
 
 /*
- * Four threads compete for three slots. With a separate load and store instead
+ * Four threads compete for three slots.  With a separate load and store instead
  * of the compare-and-swap, two of them could take the same last slot.
  */
 static void
@@ -118,8 +118,9 @@
 
 /*
  * One thread holds the only slot while another finds it taken, sets the
- * slow-path flag and tries once more. Either the retry succeeds, or the release
- * must return the flag; otherwise the second thread would wait for ever.
+ * slow-path flag and tries once more.  Either the retry succeeds, or the
+ * release must return the flag; otherwise the second thread would wait for
+ * ever.
  */
 static void
 test_no_lost_wakeup(void)
--- a/tests/decide/test_limit.c
+++ b/tests/decide/test_limit.c
@@ -1,6 +1,6 @@
 /*
- * The limit against upstreams that behave in different ways, all calls at
- * once up to the limit, in windows of 100 ms.
+ * Runs the limit against simulated upstreams in windows of 100 ms.  Calls fill
+ * the limit unless a case says otherwise.
  */
 
 #include "loom/clock.h"
@@ -9,19 +9,21 @@
 
 #define WINDOW_US (UINT64_C(100) * LOOM_US_PER_MS)
 #define CALLS 64
-#define EASED_WINDOWS 5
-#define EASED_CALLS 5
+#define LIGHT_LOAD_WINDOWS 5
+#define LIGHT_LOAD_CALLS 5
 #define SERVICE_US 10000.0
 
-/* An upstream: real slots, and a factor on its time in some windows. */
+/* Real slots, and a slowdown factor over a range of windows. */
 struct upstream {
 	double real_slots;
 	double slow_factor;
-	int slow_from, slow_until; /* windows */
-	bool eased; /* hardly used for the first windows */
-	bool overloads; /* refuses a tenth of the calls itself */
-	bool squared; /* too many slow each other by the square */
-	double min_part; /* of the slots, which are its own word */
+	int slow_from, slow_until; /* window numbers */
+	bool starts_light; /* light load in the first windows */
+	bool refuses_tenth; /* refuses about a tenth of the calls itself */
+	bool quadratic; /* above real_slots, latency grows with the square of
+			   the concurrency */
+	double
+	    min_part; /* of the slots, which the upstream itself has declared */
 	double max_part; /* of the slots; 0: all */
 };
 
@@ -34,76 +36,81 @@
 } cases[] = {
 	{ "as declared", { .real_slots = 50 }, .windows = 100, .min = 50,
 	    .max = 50 },
-	/* More than real slots only queue inside: found within 3 s. */
+	/* Calls above the real slots only wait inside the upstream; the limit
+	 * must find that within 3 s. */
 	{ "less than declared", { .real_slots = 10 }, .windows = 30, .min = 9,
 	    .max = 20 },
-	/* What looks like crowding may be its deeper calls': where the slots
-	 * are its own word, half of them stay. */
-	{ "far less than its own word", { .real_slots = 2, .min_part = 0.5 },
-	    .windows = 60, .min = 25, .max = 30 },
+	/* The slowness may come from nested calls, so half of the slots that
+	 * the upstream itself has declared stay in use. */
+	{ "far less than the upstream declares",
+	    { .real_slots = 2, .min_part = 0.5 }, .windows = 60, .min = 25,
+	    .max = 30 },
 	{ "the last slots are left free",
 	    { .real_slots = 50, .max_part = 0.93 }, .windows = 100, .min = 46,
 	    .max = 47 },
 	{ "far less than declared", { .real_slots = 2 }, .windows = 60,
 	    .min = 2, .max = 4 },
-	/* Calls slow each other: beyond the peak each one more takes from
-	 * what is served, and latency alone is worth no second trial. */
-	{ "slower by the square", { .real_slots = 20, .squared = true },
-	    .windows = 60, .min = 19, .max = 22 },
-	/* Crowding was found; then its database slows.  The small steps down
-	 * must not follow that until nearly nothing is served. */
-	{ "crowded, then slow for another reason",
+	/* Calls slow each other: above the peak each further call reduces
+	 * throughput, while latency is too low to start another trial. */
+	{ "latency grows with the square",
+	    { .real_slots = 20, .quadratic = true }, .windows = 60, .min = 19,
+	    .max = 22 },
+	/* Contention is known when the upstream's database slows down.  The
+	 * small downward steps must not follow that latency until hardly any
+	 * call is served. */
+	{ "contention, then a slow database",
 	    { .real_slots = 20,
-		.squared = true,
+		.quadratic = true,
 		.slow_factor = 3,
 		.slow_from = 40,
 		.slow_until = 1000 },
 	    .windows = 100, .min = 18, .max = 24 },
-	/* Three times as slow, whatever the number of calls (its database):
-	 * fewer calls would only lose capacity. */
-	{ "lasting slowness that is not ours",
+	/* Three times as slow at any concurrency (a slow database): a lower
+	 * limit would only lose capacity. */
+	{ "lasting slowness of another cause",
 	    { .real_slots = 1000,
 		.slow_factor = 3,
 		.slow_from = 10,
 		.slow_until = 1000,
-		.eased = true },
+		.starts_light = true },
 	    .windows = 60, .min = 50, .max = 50 },
-	/* The floor has not become the slow one for ever: well again, then
-	 * overloaded for real, the limit falls. */
-	{ "well again after slowness",
+	/* After a slowdown all slots are in use again.  A baseline that stayed
+	 * at the slow latency would hide a later overload. */
+	{ "recovery after slowness",
 	    { .real_slots = 50,
 		.slow_factor = 3,
 		.slow_from = 10,
 		.slow_until = 40,
-		.eased = true },
+		.starts_light = true },
 	    .windows = 60, .min = 50, .max = 50 },
-	/* Hardly used: slow calls are no reason to change anything. */
+	/* Under light load, slow calls must not change the limit. */
 	{ "slow while idle",
 	    { .real_slots = 50,
 		.slow_factor = 3,
 		.slow_from = 10,
 		.slow_until = 1000,
-		.eased = true },
+		.starts_light = true },
 	    .used = 0.1, .windows = 60, .min = 50, .max = 50 },
-	/* A fault refuses calls whatever runs: fewer at once are refused just
-	 * as often.  A limit that follows it ends at one call, and the service
-	 * stands idle for ten seconds after the fault. */
-	{ "refuses by itself, whatever runs",
-	    { .real_slots = 50, .overloads = true }, .windows = 40, .min = 45,
-	    .max = 50 },
-	{ "refuses by itself", { .real_slots = 50, .overloads = true },
-	    .windows = 10, .min = 10, .max = 40 },
+	/* A fault refuses calls at any concurrency, so a lower limit does not
+	 * help.  A limit that follows such refusals ends at one call, and
+	 * leaves the service nearly idle for ten seconds after the fault. */
+	{ "refusals at any concurrency",
+	    { .real_slots = 50, .refuses_tenth = true }, .windows = 40,
+	    .min = 45, .max = 50 },
+	{ "refusals by the upstream",
+	    { .real_slots = 50, .refuses_tenth = true }, .windows = 10,
+	    .min = 10, .max = 40 },
 };
 
 static double
-latency_us(const struct upstream *upstream, double inside, int window)
+latency_us(const struct upstream *upstream, double in_flight, int window)
 {
 	double latency = SERVICE_US;
 
-	if (inside > upstream->real_slots)
-		latency *= inside / upstream->real_slots;
-	if (inside > upstream->real_slots && upstream->squared)
-		latency *= inside / upstream->real_slots;
+	if (in_flight > upstream->real_slots)
+		latency *= in_flight / upstream->real_slots;
+	if (in_flight > upstream->real_slots && upstream->quadratic)
+		latency *= in_flight / upstream->real_slots;
 	if (window >= upstream->slow_from && window < upstream->slow_until)
 		latency *= upstream->slow_factor;
 	return latency;
@@ -114,24 +121,26 @@
     double used, int from, int until)
 {
 	uint32_t value = limit->settings.slots;
-	uint64_t took_us, now_us;
-	double inside;
-	bool eased;
+	uint64_t elapsed_us, now_us;
+	double in_flight;
+	bool light_load;
 	int i, window;
 
 	for (window = from; window < until; window++) {
 		now_us = (uint64_t)(window + 1) * WINDOW_US;
-		eased = upstream->eased && window < EASED_WINDOWS;
-		inside = used > 0 ? value * used : value;
-		if (eased)
-			inside = EASED_CALLS;
-		took_us = (uint64_t)latency_us(upstream, inside, window);
+		light_load =
+		    upstream->starts_light && window < LIGHT_LOAD_WINDOWS;
+		in_flight = used > 0 ? value * used : value;
+		if (light_load)
+			in_flight = LIGHT_LOAD_CALLS;
+		elapsed_us = (uint64_t)latency_us(upstream, in_flight, window);
 		for (i = 0; i < CALLS; i++)
-			loom_limit_sample(limit, 0, took_us, took_us, now_us);
-		for (i = 0; i < CALLS / 8 && upstream->overloads; i++)
+			loom_limit_sample(
+			    limit, 0, elapsed_us, elapsed_us, now_us);
+		for (i = 0; i < CALLS / 8 && upstream->refuses_tenth; i++)
 			loom_limit_overload(limit);
-		value = loom_limit_update(
-		    limit, (uint32_t)inside, used == 0 && !eased, now_us);
+		value = loom_limit_update(limit, (uint32_t)in_flight,
+		    used == 0 && !light_load, now_us);
 	}
 	return value;
 }
@@ -157,7 +166,8 @@
 
 /*
  * Uploads take fifty times as long as lookups.  When half of the calls become
- * uploads the mean latency rises twentyfold, and nothing is wrong.
+ * uploads, the mean latency rises twentyfold although nothing is slower, and
+ * the limit must stay.
  */
 static void
 test_mix_of_classes(void)
@@ -175,7 +185,7 @@
 			    i < uploads ? 500000 : 10000,
 			    i < uploads ? 500000 : 10000,
 			    (uint64_t)window * WINDOW_US);
-		/* At ease first, under load when the mix changes. */
+		/* Light load at first; saturated when the mix changes. */
 		value = loom_limit_update(&limit, window < 20 ? 10 : value,
 		    window >= 20, (uint64_t)window * WINDOW_US);
 		TEST_CHECK(value == 50, "window %d: %u", window, value);
@@ -206,8 +216,8 @@
 	}
 }
 
-/* "I am full" counts for an idle upstream, not against measurement, and only
- * for as long as it is repeated. */
+/* A report of being full lowers the limit only of an upstream without recent
+ * samples, and only while it is repeated. */
 static void
 test_hint(void)
 {
