--- a/src/decide/limit.c
+++ b/src/decide/limit.c
@@ -73,16 +73,14 @@
  * unnecessary trial would itself cause refusals. */
 #define FIRST_TRIAL_WINDOWS 10
 
-#define DRAIN_LATENCIES_MAX \
-	2 /* longest wait for earlier calls, in mean latencies */
-
-/* Pauses between trials.  A trial takes half of the capacity for about three
- * service times and a window, 0.2 s in all: that costs 4% at a pause of 5 s and
- * 0.7% at 30 s. */
-#define TRIAL_PAUSE_SUCCESS_US \
-	(UINT64_C(2) * LOOM_US_PER_S) /* after a successful trial */
-#define TRIAL_PAUSE_FAILED_MIN_US \
-	(UINT64_C(5) * LOOM_US_PER_S) /* after a failed one */
+/* Longest wait for earlier calls to finish, in mean latencies. */
+#define DRAIN_LATENCIES_MAX 2
+
+/* Pauses after a successful and after failed trials.  A trial takes half of the
+ * capacity for about three service times and a window, 0.2 s in all: that costs
+ * 4% at a pause of 5 s and 0.7% at 30 s. */
+#define TRIAL_PAUSE_SUCCESS_US (UINT64_C(2) * LOOM_US_PER_S)
+#define TRIAL_PAUSE_FAILED_MIN_US (UINT64_C(5) * LOOM_US_PER_S)
 #define TRIAL_PAUSE_FAILED_MAX_US (UINT64_C(30) * LOOM_US_PER_S)
 
 #define COLD_START_SHARE 0.125 /* of the slots, when the ramp begins */
@@ -101,8 +99,8 @@
 #define BASELINE_UP_CALLS 256.0
 #define MEAN_CALLS 64.0
 
-#define HINT_LIFETIME_US \
-	LOOM_US_PER_S /* also the age at which samples are no longer recent */
+/* Lifetime of a hint, and the age at which samples are no longer recent. */
+#define HINT_LIFETIME_US LOOM_US_PER_S
 #define HINT_SHARE 0.25
 
 void
@@ -176,6 +174,7 @@
 	return sample > 1.0 ? sample : 1.0;
 }
 
+/* Updates the latency ratio and the smoothed times from one window. */
 static void
 record_window(struct loom_limit *limit, const struct loom_limit_window *window)
 {
@@ -316,6 +315,8 @@
 		limit->limit = limit->contended_limit_min;
 }
 
+/* Between trials: starts a trial when one is due, or else moves the limit by a
+ * step. */
 static void
 adjust(
     struct loom_limit *limit, bool near_limit, bool saturated, uint64_t now_us)
@@ -338,8 +339,8 @@
 	if (limit->contended && near_limit)
 		adjust_contended(limit);
 	else if (limit->ratio <= GROW_RATIO && near_limit)
-		limit->limit += limit->limit * GROW_STEP +
-		    GROW_STEP; /* grows from any value */
+		/* The constant part lets even a limit of 1 grow. */
+		limit->limit += limit->limit * GROW_STEP + GROW_STEP;
 }
 
 /* Upper bound of the limit at this time: the slots, fewer during a cold start
