--- a/include/loom/queue.h
+++ b/include/loom/queue.h
@@ -2,10 +2,11 @@
 #define LOOM_QUEUE_H
 
 /*
- * Calls that wait for one upstream: bounded, by importance, then fair by team
- * (deficit round robin with the team's weight), oldest first, or newest first
- * once the delay stands.  A full queue displaces its least valuable call.
- * Not thread-safe: the owner holds a lock.
+ * Bounded queue of the calls that wait for one upstream.  The next call is
+ * chosen by importance, then fairly between teams in proportion to their
+ * weights, then oldest first, or newest first while the queue is a standing
+ * one.  A full queue displaces its lowest-priority call.  Not thread-safe: the
+ * owner holds a lock.
  */
 
 #include <stdbool.h>
@@ -16,37 +17,40 @@
 struct loom_queue;
 struct loom_queue_team;
 
-/* Of calls inside requests that were let in before, whosever they are. */
+/* team_id of nested calls, which belong to requests that were admitted before,
+ * of whatever team. */
 #define LOOM_QUEUE_NO_TEAM 0
 
 /*
- * One call at one upstream, from the offer until it is done.  The memory is
- * the caller's; between QUEUED and its move it must not be freed without
- * loom_admission_cancel().
+ * One call at one upstream, from the offer until it is done.  The caller owns
+ * the memory.  While the call is QUEUED and has no verdict yet, it must not be
+ * freed without loom_admission_cancel().
  */
 struct loom_waiting {
 	/* Set by the caller before the offer. */
 	uint64_t team_id;
 	uint64_t deadline_us; /* on the clock of now_us */
-	void *arg; /* borrowed, untouched: the integrator's call */
-	uint32_t team_weight; /* share among teams: the rate; 0 counts as 1 */
+	void *arg; /* borrowed, not used: the caller's call */
+	uint32_t team_weight; /* weight of the team, its rate; 0 counts as 1 */
 	enum loom_importance importance;
 	uint16_t rank; /* loom_shed_rank() of importance and root request */
 	uint8_t call_class; /* route index % LOOM_CALL_CLASSES */
 
-	/* Set on a verdict. */
-	uint16_t cut; /* threshold of this team to carry back (loom/shed.h) */
+	/* Set with the verdict. */
+	uint16_t cut; /* the team's shedding threshold, for the answer
+			 (loom/shed.h) */
 	enum loom_result code; /* LOOM_OK, LOOM_OVERLOAD, LOOM_QUEUE_DEADLINE */
 	uint64_t retry_after_us; /* of a refusal */
 
-	/* Private while it waits; next also links the lists of a move. */
+	/* Private while the call waits; next also links the lists of struct
+	 * loom_moved. */
 	struct loom_waiting *next;
 	struct loom_waiting *prev;
-	struct loom_queue_team *team; /* NULL when it does not wait */
+	struct loom_queue_team *team; /* NULL while the call does not wait */
 	uint64_t arrived_us;
 };
 
-/* Calls that an event set free; linked by next, in order. */
+/* Queued calls that received their verdict; linked by next, in order. */
 struct loom_moved {
 	struct loom_waiting *go; /* admitted: forward them now */
 	struct loom_waiting *refused; /* see code and retry_after_us */
@@ -59,63 +63,67 @@
 void loom_moved_refuse(struct loom_moved *, struct loom_waiting *);
 
 /*
- * The bound of a host that has other slots than its service declares: as many
- * calls wait for each slot.
+ * Scales the queue bound of a service to a host whose slots differ from those
+ * that the service declares: the number of waiting calls per slot stays the
+ * same.
  */
 uint32_t loom_queue_bound_of(
     uint32_t service_queue, uint32_t service_slots, uint32_t host_slots);
 
-/* Owned by ctx; takes all the memory that it ever needs.  bound is the most
- * calls that may wait, at least 1; it may be raised later to 1024, or to what
- * it was at first if that was more. */
+/* Owned by ctx.  Allocates all memory here. bound, at least 1, is the number of
+ * calls that may wait; it may be raised later to 1024, or to its initial value
+ * if that is higher. */
 struct loom_queue *loom_queue_new(void *ctx, uint32_t bound);
-/* critical_bound holds in place of bound while only critical calls wait, and
- * inside_bound while only calls without a team do at the least importance. */
+/* Sets the number of calls that may wait. critical_bound applies instead of
+ * bound while only critical calls wait, and nested_bound while all waiting
+ * calls of the lowest waiting importance are nested calls. */
 void loom_queue_set_bounds(struct loom_queue *, uint32_t bound,
-    uint32_t critical_bound, uint32_t inside_bound);
+    uint32_t critical_bound, uint32_t nested_bound);
 
 /*
- * Put a call in.  Returns NULL, or the call that has to leave because the
- * queue is full; it may be the new one itself.
+ * Adds a call.  Returns NULL, or the call that is displaced because the queue
+ * is full, which may be the new one itself.
  */
 struct loom_waiting *loom_queue_push(
     struct loom_queue *, struct loom_waiting *, uint64_t now_us);
 
-/* Take the call whose turn it is; NULL when empty. */
+/* Removes and returns the next call; NULL when the queue is empty. */
 struct loom_waiting *loom_queue_pop(struct loom_queue *);
 
-/* Take out one that waits. */
+/* Removes a waiting call. */
 void loom_queue_remove(struct loom_queue *, struct loom_waiting *);
 
 void loom_queue_set_newest_first(
     struct loom_queue *, enum loom_importance from, bool newest_first);
 
-/* How many turns come before a new call of this team and importance. */
+/* Number of calls that would be served before a new call of this team and
+ * importance. */
 uint32_t loom_queue_ahead(const struct loom_queue *, uint64_t team_id,
     uint32_t team_weight, enum loom_importance);
 
 uint32_t loom_queue_length(const struct loom_queue *);
 
-/* Those of this importance and of more. */
+/* Number of waiting calls of this importance and of higher ones. */
 uint32_t loom_queue_length_from(
     const struct loom_queue *, enum loom_importance);
 
-/* How many more important calls were served since one of this importance
- * was, or since the first of those that wait here came. */
+/* Number of more important calls served since a call of this importance was
+ * served, or since the first of the calls that wait at this importance
+ * arrived. */
 uint32_t loom_queue_passed(const struct loom_queue *, enum loom_importance);
 
-/* Take out one call that is over the bound; NULL when none is. */
+/* Removes and returns one call while the queue is over its bound; else NULL. */
 struct loom_waiting *loom_queue_trim(struct loom_queue *);
 
 struct loom_queue_sweep_ops {
-	/* False: gone() does not need to know how many turns are ahead, which
-	 * costs a walk over the teams. */
+	/* Returns false when gone() does not need the number of calls ahead,
+	 * which takes a walk over the teams to compute. */
 	bool (*needs_ahead)(const struct loom_waiting *, void *arg);
 	bool (*gone)(const struct loom_waiting *, uint32_t ahead, void *arg);
 	void (*drop)(struct loom_waiting *, void *arg);
 };
 
-/* Take out each call for which gone() is true and hand it to drop(). */
+/* Removes each call for which gone() returns true and passes it to drop(). */
 void loom_queue_sweep(
     struct loom_queue *, const struct loom_queue_sweep_ops *, void *arg);
 
--- a/src/decide/queue.c
+++ b/src/decide/queue.c
@@ -1,36 +1,40 @@
 /*
- * Calls that wait for one upstream.
+ * Queue of the calls that wait for one upstream.
  *
- * Answers: a burst; one team that sends most of the load; important work that
- * comes late, behind a full queue of lesser work.  With one FIFO the team that
- * sends most gets most, an appeal order waits behind lookups, and under
- * standing overload every call is served just before its deadline, so that
- * nothing is done in time.
+ * It has to handle bursts, a team that sends most of the load, and important
+ * calls that arrive behind a full queue of less important ones.  In a single
+ * FIFO the team that sends most is served most, and an appeal order waits
+ * behind lookups.  Under lasting overload a FIFO serves every call just before
+ * its deadline, so that hardly any is finished in time.
  *
- * Importance is strict: lesser work moves only when no more important call
- * waits.  Within one importance teams share by start-time fair queueing: each
- * call served moves its team's tag on by 1/weight, and the lowest tag is next.
- * Deficit round robin shares alike, but needs a size of turn, and weights are
- * rates that lie three orders of magnitude apart: a small team would wait for
- * thousands of rounds.  Tags outlive a team's stay in the queue, or a team
- * that keeps one call waiting at a time would be first at each arrival and
- * take far more than its share.
+ * Importance is strict: a less important call is served only when no more
+ * important one waits.  Within one importance, teams share by start-time fair
+ * queueing: each call served advances its team's start tag by 1/weight, and the
+ * team with the lowest tag is next.  Deficit round robin gives the same shares
+ * but needs a quantum, and weights are rates that differ by three orders of
+ * magnitude: a small team would wait for thousands of rounds.  A team keeps its
+ * tag after its last call has left the queue.  Otherwise a team that always has
+ * one waiting call would be first at each arrival and receive far more than its
+ * share.
  *
- * Within a team and importance the oldest goes first, and the newest once the
- * owner says that the delay stands: that one still has time.
+ * Within a team and importance the oldest call is served first.  While the
+ * owner detects a standing queue, the newest is served first, because it has
+ * the most time left.
  *
- * Calls without a team belong to requests that were let in before, and each
- * that is refused wastes all work done for its request.  They are served oldest
- * first, up to the bound of a queue at ease: what lets requests in has to bring
- * their number down.
+ * Nested calls, which have no team, belong to requests that were admitted
+ * before, and refusing one wastes all work done for its request.  They are
+ * served oldest first, up to the bound of a queue that is not a standing one.
+ * Their number must be limited where requests are admitted.
  *
- * A full queue displaces from the least important level, from the team that
- * has most waiting for its weight, the call that would be served last.  So a
- * late important call always gets in, and a flood displaces its own.
+ * A full queue displaces a call of the lowest waiting importance, from the team
+ * with the largest backlog relative to its weight, and there the call that
+ * would be served last.  An important call that arrives late thus always gets
+ * in, and a team that floods the queue displaces its own calls.
  *
- * Teams live in a fixed table: an executor must not take memory for each name
- * that passes.  There are more places than calls may wait, so a team that
- * waits always has one; idle ones are reused in the order they fell idle.
+ * Teams are kept in a table of fixed size, since an executor must not allocate
+ * memory for every team name it sees.  The table has more entries than calls
+ * may wait, so a waiting team always has one; entries of idle teams are reused,
+ * the longest idle first.
  */
 
 #include <string.h>
@@ -38,20 +42,20 @@
 
 #include "loom/queue.h"
 
-/* Idle teams whose tags are kept besides those that wait: more teams than
+/* Idle teams whose start tags are kept: more than the number of teams that
  * share one upstream in an ordinary fleet. */
 #define IDLE_TEAMS 64
-/* Places taken at least, so that a later manifest may raise the bound: 300 KB
- * for one upstream. */
-#define ROOM_MIN 1024
+/* Minimum capacity, so that a later manifest may raise the bound.  It takes 300
+ * KB for one upstream. */
+#define CAPACITY_MIN 1024
 #define BUCKETS 128 /* power of two */
 
-struct loom_queue_level {
+struct loom_team_level {
 	struct loom_waiting *oldest;
 	struct loom_waiting *newest;
 	uint32_t length;
-	double tag; /* virtual start time of the next call */
-	struct loom_queue_team *next; /* teams that wait at this level */
+	double start_tag; /* virtual start time of the next call */
+	struct loom_queue_team *next; /* of the teams waiting here */
 	struct loom_queue_team *prev;
 };
 
@@ -59,19 +63,20 @@
 	uint64_t id;
 	double weight;
 	uint32_t length; /* over all levels */
-	struct loom_queue_team *chain; /* next in the bucket */
+	struct loom_queue_team *bucket_next; /* next team in the hash bucket */
 	struct loom_queue_team *idle_next;
 	struct loom_queue_team *idle_prev;
-	struct loom_queue_level levels[LOOM_IMPORTANCES];
+	struct loom_team_level levels[LOOM_IMPORTANCES];
 };
 
 /* One importance over all teams. */
 struct importance_level {
-	struct loom_queue_team *teams; /* that wait here */
+	struct loom_queue_team *teams; /* with calls waiting here */
 	uint32_t length;
-	double weight; /* of those teams together */
-	double now; /* virtual time: tag of the call served last */
-	uint32_t passed; /* more important ones served since one of this */
+	double weight; /* sum over these teams */
+	double virtual_time; /* start_tag of the call served last */
+	/* More important calls served since one of this level was. */
+	uint32_t overtaken;
 };
 
 struct loom_queue {
@@ -80,11 +85,11 @@
 	struct loom_queue_team *idle_newest;
 	struct importance_level levels[LOOM_IMPORTANCES];
 	uint32_t bound;
-	uint32_t inside_bound; /* where the last calls are without a team */
-	uint32_t critical_bound; /* for as long as nothing lesser waits */
-	uint32_t bound_max; /* what memory was taken for */
+	uint32_t nested_bound; /* while the lowest level is all nested calls */
+	uint32_t critical_bound; /* while only critical calls wait */
+	uint32_t capacity; /* what memory was allocated for */
 	uint32_t length;
-	int newest_from; /* importances from here on: newest first */
+	int newest_first_from; /* first level that is served newest first */
 };
 
 void
@@ -97,19 +102,19 @@
 }
 
 void
-loom_moved_go(struct loom_moved *moved, struct loom_waiting *w)
+loom_moved_go(struct loom_moved *moved, struct loom_waiting *call)
 {
-	w->next = NULL;
-	*moved->go_tail = w;
-	moved->go_tail = &w->next;
+	call->next = NULL;
+	*moved->go_tail = call;
+	moved->go_tail = &call->next;
 }
 
 void
-loom_moved_refuse(struct loom_moved *moved, struct loom_waiting *w)
+loom_moved_refuse(struct loom_moved *moved, struct loom_waiting *call)
 {
-	w->next = NULL;
-	*moved->refused_tail = w;
-	moved->refused_tail = &w->next;
+	call->next = NULL;
+	*moved->refused_tail = call;
+	moved->refused_tail = &call->next;
 }
 
 static void
@@ -148,7 +153,7 @@
 {
 	struct loom_queue_team **bucket = bucket_of(queue, team->id);
 
-	team->chain = *bucket;
+	team->bucket_next = *bucket;
 	*bucket = team;
 }
 
@@ -158,8 +163,8 @@
 	struct loom_queue_team **link = bucket_of(queue, team->id);
 
 	while (*link != team)
-		link = &(*link)->chain;
-	*link = team->chain;
+		link = &(*link)->bucket_next;
+	*link = team->bucket_next;
 }
 
 static struct loom_queue_team *
@@ -169,7 +174,7 @@
 
 	team = queue->buckets[(id ^ id >> 32) & (BUCKETS - 1)];
 	while (team != NULL && team->id != id)
-		team = team->chain;
+		team = team->bucket_next;
 	return team;
 }
 
@@ -178,22 +183,23 @@
 {
 	if (bound == 0)
 		return 1;
-	return bound < queue->bound_max ? bound : queue->bound_max;
+	return bound < queue->capacity ? bound : queue->capacity;
 }
 
 void
 loom_queue_set_bounds(struct loom_queue *queue, uint32_t bound,
-    uint32_t critical_bound, uint32_t inside_bound)
+    uint32_t critical_bound, uint32_t nested_bound)
 {
-	queue->inside_bound = clamp_bound(queue, inside_bound);
+	queue->nested_bound = clamp_bound(queue, nested_bound);
 	queue->bound = clamp_bound(queue, bound);
 	queue->critical_bound = clamp_bound(queue, critical_bound);
 }
 
 /*
- * A queue that is short beside the slots refuses calls of requests that were
- * let in: some twenty calls that come together fill it, though it would be
- * empty again within a fraction of a service time.
+ * With the bound of a smaller host, the queue would be short in relation to the
+ * slots and refuse nested calls: some twenty calls that arrive together would
+ * fill it, although it would be empty again within a fraction of a service
+ * time.
  */
 uint32_t
 loom_queue_bound_of(
@@ -214,11 +220,12 @@
 	struct loom_queue_team *teams;
 	uint32_t i, nteams;
 
-	queue->bound_max = bound > ROOM_MIN ? bound : ROOM_MIN;
-	queue->newest_from = LOOM_IMPORTANCES;
+	queue->capacity = bound > CAPACITY_MIN ? bound : CAPACITY_MIN;
+	queue->newest_first_from = LOOM_IMPORTANCES;
 	loom_queue_set_bounds(queue, bound, bound, bound);
-	/* One more than may wait: the call that overflows is in as well. */
-	nteams = queue->bound_max + 1 + IDLE_TEAMS;
+	/* One more than may wait: a call is inserted before another one is
+	 * displaced. */
+	nteams = queue->capacity + 1 + IDLE_TEAMS;
 	teams = talloc_zero_array(queue, struct loom_queue_team, nteams);
 	for (i = 0; i < nteams; i++) {
 		teams[i].id = i;
@@ -250,11 +257,11 @@
 loom_queue_set_newest_first(
     struct loom_queue *queue, enum loom_importance from, bool newest_first)
 {
-	queue->newest_from = newest_first ? (int)from : LOOM_IMPORTANCES;
+	queue->newest_first_from = newest_first ? (int)from : LOOM_IMPORTANCES;
 }
 
 static bool
-is_inside(const struct loom_queue_team *team)
+is_nested(const struct loom_queue_team *team)
 {
 	return team->id == LOOM_QUEUE_NO_TEAM;
 }
@@ -263,7 +270,7 @@
 is_newest_first(const struct loom_queue *queue,
     const struct loom_queue_team *team, int importance)
 {
-	return importance >= queue->newest_from && !is_inside(team);
+	return importance >= queue->newest_first_from && !is_nested(team);
 }
 
 static struct loom_queue_team *
@@ -291,18 +298,18 @@
     enum loom_importance importance)
 {
 	struct importance_level *level = &queue->levels[importance];
-	struct loom_queue_level *own = &team->levels[importance];
+	struct loom_team_level *team_level = &team->levels[importance];
 
-	own->prev = NULL;
-	own->next = level->teams;
+	team_level->prev = NULL;
+	team_level->next = level->teams;
 	if (level->teams != NULL)
 		level->teams->levels[importance].prev = team;
 	else
-		level->passed = 0;
+		level->overtaken = 0;
 	level->teams = team;
 	level->weight += team->weight;
-	if (own->tag < level->now)
-		own->tag = level->now;
+	if (team_level->start_tag < level->virtual_time)
+		team_level->start_tag = level->virtual_time;
 }
 
 static void
@@ -310,159 +317,162 @@
     enum loom_importance importance)
 {
 	struct importance_level *level = &queue->levels[importance];
-	struct loom_queue_level *own = &team->levels[importance];
+	struct loom_team_level *team_level = &team->levels[importance];
 
-	if (own->prev != NULL)
-		own->prev->levels[importance].next = own->next;
+	if (team_level->prev != NULL)
+		team_level->prev->levels[importance].next = team_level->next;
 	else
-		level->teams = own->next;
-	if (own->next != NULL)
-		own->next->levels[importance].prev = own->prev;
+		level->teams = team_level->next;
+	if (team_level->next != NULL)
+		team_level->next->levels[importance].prev = team_level->prev;
 	level->weight -= team->weight;
 	if (level->teams == NULL)
 		level->weight = 0;
 }
 
 static void
-append_call(struct loom_queue_level *own, struct loom_waiting *w)
+append_call(struct loom_team_level *team_level, struct loom_waiting *call)
 {
-	w->next = NULL;
-	w->prev = own->newest;
-	if (own->newest != NULL)
-		own->newest->next = w;
+	call->next = NULL;
+	call->prev = team_level->newest;
+	if (team_level->newest != NULL)
+		team_level->newest->next = call;
 	else
-		own->oldest = w;
-	own->newest = w;
-	own->length++;
+		team_level->oldest = call;
+	team_level->newest = call;
+	team_level->length++;
 }
 
 static void
-unlink_call(struct loom_queue_level *own, struct loom_waiting *w)
+unlink_call(struct loom_team_level *team_level, struct loom_waiting *call)
 {
-	if (w->prev != NULL)
-		w->prev->next = w->next;
+	if (call->prev != NULL)
+		call->prev->next = call->next;
 	else
-		own->oldest = w->next;
-	if (w->next != NULL)
-		w->next->prev = w->prev;
+		team_level->oldest = call->next;
+	if (call->next != NULL)
+		call->next->prev = call->prev;
 	else
-		own->newest = w->prev;
-	own->length--;
-	w->next = NULL;
-	w->prev = NULL;
+		team_level->newest = call->prev;
+	team_level->length--;
+	call->next = NULL;
+	call->prev = NULL;
 }
 
 static void
-insert(struct loom_queue *queue, struct loom_waiting *w)
+insert(struct loom_queue *queue, struct loom_waiting *call)
 {
-	struct loom_queue_team *team = find_team(queue, w->team_id);
+	struct loom_queue_team *team = find_team(queue, call->team_id);
 
 	if (team == NULL)
-		team = reuse_idle(queue, w->team_id);
+		team = reuse_idle(queue, call->team_id);
 	if (team->length == 0) {
 		idle_remove(queue, team);
-		team->weight = weight_of(w->team_weight);
+		team->weight = weight_of(call->team_weight);
 	}
-	if (team->levels[w->importance].length == 0)
-		join_level(queue, team, w->importance);
-	append_call(&team->levels[w->importance], w);
-	w->team = team;
+	if (team->levels[call->importance].length == 0)
+		join_level(queue, team, call->importance);
+	append_call(&team->levels[call->importance], call);
+	call->team = team;
 	team->length++;
-	queue->levels[w->importance].length++;
+	queue->levels[call->importance].length++;
 	queue->length++;
 }
 
 void
-loom_queue_remove(struct loom_queue *queue, struct loom_waiting *w)
+loom_queue_remove(struct loom_queue *queue, struct loom_waiting *call)
 {
-	struct loom_queue_team *team = w->team;
+	struct loom_queue_team *team = call->team;
 
-	unlink_call(&team->levels[w->importance], w);
-	if (team->levels[w->importance].length == 0)
-		leave_level(queue, team, w->importance);
+	unlink_call(&team->levels[call->importance], call);
+	if (team->levels[call->importance].length == 0)
+		leave_level(queue, team, call->importance);
 	team->length--;
 	if (team->length == 0)
 		idle_append(queue, team);
-	queue->levels[w->importance].length--;
+	queue->levels[call->importance].length--;
 	queue->length--;
-	w->team = NULL;
+	call->team = NULL;
 }
 
 /*
- * The team that has most waiting for its weight, its first call not counted:
- * else the one call of a small team would outweigh a dozen of a large one,
- * and whoever may have one call in fifty would never have one waiting.  Calls
- * inside requests only where no others wait.
+ * The team with the largest backlog relative to its weight, not counting its
+ * first call.  If that call counted, the only call of a small team would
+ * outweigh a dozen of a large one, and a team entitled to one call in fifty
+ * could never have one waiting.  Nested calls are chosen only where no others
+ * wait.
  */
 static struct loom_queue_team *
-longest_team(const struct loom_queue *queue, enum loom_importance importance)
+largest_backlog_team(
+    const struct loom_queue *queue, enum loom_importance importance)
 {
-	struct loom_queue_team *team, *longest = NULL, *inside = NULL;
-	double length, most = -1;
+	struct loom_queue_team *team, *largest = NULL, *nested = NULL;
+	double backlog, largest_backlog = -1;
 
 	team = queue->levels[importance].teams;
 	for (; team != NULL; team = team->levels[importance].next) {
-		if (is_inside(team)) {
-			inside = team;
+		if (is_nested(team)) {
+			nested = team;
 			continue;
 		}
-		length = (team->levels[importance].length - 1) / team->weight;
-		if (length > most) {
-			most = length;
-			longest = team;
+		backlog = (team->levels[importance].length - 1) / team->weight;
+		if (backlog > largest_backlog) {
+			largest_backlog = backlog;
+			largest = team;
 		}
 	}
-	return longest != NULL ? longest : inside;
+	return largest != NULL ? largest : nested;
 }
 
 static struct loom_waiting *
-least_valuable(const struct loom_queue *queue)
+lowest_priority_call(const struct loom_queue *queue)
 {
 	int importance = LOOM_IMPORTANCES - 1;
 	struct loom_queue_team *team;
 
 	while (queue->levels[importance].length == 0)
 		importance--;
-	team = longest_team(queue, (enum loom_importance)importance);
+	team = largest_backlog_team(queue, (enum loom_importance)importance);
 	if (is_newest_first(queue, team, importance))
 		return team->levels[importance].oldest;
 	return team->levels[importance].newest;
 }
 
 /*
- * Out of the queue with the least valuable call while too many wait.  The
- * bound that standing delay makes short is for calls that would wait in vain;
- * critical ones wait for each other alone.  Held to the short bound, 5% and
- * more of them were refused at four hosts of two slots, with half of their
- * deadline's time to spare.
+ * Removes the lowest-priority call while too many wait.  The short bound of a
+ * standing queue is meant for calls that would wait in vain, whereas critical
+ * calls wait only for each other.  With the short bound, more than 5% of the
+ * critical calls were refused at four hosts of two slots, with half of the time
+ * to their deadlines left.
  */
 struct loom_waiting *
 loom_queue_trim(struct loom_queue *queue)
 {
-	struct loom_waiting *w;
+	struct loom_waiting *call;
 
 	if (queue->length <= queue->bound)
 		return NULL;
-	w = least_valuable(queue);
-	if (w->importance == LOOM_CRITICAL &&
+	call = lowest_priority_call(queue);
+	if (call->importance == LOOM_CRITICAL &&
 	    queue->length <= queue->critical_bound)
 		return NULL;
-	if (is_inside(w->team) && queue->length <= queue->inside_bound)
+	if (is_nested(call->team) && queue->length <= queue->nested_bound)
 		return NULL;
-	loom_queue_remove(queue, w);
-	return w;
+	loom_queue_remove(queue, call);
+	return call;
 }
 
 struct loom_waiting *
 loom_queue_push(
-    struct loom_queue *queue, struct loom_waiting *w, uint64_t now_us)
+    struct loom_queue *queue, struct loom_waiting *call, uint64_t now_us)
 {
-	w->arrived_us = now_us;
-	insert(queue, w);
+	call->arrived_us = now_us;
+	insert(queue, call);
 	return loom_queue_trim(queue);
 }
 
-/* The team with the lowest tag; of equal ones the one that joined last. */
+/* The team with the lowest start tag; among equal ones, the one that joined the
+ * level last. */
 static struct loom_queue_team *
 next_team(const struct loom_queue *queue, int importance)
 {
@@ -470,47 +480,47 @@
 
 	first = queue->levels[importance].teams;
 	for (team = first; team != NULL; team = team->levels[importance].next) {
-		if (team->levels[importance].tag <
-		    first->levels[importance].tag)
+		if (team->levels[importance].start_tag <
+		    first->levels[importance].start_tag)
 			first = team;
 	}
 	return first;
 }
 
 static void
-count_passed(struct loom_queue *queue, int importance)
+count_overtaken(struct loom_queue *queue, int importance)
 {
-	queue->levels[importance].passed = 0;
+	queue->levels[importance].overtaken = 0;
 	while (++importance < LOOM_IMPORTANCES)
-		queue->levels[importance].passed++;
+		queue->levels[importance].overtaken++;
 }
 
 static struct loom_waiting *
-first_served(const struct loom_queue *queue, const struct loom_queue_team *team,
-    int importance)
+first_to_serve(const struct loom_queue *queue,
+    const struct loom_queue_team *team, int importance)
 {
-	const struct loom_queue_level *own = &team->levels[importance];
+	const struct loom_team_level *team_level = &team->levels[importance];
 
 	if (is_newest_first(queue, team, importance))
-		return own->newest;
-	return own->oldest;
+		return team_level->newest;
+	return team_level->oldest;
 }
 
 static struct loom_waiting *
-served_after(const struct loom_queue *queue, const struct loom_waiting *w,
+next_to_serve(const struct loom_queue *queue, const struct loom_waiting *call,
     int importance)
 {
-	if (is_newest_first(queue, w->team, importance))
-		return w->prev;
-	return w->next;
+	if (is_newest_first(queue, call->team, importance))
+		return call->prev;
+	return call->next;
 }
 
 struct loom_waiting *
 loom_queue_pop(struct loom_queue *queue)
 {
-	struct loom_queue_level *own;
+	struct loom_team_level *team_level;
 	struct loom_queue_team *team;
-	struct loom_waiting *w;
+	struct loom_waiting *call;
 	int importance = 0;
 
 	if (queue->length == 0)
@@ -518,13 +528,13 @@
 	while (queue->levels[importance].length == 0)
 		importance++;
 	team = next_team(queue, importance);
-	own = &team->levels[importance];
-	queue->levels[importance].now = own->tag;
-	count_passed(queue, importance);
-	own->tag += 1.0 / team->weight;
-	w = first_served(queue, team, importance);
-	loom_queue_remove(queue, w);
-	return w;
+	team_level = &team->levels[importance];
+	queue->levels[importance].virtual_time = team_level->start_tag;
+	count_overtaken(queue, importance);
+	team_level->start_tag += 1.0 / team->weight;
+	call = first_to_serve(queue, team, importance);
+	loom_queue_remove(queue, call);
+	return call;
 }
 
 uint32_t
@@ -534,83 +544,87 @@
 	const struct importance_level *level = &queue->levels[importance];
 	const struct loom_queue_team *team = find_team(queue, team_id);
 	double weight = weight_of(team_weight);
-	double own = 0, others, turns;
+	double own_calls = 0, others, turns;
 	uint32_t ahead = 0;
 	int i;
 
 	for (i = 0; i < (int)importance; i++)
 		ahead += queue->levels[i].length;
 	if (team != NULL && !is_newest_first(queue, team, (int)importance))
-		own = team->levels[importance].length;
-	/* While this team has own + 1 turns the others have theirs by weight,
-	 * but no more than they have calls. */
-	others = level->length - own;
-	turns = (own + 1) * level->weight / weight;
+		own_calls = team->levels[importance].length;
+	/* While this team is served own_calls + 1 times, the others are served
+	 * in proportion to their weights, but no more often than they have
+	 * calls. */
+	others = level->length - own_calls;
+	turns = (own_calls + 1) * level->weight / weight;
 	if (turns < others)
 		others = turns;
-	return ahead + (uint32_t)(own + others);
+	return ahead + (uint32_t)(own_calls + others);
 }
 
 uint32_t
 loom_queue_passed(
     const struct loom_queue *queue, enum loom_importance importance)
 {
-	return queue->levels[importance].passed;
+	return queue->levels[importance].overtaken;
 }
 
-/* Calls of a team at one importance whose turn comes before a tag. */
+/* Number of a team's calls at one level that are served before start_tag. */
 static double
-turns_before(const struct loom_queue_level *own, double weight, double tag)
+turns_before_tag(
+    const struct loom_team_level *team_level, double weight, double start_tag)
 {
-	double turns = (tag - own->tag) * weight;
+	double turns = (start_tag - team_level->start_tag) * weight;
 
 	if (turns <= 0)
 		return 0;
-	return turns < own->length ? turns : own->length;
+	return turns < team_level->length ? turns : team_level->length;
 }
 
-/* How many turns come before the team's call that stands behind `own_ahead`
- * others of its own, by the tags as they are. */
+/* Number of calls served before the team's call that has own_calls_ahead of the
+ * team's own calls before it, according to the current start tags. */
 static uint32_t
 turns_ahead(const struct loom_queue *queue, const struct loom_queue_team *team,
-    int importance, uint32_t own_ahead)
+    int importance, uint32_t own_calls_ahead)
 {
 	const struct loom_queue_team *other;
-	double tag, ahead = own_ahead;
+	double start_tag, ahead = own_calls_ahead;
 	int i;
 
 	for (i = 0; i < importance; i++)
 		ahead += queue->levels[i].length;
-	tag = team->levels[importance].tag + own_ahead / team->weight;
+	start_tag =
+	    team->levels[importance].start_tag + own_calls_ahead / team->weight;
 	other = queue->levels[importance].teams;
 	for (; other != NULL; other = other->levels[importance].next) {
 		if (other != team)
-			ahead += turns_before(
-			    &other->levels[importance], other->weight, tag);
+			ahead += turns_before_tag(&other->levels[importance],
+			    other->weight, start_tag);
 	}
 	return (uint32_t)ahead;
 }
 
-/* In the order in which they will be served, so that those who leave are no
- * longer ahead of the rest. */
+/* Visits the calls in the order in which they will be served, so that the calls
+ * ahead do not include those that were just dropped. */
 static void
-sweep_team(struct loom_queue *queue, struct loom_queue_team *team,
+sweep_team_level(struct loom_queue *queue, struct loom_queue_team *team,
     int importance, const struct loom_queue_sweep_ops *ops, void *arg)
 {
-	struct loom_waiting *w, *next;
-	uint32_t own_ahead = 0, ahead;
+	struct loom_waiting *call, *next;
+	uint32_t own_calls_ahead = 0, ahead;
 
-	w = first_served(queue, team, importance);
-	for (; w != NULL; w = next) {
-		next = served_after(queue, w, importance);
+	call = first_to_serve(queue, team, importance);
+	for (; call != NULL; call = next) {
+		next = next_to_serve(queue, call, importance);
 		ahead = 0;
-		if (ops->needs_ahead(w, arg))
-			ahead = turns_ahead(queue, team, importance, own_ahead);
-		if (ops->gone(w, ahead, arg)) {
-			loom_queue_remove(queue, w);
-			ops->drop(w, arg);
+		if (ops->needs_ahead(call, arg))
+			ahead = turns_ahead(
+			    queue, team, importance, own_calls_ahead);
+		if (ops->gone(call, ahead, arg)) {
+			loom_queue_remove(queue, call);
+			ops->drop(call, arg);
 		} else {
-			own_ahead++;
+			own_calls_ahead++;
 		}
 	}
 }
@@ -625,7 +639,7 @@
 	for (i = 0; i < LOOM_IMPORTANCES; i++) {
 		for (team = queue->levels[i].teams; team != NULL; team = next) {
 			next = team->levels[i].next;
-			sweep_team(queue, team, i, ops, arg);
+			sweep_team_level(queue, team, i, ops, arg);
 		}
 	}
 }
--- a/tests/decide/test_queue.c
+++ b/tests/decide/test_queue.c
@@ -1,5 +1,5 @@
 /*
- * The queue: whose turn it is, and who leaves when it is full.
+ * The queue: which call is served next, and which one a full queue displaces.
  */
 
 #include <string.h>
@@ -10,10 +10,10 @@
 
 #define CALLS_MAX 16
 
-/* A call is written as team letter and importance digit: "a2"; "-2" has no
- * team, it is inside a request that was let in before. */
+/* A call is written as team letter and importance digit: "a2". "-2" is a nested
+ * call, which has no team. */
 static void
-fill(struct loom_waiting calls[CALLS_MAX], const char *text)
+parse_calls(struct loom_waiting calls[CALLS_MAX], const char *text)
 {
 	size_t i;
 
@@ -23,7 +23,8 @@
 						      : (uint64_t)text[i * 3],
 			.importance =
 			    (enum loom_importance)(text[i * 3 + 1] - '0'),
-			/* Teams in capital letters weigh three times. */
+			/* Teams in capital letters have three times the
+			 * weight. */
 			.team_weight = g_ascii_isupper(text[i * 3]) ? 3 : 1,
 			.arg = (void *)&text[i * 3],
 		};
@@ -47,7 +48,7 @@
 	    .newest_first = true,
 	    .pushed = "a2 a2 a2",
 	    .popped = "2 1 0" },
-	{ .name = "importance before all",
+	{ .name = "importance comes first",
 	    .bound = 9,
 	    .pushed = "a3 b2 a1 b0",
 	    .popped = "3 2 1 0" },
@@ -64,7 +65,7 @@
 	    .bound = 9,
 	    .pushed = "a2 a2 A2 A2 A2 A2",
 	    .popped = "2 0 3 4 5 1" },
-	{ .name = "a full queue refuses the flood itself",
+	{ .name = "a full queue displaces the flooding team's calls",
 	    .bound = 3,
 	    .pushed = "a2 a2 a2 a2 a2",
 	    .displaced = "-- -- --  3  4",
@@ -74,12 +75,12 @@
 	    .pushed = "a2 a2 a2 b2",
 	    .displaced = "-- -- --  2",
 	    .popped = "3 0 1" },
-	{ .name = "important work comes late",
+	{ .name = "an important call arrives late",
 	    .bound = 3,
 	    .pushed = "a2 a3 b2 a0 a0",
 	    .displaced = "-- -- --  1  2",
 	    .popped = "3 4 0" },
-	{ .name = "less important work does not displace",
+	{ .name = "a less important call does not displace",
 	    .bound = 2,
 	    .pushed = "a0 a1 b3",
 	    .displaced = "-- --  2",
@@ -95,18 +96,18 @@
 	    .pushed = "A2 b2 A2",
 	    .displaced = "-- --  2",
 	    .popped = "1 0" },
-	{ .name = "calls inside wait in their order",
+	{ .name = "nested calls wait oldest first",
 	    .bound = 9,
 	    .newest_first = true,
 	    .pushed = "-2 -2 -2",
 	    .popped = "0 1 2" },
-	{ .name = "calls inside are not displaced by others",
+	{ .name = "nested calls are not displaced by others",
 	    .bound = 2,
 	    .newest_first = true,
 	    .pushed = "-2 -2 a2 a2",
 	    .displaced = "-- --  2  3",
 	    .popped = "0 1" },
-	{ .name = "a queue of calls inside alone is bounded",
+	{ .name = "a queue of nested calls alone is bounded",
 	    .bound = 2,
 	    .pushed = "-0 -0 -0",
 	    .displaced = "-- --  2",
@@ -116,7 +117,7 @@
 static void
 test_orders(void)
 {
-	struct loom_waiting calls[CALLS_MAX], *displaced, *w;
+	struct loom_waiting calls[CALLS_MAX], *displaced, *next_call;
 	struct loom_queue *queue;
 	const char *want;
 	size_t i, j, n;
@@ -125,7 +126,7 @@
 		queue = loom_queue_new(NULL, orders[i].bound);
 		loom_queue_set_newest_first(
 		    queue, LOOM_CRITICAL, orders[i].newest_first);
-		fill(calls, orders[i].pushed);
+		parse_calls(calls, orders[i].pushed);
 		n = strlen(orders[i].pushed) / 3 + 1;
 		for (j = 0; j < n; j++) {
 			displaced = loom_queue_push(queue, &calls[j], 0);
@@ -140,10 +141,11 @@
 		for (want = orders[i].popped; *want != '\0'; want++) {
 			if (*want == ' ')
 				continue;
-			w = loom_queue_pop(queue);
-			TEST_CHECK(w == &calls[*want - '0'],
-			    "%s: %d popped where %c was due", orders[i].name,
-			    w == NULL ? -1 : (int)(w - calls), *want);
+			next_call = loom_queue_pop(queue);
+			TEST_CHECK(next_call == &calls[*want - '0'],
+			    "%s: popped %d, expected %c", orders[i].name,
+			    next_call == NULL ? -1 : (int)(next_call - calls),
+			    *want);
 		}
 		CU_ASSERT_PTR_NULL(loom_queue_pop(queue));
 		talloc_free(queue);
@@ -151,15 +153,16 @@
 }
 
 /*
- * A team that sends its next call only when its last one was served is never
- * seen to wait with two.  It must not be first each time for that.
+ * A team that sends its next call only after the last one was served never has
+ * two waiting.  It must not be served first each time because of that.
  */
 static void
 test_one_at_a_time(void)
 {
-	struct loom_waiting calls[CALLS_MAX] = { 0 }, single = { 0 }, *w;
+	struct loom_waiting calls[CALLS_MAX] = { 0 }, single = { 0 },
+			    *next_call;
 	struct loom_queue *queue = loom_queue_new(NULL, CALLS_MAX + 1);
-	int i, own = 0;
+	int i, single_served = 0;
 
 	for (i = 0; i < CALLS_MAX; i++) {
 		calls[i].team_id = 1 + (uint64_t)i % 2;
@@ -168,28 +171,28 @@
 	single.team_id = 3;
 	loom_queue_push(queue, &single, 0);
 	for (i = 0; i < 12; i++) {
-		w = loom_queue_pop(queue);
-		if (w != &single)
+		next_call = loom_queue_pop(queue);
+		if (next_call != &single)
 			continue;
-		own++;
+		single_served++;
 		loom_queue_push(queue, &single, 0);
 	}
-	TEST_CHECK(own == 4, "%d of 12", own);
+	TEST_CHECK(single_served == 4, "%d of 12", single_served);
 	talloc_free(queue);
 }
 
-/* More teams than there are places for idle ones pass through. */
+/* More teams pass through the queue than it has entries for idle ones. */
 static void
 test_many_teams(void)
 {
 	struct loom_queue *queue = loom_queue_new(NULL, 4);
-	struct loom_waiting calls[4], *w;
+	struct loom_waiting calls[4], *next_call;
 	uint64_t team;
 
 	for (team = 0; team < 3000; team++) {
-		w = &calls[team % 4];
-		*w = (struct loom_waiting){ .team_id = team * 128 };
-		CU_ASSERT_PTR_NULL(loom_queue_push(queue, w, 0));
+		next_call = &calls[team % 4];
+		*next_call = (struct loom_waiting){ .team_id = team * 128 };
+		CU_ASSERT_PTR_NULL(loom_queue_push(queue, next_call, 0));
 		if (team >= 3)
 			CU_ASSERT_PTR_NOT_NULL(loom_queue_pop(queue));
 	}
@@ -212,28 +215,28 @@
 		{ "A2 A2 A2 A2", "b2", 3 },
 		{ "a2 b2 c2", "d2", 3 },
 	};
-	struct loom_waiting calls[CALLS_MAX], one[CALLS_MAX];
+	struct loom_waiting calls[CALLS_MAX], new_call[CALLS_MAX];
 	struct loom_queue *queue;
 	uint32_t ahead;
 	size_t i, j;
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
 		queue = loom_queue_new(NULL, CALLS_MAX);
-		fill(calls, cases[i].waiting);
+		parse_calls(calls, cases[i].waiting);
 		for (j = 0; j < strlen(cases[i].waiting) / 3 + 1; j++)
 			loom_queue_push(queue, &calls[j], 0);
-		fill(one, cases[i].call);
-		ahead = loom_queue_ahead(queue, one[0].team_id,
-		    one[0].team_weight, one[0].importance);
+		parse_calls(new_call, cases[i].call);
+		ahead = loom_queue_ahead(queue, new_call[0].team_id,
+		    new_call[0].team_weight, new_call[0].importance);
 		TEST_CHECK(ahead == cases[i].ahead, "%s before %s: %u",
 		    cases[i].waiting, cases[i].call, ahead);
 		talloc_free(queue);
 	}
 }
 
-/* Guards against a host whose queue is sized for the slots of another: calls
- * inside requests that were let in were refused as soon as 64 waited for 152
- * slots, and whole chains died of it. */
+/* Guards against a host whose queue bound is that of another number of slots:
+ * nested calls were refused as soon as 64 waited for 152 slots, and whole call
+ * chains failed because of it. */
 static void
 test_bound_of_host(void)
 {
@@ -243,7 +246,7 @@
 		{ 64, 16, 16, 64 },
 		{ 64, 16, 152, 608 },
 		{ 64, 16, 4, 16 },
-		{ 40, 20, 0, 40 }, /* the list says nothing */
+		{ 40, 20, 0, 40 }, /* number of slots not known */
 		{ 40, 0, 10, 40 },
 		{ 4000000000U, 1, 4000000000U, UINT32_MAX },
 	};
