--- a/include/loom/queue.h
+++ b/include/loom/queue.h
@@ -70,11 +70,12 @@
 uint32_t loom_queue_bound_of(
     uint32_t service_queue, uint32_t service_slots, uint32_t host_slots);
 
-/* Owned by ctx.  Allocates all memory here. bound, at least 1, is the number of
- * calls that may wait; it may be raised later to 1024, or to its initial value
- * if that is higher. */
+/* Owned by ctx.  Allocates all memory here.  bound, at least 1, is the number
+ * of calls that may wait; it may be raised later to 1024, or to its initial
+ * value if that is higher. */
 struct loom_queue *loom_queue_new(void *ctx, uint32_t bound);
-/* Sets the number of calls that may wait. critical_bound applies instead of
+
+/* Sets the number of calls that may wait.  critical_bound applies instead of
  * bound while only critical calls wait, and nested_bound while all waiting
  * calls of the lowest waiting importance are nested calls. */
 void loom_queue_set_bounds(struct loom_queue *, uint32_t bound,
@@ -93,6 +94,8 @@
 /* Removes a waiting call. */
 void loom_queue_remove(struct loom_queue *, struct loom_waiting *);
 
+/* Serves calls of importance from and of lower ones newest first; all calls
+ * oldest first when newest_first is false. */
 void loom_queue_set_newest_first(
     struct loom_queue *, enum loom_importance from, bool newest_first);
 
--- a/src/decide/admission.c
+++ b/src/decide/admission.c
@@ -247,7 +247,7 @@
 {
 	if (!atomic_load_explicit(&adm->shedding, memory_order_relaxed))
 		return LOOM_CUT_NONE;
-	return loom_cuts_of(adm->cuts, team_id);
+	return loom_cuts_get(adm->cuts, team_id);
 }
 
 static void
@@ -654,7 +654,7 @@
 	/* A trial halves the limit for a moment; to tell the entries would
 	 * starve the upstream after it. */
 	if (adm->limit.phase != LOOM_LIMIT_STEADY) {
-		loom_cuts_forget(adm->cuts, now_us);
+		loom_cuts_restart_windows(adm->cuts, now_us);
 		return;
 	}
 	tick_keep(adm, now_us);
--- a/src/decide/cuts.c
+++ b/src/decide/cuts.c
@@ -1,28 +1,32 @@
 /*
- * The shedding threshold that one executor keeps for each team.
+ * The shedding threshold (cut) that one executor keeps for each team.
  *
- * Answers: standing overload at a service that others call.  The queue alone
- * protects this upstream, but each refusal here has cost work in all services
- * above.  The cut tells the entries what the queue would refuse.
+ * It matters under lasting overload of a service that other services call.  The
+ * queue alone protects this upstream, but each refusal here wastes the work of
+ * all services before it in the call chain.  The cut tells the entries which
+ * calls the queue would refuse.
  *
- * The queue decides who is over its share; the cut only follows it.  A team
- * whose calls are not refused here has no cut, whatever the others send.  A
- * cut never falls below the most important level that was refused, since the
- * queue refuses from the least important one upwards.
+ * The queue decides which team exceeds its share, and the cut only follows the
+ * queue.  A team whose calls are not refused here has no cut, whatever the
+ * others send.  A cut never falls below the most important level with a refused
+ * call, since the queue refuses the least important calls first.
  *
- * Calls are counted by their own ranks and not by the cut that stands here:
- * entries learn of a cut with their next answers, and until then calls arrive
- * that it has already condemned.  Taking them for calls below the cut lowered
- * it again and again (measured: a flooding team ended with 60% of its share).
+ * All offered calls are counted by rank, also those above the current cut.
+ * Entries learn of a new cut with their next answers, and until then they still
+ * send calls above it.  When such calls were counted as calls below the cut, it
+ * was lowered again and again, and a flooding team was left with 60% of its
+ * share.
  *
- * Down: to what the team was served plus SURPLUS, at once, since every window
- * of delay is a window of wasted work.  What was served is what the team may
- * have, whatever it sent and however late its refusals come.  The surplus
- * keeps the queue from running dry.
- * Up: by STEP_SHARE while the upstream is busy.  While it has room, half way
- * to where it would be full: the whole way overshoots, because the calls that
- * a new cut lets in come a few answers later, and doubling blindly swung
- * between a third of the capacity and three times as much, twice a second.
+ * Lowering: at once, to the number of calls served plus a surplus, because work
+ * is wasted in every window of delay.  The calls served are what the team is
+ * entitled to, however many it sent and however late its refusals come.  The
+ * surplus keeps the queue from running empty.
+ *
+ * Raising: by STEP_SHARE while the upstream is busy, and otherwise by half of
+ * the way to full use.  The whole way overshoots, because the calls that a
+ * raised cut admits arrive a few answers later.  Doubling the admitted calls
+ * made them oscillate between a third of the capacity and three times as much,
+ * twice per second.
  */
 
 #include <string.h>
@@ -31,51 +35,53 @@
 #include "decide/cuts.h"
 #include "loom/clock.h"
 
-/* A window needs WINDOW_CALLS of a team, or the longer time: at two calls in
- * 50 ms one refusal would read as a half. */
+/* A window needs WINDOW_CALLS_MIN calls of a team, or the longer time: with two
+ * calls in 50 ms, a single refusal would count as half of the calls. */
 #define WINDOW_US (UINT64_C(50) * LOOM_US_PER_MS)
-#define WINDOW_CALLS 20
+#define WINDOW_CALLS_MIN 20
 #define WINDOW_MAX_US (UINT64_C(200) * LOOM_US_PER_MS)
 
-/* A raised cut shows its effect after a report, a call and an answer. */
-#define RAISE_US (UINT64_C(100) * LOOM_US_PER_MS)
+/* A raised cut takes effect only after a report, a call and an answer. */
+#define RAISE_INTERVAL_US (UINT64_C(100) * LOOM_US_PER_MS)
 
-#define REFUSED_HIGH 0.10 /* of a team's calls: lower its cut */
-#define REFUSED_LOW 0.02 /* raise it */
-#define SURPLUS 0.05
+/* Shares of a team's calls that are refused: above the first its cut is
+ * lowered, at or below the second it is raised. */
+#define REFUSED_SHARE_LOWER 0.10
+#define REFUSED_SHARE_KEEP 0.02
+#define SURPLUS_SHARE 0.05
 #define SURPLUS_CALLS 2.0
 
-/* Steps are shares of what the team is let in with, turned into ranks by how
- * densely its calls lie at the cut. */
+/* Steps are shares of a team's offered calls.  They are converted to ranks by
+ * the density of its calls at the cut. */
 #define STEP_SHARE 0.05
 #define STEP_SHARE_MAX 2.0
-#define STEP_RANKS_MIN 4.0 /* where no call lies at the cut */
-#define ROOM_PART 0.5
-#define FULL 0.9 /* of the limit in use: busy */
+#define STEP_RANKS_MIN 4.0 /* where no calls lie at the cut */
+#define HEADROOM_SHARE 0.5
+#define BUSY_USED 0.9 /* of the limit in use: the upstream is busy */
 
-/* Teams watched at once; more than that share places by their hash, and a
- * place is given up as soon as its cut is open and a window went by. */
-#define PLACES 256 /* power of two */
+/* Size of the hash table of teams.  Teams with the same hash share an entry,
+ * which becomes free when it has no cut and no refusal in a window. */
+#define TEAM_ENTRIES 256 /* power of two */
 
-/* Ranks are counted in bins of this many. */
+/* Calls are counted in bins of this many ranks. */
 #define BIN_RANKS 32
 #define BINS (LOOM_CUT_NONE / BIN_RANKS)
 #define BINS_PER_LEVEL (LOOM_COHORTS / BIN_RANKS)
 
 struct team_cut {
 	uint64_t team_id;
-	uint64_t window_us; /* start; 0: the place is free */
+	uint64_t window_start_us; /* 0: the entry is free */
 	double cut;
-	uint64_t raised_us;
+	uint64_t last_raised_us;
 	uint32_t served;
 	uint32_t offered[BINS];
 	uint32_t refused[BINS];
 };
 
 struct loom_cuts {
-	struct team_cut places[PLACES];
+	struct team_cut teams[TEAM_ENTRIES];
 	uint64_t now_us; /* of the last tick */
-	uint32_t used; /* places that are not free */
+	uint32_t used; /* entries that are not free */
 };
 
 struct loom_cuts *
@@ -85,23 +91,23 @@
 }
 
 static struct team_cut *
-place_of(const struct loom_cuts *cuts, uint64_t team_id)
+entry_of(const struct loom_cuts *cuts, uint64_t team_id)
 {
 	return (struct team_cut *)&cuts
-	    ->places[(team_id ^ team_id >> 32) & (PLACES - 1)];
+	    ->teams[(team_id ^ team_id >> 32) & (TEAM_ENTRIES - 1)];
 }
 
-/* Two teams of one hash share the place of the first, and its cut: rare, and
- * over as soon as that cut is open again. */
+/* A team with the same hash as one in the table shares that entry and its cut.
+ * This is rare, and it ends when the entry becomes free. */
 static struct team_cut *
-take_place(struct loom_cuts *cuts, uint64_t team_id)
+find_or_claim_entry(struct loom_cuts *cuts, uint64_t team_id)
 {
-	struct team_cut *team = place_of(cuts, team_id);
+	struct team_cut *team = entry_of(cuts, team_id);
 
-	if (team->window_us == 0) {
+	if (team->window_start_us == 0) {
 		memset(team, 0, sizeof(*team));
 		team->team_id = team_id;
-		team->window_us = cuts->now_us > 0 ? cuts->now_us : 1;
+		team->window_start_us = cuts->now_us > 0 ? cuts->now_us : 1;
 		team->cut = LOOM_CUT_NONE;
 		cuts->used++;
 	}
@@ -117,31 +123,31 @@
 void
 loom_cuts_offered(struct loom_cuts *cuts, uint64_t team_id, uint16_t rank)
 {
-	take_place(cuts, team_id)->offered[bin_of(rank)]++;
+	find_or_claim_entry(cuts, team_id)->offered[bin_of(rank)]++;
 }
 
 void
 loom_cuts_served(struct loom_cuts *cuts, uint64_t team_id)
 {
-	take_place(cuts, team_id)->served++;
+	find_or_claim_entry(cuts, team_id)->served++;
 }
 
 void
 loom_cuts_refused(struct loom_cuts *cuts, uint64_t team_id, uint16_t rank)
 {
-	take_place(cuts, team_id)->refused[bin_of(rank)]++;
+	find_or_claim_entry(cuts, team_id)->refused[bin_of(rank)]++;
 }
 
 uint16_t
-loom_cuts_of(const struct loom_cuts *cuts, uint64_t team_id)
+loom_cuts_get(const struct loom_cuts *cuts, uint64_t team_id)
 {
-	const struct team_cut *team = place_of(cuts, team_id);
+	const struct team_cut *team = entry_of(cuts, team_id);
 
-	return team->window_us == 0 ? LOOM_CUT_NONE : (uint16_t)team->cut;
+	return team->window_start_us == 0 ? LOOM_CUT_NONE : (uint16_t)team->cut;
 }
 
 static double
-sum(const uint32_t counts[BINS])
+total_calls(const uint32_t counts[BINS])
 {
 	double total = 0;
 	int i;
@@ -151,23 +157,23 @@
 	return total;
 }
 
-/* The rank below which `volume` of the offered calls lie. */
+/* The rank below which ncalls of the offered calls lie. */
 static double
-rank_of_volume(const struct team_cut *team, double volume)
+rank_below_calls(const struct team_cut *team, double ncalls)
 {
 	int i;
 
 	for (i = 0; i < BINS; i++) {
-		if (volume < team->offered[i])
-			return (i + volume / team->offered[i]) * BIN_RANKS;
-		volume -= team->offered[i];
+		if (ncalls < team->offered[i])
+			return (i + ncalls / team->offered[i]) * BIN_RANKS;
+		ncalls -= team->offered[i];
 	}
 	return LOOM_CUT_NONE;
 }
 
-/* Where the most important level begins that was refused. */
+/* The lowest rank of the most important level that has a refused call. */
 static double
-lowest_cut(const struct team_cut *team)
+lowest_allowed_cut(const struct team_cut *team)
 {
 	int i;
 
@@ -179,22 +185,22 @@
 }
 
 static void
-lower(struct team_cut *team)
+lower_cut(struct team_cut *team)
 {
-	double cut, lowest = lowest_cut(team);
+	double cut, lowest_allowed = lowest_allowed_cut(team);
 
-	cut = rank_of_volume(
-	    team, team->served * (1.0 + SURPLUS) + SURPLUS_CALLS);
-	if (cut < lowest)
-		cut = lowest;
+	cut = rank_below_calls(
+	    team, team->served * (1.0 + SURPLUS_SHARE) + SURPLUS_CALLS);
+	if (cut < lowest_allowed)
+		cut = lowest_allowed;
 	if (cut < team->cut)
 		team->cut = cut;
 }
 
-/* Ranks that hold `volume` more calls, above the cut: as densely as those
- * of the last level below it lie. */
+/* Number of ranks above the cut that would hold ncalls more calls, if calls are
+ * as dense there as in the last level below the cut. */
 static double
-ranks_of_volume(const struct team_cut *team, double volume)
+ranks_holding_calls(const struct team_cut *team, double ncalls)
 {
 	int bin = (int)(team->cut / BIN_RANKS);
 	double calls = 0, ranks = 0;
@@ -206,7 +212,7 @@
 		if (calls > 0 && ranks >= LOOM_COHORTS)
 			break;
 	}
-	ranks = calls > 0 ? ranks * volume / calls : 0;
+	ranks = calls > 0 ? ranks * ncalls / calls : 0;
 	return ranks > STEP_RANKS_MIN ? ranks : STEP_RANKS_MIN;
 }
 
@@ -215,93 +221,94 @@
 {
 	double share;
 
-	if (used >= FULL)
+	if (used >= BUSY_USED)
 		return STEP_SHARE;
-	if (used < FULL / (1.0 + STEP_SHARE_MAX / ROOM_PART))
+	if (used < BUSY_USED / (1.0 + STEP_SHARE_MAX / HEADROOM_SHARE))
 		return STEP_SHARE_MAX;
-	share = (FULL / used - 1.0) * ROOM_PART;
+	share = (BUSY_USED / used - 1.0) * HEADROOM_SHARE;
 	return share > STEP_SHARE ? share : STEP_SHARE;
 }
 
 static void
 raise_cut(struct team_cut *team, double used, uint64_t now_us)
 {
-	double volume = sum(team->offered) * step_share(used);
+	double ncalls = total_calls(team->offered) * step_share(used);
 
-	team->cut += ranks_of_volume(team, volume);
+	team->cut += ranks_holding_calls(team, ncalls);
 	if (team->cut > LOOM_CUT_NONE)
 		team->cut = LOOM_CUT_NONE;
-	team->raised_us = now_us;
+	team->last_raised_us = now_us;
 }
 
 static void
-open_window(struct loom_cuts *cuts, struct team_cut *team)
+start_window(struct loom_cuts *cuts, struct team_cut *team)
 {
-	if (team->cut >= LOOM_CUT_NONE && sum(team->refused) == 0) {
-		team->window_us = 0;
+	if (team->cut >= LOOM_CUT_NONE && total_calls(team->refused) == 0) {
+		team->window_start_us = 0;
 		cuts->used--;
 		return;
 	}
 	team->served = 0;
 	memset(team->offered, 0, sizeof(team->offered));
 	memset(team->refused, 0, sizeof(team->refused));
-	team->window_us = cuts->now_us;
+	team->window_start_us = cuts->now_us;
 }
 
 static void
-tick_team(struct loom_cuts *cuts, struct team_cut *team, double used)
+update_team(struct loom_cuts *cuts, struct team_cut *team, double used)
 {
-	double offered = sum(team->offered);
-	double refused = sum(team->refused);
-	uint64_t age_us = cuts->now_us - team->window_us;
+	double offered = total_calls(team->offered);
+	double refused = total_calls(team->refused);
+	uint64_t age_us = cuts->now_us - team->window_start_us;
 
 	if (age_us < WINDOW_US)
 		return;
-	if (offered < WINDOW_CALLS && age_us < WINDOW_MAX_US &&
-	    (used >= FULL || refused > 0))
+	if (offered < WINDOW_CALLS_MIN && age_us < WINDOW_MAX_US &&
+	    (used >= BUSY_USED || refused > 0))
 		return;
-	/* Refusals of calls that waited for long come after the room. */
-	if (used < FULL)
+	/* While there is room, these are late refusals of calls that waited for
+	 * long. */
+	if (used < BUSY_USED)
 		refused = 0;
-	if (refused > REFUSED_HIGH * offered)
-		lower(team);
-	else if (refused > REFUSED_LOW * offered)
-		team->raised_us = cuts->now_us;
-	else if (cuts->now_us < team->raised_us + RAISE_US)
+	if (refused > REFUSED_SHARE_LOWER * offered)
+		lower_cut(team);
+	else if (refused > REFUSED_SHARE_KEEP * offered)
+		team->last_raised_us = cuts->now_us;
+	else if (cuts->now_us < team->last_raised_us + RAISE_INTERVAL_US)
 		return;
 	else
 		raise_cut(team, used, cuts->now_us);
-	open_window(cuts, team);
+	start_window(cuts, team);
 }
 
 void
-loom_cuts_forget(struct loom_cuts *cuts, uint64_t now_us)
+loom_cuts_restart_windows(struct loom_cuts *cuts, uint64_t now_us)
 {
 	uint32_t i;
 
 	cuts->now_us = now_us;
-	for (i = 0; i < PLACES && cuts->used > 0; i++) {
-		if (cuts->places[i].window_us != 0)
-			open_window(cuts, &cuts->places[i]);
+	for (i = 0; i < TEAM_ENTRIES && cuts->used > 0; i++) {
+		if (cuts->teams[i].window_start_us != 0)
+			start_window(cuts, &cuts->teams[i]);
 	}
 }
 
 bool
 loom_cuts_tick(struct loom_cuts *cuts, double used, uint64_t now_us)
 {
-	bool in_force = false;
+	bool any_in_force = false;
 	uint32_t i;
 
 	cuts->now_us = now_us;
 	if (cuts->used == 0)
 		return false;
-	for (i = 0; i < PLACES; i++) {
-		if (cuts->places[i].window_us == 0)
+	for (i = 0; i < TEAM_ENTRIES; i++) {
+		if (cuts->teams[i].window_start_us == 0)
 			continue;
-		tick_team(cuts, &cuts->places[i], used);
-		if (cuts->places[i].window_us != 0 &&
-		    cuts->places[i].cut < LOOM_CUT_NONE)
-			in_force = true;
+		update_team(cuts, &cuts->teams[i], used);
+		if (cuts->teams[i].window_start_us != 0 &&
+		    cuts->teams[i].cut < LOOM_CUT_NONE)
+			any_in_force = true;
 	}
-	return in_force;
+	return any_in_force;
 }
--- a/src/decide/shed.c
+++ b/src/decide/shed.c
@@ -1,24 +1,26 @@
 /*
- * Shedding at the entry, by the thresholds that executors report.
+ * Load shedding at the entry, by the thresholds (cuts) that executors report.
  *
- * Answers: a deep service that is slow or saturated.  Without it the chain in
- * front does all its work for a request that the last hop then refuses: at 3x
- * the load two thirds of what the chain does is wasted, and the refusal comes
- * late, when the caller has sent again.
+ * When a service deep in the call chain is slow or saturated, the services
+ * before it would do all their work for a request that the last hop refuses.
+ * At three times the capacity two thirds of that work is wasted, and the
+ * refusal arrives so late that the caller has already sent the request again.
  *
- * Rank is importance, then a cohort made of the root request.  The cohort is
- * the same at each hop, so that two overloaded hops shed the same requests; by
- * independent chance two hops that each keep half would finish a quarter.
+ * A rank is the importance, then a cohort derived from the root request.  The
+ * cohort is the same at each hop, so that two overloaded hops shed the same
+ * requests.  If each of two hops kept a random half, only a quarter of the
+ * requests would finish.
  *
- * A cut belongs to a service and a team: what an executor refuses of one team
- * says nothing about another that is within its share.  The targets of one
- * service report different cuts; the mean over the last few is what the
- * service as a whole can take, since calls are spread over them.
+ * A cut belongs to a service and a team: refusals of one team's calls say
+ * nothing about another team that stays within its share.  The targets of one
+ * service report different cuts; calls are spread over the targets, so the mean
+ * of the last few reports is what the service as a whole can take.
  *
- * A cut that is no longer refreshed rises by itself: a report is as old as the
- * last answer, and an entry that sends nothing would never learn that the
- * overload has ended.  Besides, after each PROBE_US without a report one call
- * goes through: at most ten a second for each team, service and worker.
+ * A cut that is not refreshed rises by itself.  A report is as old as the last
+ * answer, and an entry that sends nothing would never learn that the overload
+ * is over.  In addition, one call passes as a probe after each
+ * PROBE_INTERVAL_US without a report: at most ten per second for each team,
+ * service and worker.
  */
 
 #include <string.h>
@@ -28,43 +30,47 @@
 #include "loom/returns.h"
 #include "loom/shed.h"
 
-/* A cut is the mean over about four reports, for the targets of a service,
- * or over the last 100 ms, when reports are rarer: a small team's ten answers
- * a second took over a second to learn that the overload had ended. */
-#define REPORT_WEIGHT 0.25
+/* A cut is the mean over about four reports, for the several targets of a
+ * service, or over the last 100 ms when reports are rarer.  Without the second
+ * rule, a small team with ten answers per second took over a second to learn
+ * that the overload was over. */
+#define REPORT_WEIGHT_MIN 0.25
 #define REPORT_TAU_US (100.0 * LOOM_US_PER_MS)
 
-/* A cut stands this long without a report: several answers' times even of a
- * slow service, so that a lull of one team does not open the gate. */
-#define REFRESH_US (UINT64_C(500) * LOOM_US_PER_MS)
+/* A cut stays in force this long without a report: the time of several answers
+ * even of a slow service, so that a short pause in one team's calls does not
+ * lift its cut. */
+#define CUT_FRESH_US (UINT64_C(500) * LOOM_US_PER_MS)
 
-/* Then it opens from wherever it stood within this time. */
-#define REOPEN_US (UINT64_C(500) * LOOM_US_PER_MS)
+/* Then it rises to LOOM_CUT_NONE within this time. */
+#define CUT_EXPIRY_US (UINT64_C(500) * LOOM_US_PER_MS)
 
-#define PROBE_US (UINT64_C(100) * LOOM_US_PER_MS)
+#define PROBE_INTERVAL_US (UINT64_C(100) * LOOM_US_PER_MS)
 
-/* Cuts in force at once; each costs 88 bytes.  Beyond them the oldest is
- * forgotten, which costs one refusal by the executor to learn it again. */
+/* Number of cuts kept, at 88 bytes each.  A new cut replaces the one of its set
+ * with the oldest report, which costs one refusal by the executor to learn
+ * again. */
 #define ENTRIES 1024 /* power of two */
-#define WAYS 4 /* places that one (service, team) may have */
+#define WAYS 4 /* entries in the set of a (service, team) */
 
-/* Rate by which returns are spaced until one was seen. */
-#define PASSED_TAU_US (1.0 * LOOM_US_PER_S)
+/* Averaging time of the rate of admitted calls, by which Retry-After spaces the
+ * returns; after a longer gap the rate starts again at one per second. */
+#define ADMITTED_TAU_US (1.0 * LOOM_US_PER_S)
 
 struct shed_entry {
 	uint64_t service_id;
 	uint64_t team_id;
 	double cut;
-	double passed_per_s; /* calls let through, smoothed */
-	uint64_t passed_us;
-	uint64_t reported_us; /* 0: the place is free */
-	uint64_t probed_us;
+	double admitted_per_s; /* smoothed rate */
+	uint64_t last_admitted_us;
+	uint64_t last_report_us; /* 0: the entry is free */
+	uint64_t last_probe_us;
 	struct loom_returns returns;
 };
 
 struct loom_shed {
 	struct loom_random random;
-	uint32_t used; /* entries; 0 on an ordinary day, and then all pass */
+	uint32_t used; /* entries in use; usually 0, and then all calls pass */
 	struct shed_entry entries[ENTRIES];
 };
 
@@ -85,7 +91,7 @@
 }
 
 static struct shed_entry *
-set_of(const struct loom_shed *shed, uint64_t service_id, uint64_t team_id)
+entry_set(const struct loom_shed *shed, uint64_t service_id, uint64_t team_id)
 {
 	uint64_t set =
 	    mix_murmur(service_id ^ mix_murmur(team_id)) % (ENTRIES / WAYS);
@@ -94,13 +100,13 @@
 }
 
 static struct shed_entry *
-find(const struct loom_shed *shed, uint64_t service_id, uint64_t team_id)
+find_entry(const struct loom_shed *shed, uint64_t service_id, uint64_t team_id)
 {
-	struct shed_entry *set = set_of(shed, service_id, team_id);
+	struct shed_entry *set = entry_set(shed, service_id, team_id);
 	int i;
 
 	for (i = 0; i < WAYS; i++) {
-		if (set[i].reported_us != 0 &&
+		if (set[i].last_report_us != 0 &&
 		    set[i].service_id == service_id &&
 		    set[i].team_id == team_id)
 			return &set[i];
@@ -109,20 +115,20 @@
 }
 
 static struct shed_entry *
-find_or_make(struct loom_shed *shed, uint64_t service_id, uint64_t team_id)
+find_or_add(struct loom_shed *shed, uint64_t service_id, uint64_t team_id)
 {
-	struct shed_entry *entry = find(shed, service_id, team_id);
-	struct shed_entry *set = set_of(shed, service_id, team_id);
+	struct shed_entry *entry = find_entry(shed, service_id, team_id);
+	struct shed_entry *set = entry_set(shed, service_id, team_id);
 	int i;
 
 	if (entry != NULL)
 		return entry;
 	entry = &set[0];
 	for (i = 1; i < WAYS; i++) {
-		if (set[i].reported_us < entry->reported_us)
+		if (set[i].last_report_us < entry->last_report_us)
 			entry = &set[i];
 	}
-	shed->used += entry->reported_us == 0;
+	shed->used += entry->last_report_us == 0;
 	memset(entry, 0, sizeof(*entry));
 	entry->service_id = service_id;
 	entry->team_id = team_id;
@@ -131,58 +137,59 @@
 }
 
 static void
-forget(struct loom_shed *shed, struct shed_entry *entry)
+remove_entry(struct loom_shed *shed, struct shed_entry *entry)
 {
-	entry->reported_us = 0;
+	entry->last_report_us = 0;
 	shed->used--;
 }
 
-/* The cut with its rise since the last report. */
+/* The cut, including its rise since the last report. */
 static double
-cut_now(const struct shed_entry *entry, uint64_t now_us)
+current_cut(const struct shed_entry *entry, uint64_t now_us)
 {
-	double open;
+	double expired;
 
-	if (now_us <= entry->reported_us + REFRESH_US)
+	if (now_us <= entry->last_report_us + CUT_FRESH_US)
 		return entry->cut;
-	open = (double)(now_us - entry->reported_us - REFRESH_US) / REOPEN_US;
-	if (open >= 1.0)
+	expired = (double)(now_us - entry->last_report_us - CUT_FRESH_US) /
+	    CUT_EXPIRY_US;
+	if (expired >= 1.0)
 		return LOOM_CUT_NONE;
-	return entry->cut + (LOOM_CUT_NONE - entry->cut) * open;
+	return entry->cut + (LOOM_CUT_NONE - entry->cut) * expired;
 }
 
 uint16_t
 loom_shed_cut(const struct loom_shed *shed, uint64_t service_id,
     uint64_t team_id, uint64_t now_us)
 {
-	const struct shed_entry *entry = find(shed, service_id, team_id);
+	const struct shed_entry *entry = find_entry(shed, service_id, team_id);
 
 	if (entry == NULL)
 		return LOOM_CUT_NONE;
-	return (uint16_t)cut_now(entry, now_us);
+	return (uint16_t)current_cut(entry, now_us);
 }
 
-/* Smoothed rate of calls let through. */
+/* Adds an admitted call to the smoothed rate. */
 static void
-count_passed(struct shed_entry *entry, uint64_t now_us)
+count_admitted(struct shed_entry *entry, uint64_t now_us)
 {
-	double gap_us = (double)(now_us - entry->passed_us);
+	double gap_us = (double)(now_us - entry->last_admitted_us);
 	double keep;
 
-	if (gap_us >= PASSED_TAU_US) {
-		entry->passed_per_s = 1.0;
+	if (gap_us >= ADMITTED_TAU_US) {
+		entry->admitted_per_s = 1.0;
 	} else {
-		keep = 1.0 - gap_us / PASSED_TAU_US;
-		entry->passed_per_s = entry->passed_per_s * keep + 1.0;
+		keep = 1.0 - gap_us / ADMITTED_TAU_US;
+		entry->admitted_per_s = entry->admitted_per_s * keep + 1.0;
 	}
-	entry->passed_us = now_us;
+	entry->last_admitted_us = now_us;
 }
 
 static bool
 probe_due(const struct shed_entry *entry, uint64_t now_us)
 {
-	return now_us >= entry->reported_us + PROBE_US &&
-	    now_us >= entry->probed_us + PROBE_US;
+	return now_us >= entry->last_report_us + PROBE_INTERVAL_US &&
+	    now_us >= entry->last_probe_us + PROBE_INTERVAL_US;
 }
 
 enum loom_result
@@ -195,25 +202,25 @@
 	uint32_t i;
 
 	for (i = 0; i < nservices && shed->used > 0; i++) {
-		entry = find(shed, service_ids[i], team_id);
+		entry = find_entry(shed, service_ids[i], team_id);
 		if (entry == NULL)
 			continue;
-		cut = cut_now(entry, now_us);
+		cut = current_cut(entry, now_us);
 		if (cut >= LOOM_CUT_NONE) {
-			forget(shed, entry);
+			remove_entry(shed, entry);
 			continue;
 		}
 		if (rank < cut) {
-			count_passed(entry, now_us);
+			count_admitted(entry, now_us);
 			continue;
 		}
 		if (probe_due(entry, now_us)) {
-			entry->probed_us = now_us;
+			entry->last_probe_us = now_us;
 			continue;
 		}
 		*retry_after_us = loom_returns_after(&entry->returns,
 		    (enum loom_importance)(rank / LOOM_COHORTS),
-		    entry->passed_per_s, &shed->random, now_us);
+		    entry->admitted_per_s, &shed->random, now_us);
 		return LOOM_OVERLOAD;
 	}
 	return LOOM_OK;
@@ -222,10 +229,10 @@
 static double
 report_weight(const struct shed_entry *entry, uint64_t now_us)
 {
-	double gap_us = (double)(now_us - entry->reported_us);
+	double gap_us = (double)(now_us - entry->last_report_us);
 	double weight = gap_us / (gap_us + REPORT_TAU_US);
 
-	return weight > REPORT_WEIGHT ? weight : REPORT_WEIGHT;
+	return weight > REPORT_WEIGHT_MIN ? weight : REPORT_WEIGHT_MIN;
 }
 
 void
@@ -238,12 +245,12 @@
 	if (cut > LOOM_CUT_NONE)
 		cut = LOOM_CUT_NONE;
 	if (cut == LOOM_CUT_NONE &&
-	    find(shed, threshold->service_id, team_id) == NULL)
+	    find_entry(shed, threshold->service_id, team_id) == NULL)
 		return;
-	entry = find_or_make(shed, threshold->service_id, team_id);
-	entry->cut = cut_now(entry, now_us);
+	entry = find_or_add(shed, threshold->service_id, team_id);
+	entry->cut = current_cut(entry, now_us);
 	entry->cut += (cut - entry->cut) * report_weight(entry, now_us);
-	entry->reported_us = now_us;
+	entry->last_report_us = now_us;
 	if (entry->cut > LOOM_CUT_NONE - 1)
-		forget(shed, entry);
+		remove_entry(shed, entry);
 }
--- a/tests/decide/test_queue.c
+++ b/tests/decide/test_queue.c
@@ -186,13 +186,13 @@
 test_many_teams(void)
 {
 	struct loom_queue *queue = loom_queue_new(NULL, 4);
-	struct loom_waiting calls[4], *next_call;
+	struct loom_waiting calls[4], *call;
 	uint64_t team;
 
 	for (team = 0; team < 3000; team++) {
-		next_call = &calls[team % 4];
-		*next_call = (struct loom_waiting){ .team_id = team * 128 };
-		CU_ASSERT_PTR_NULL(loom_queue_push(queue, next_call, 0));
+		call = &calls[team % 4];
+		*call = (struct loom_waiting){ .team_id = team * 128 };
+		CU_ASSERT_PTR_NULL(loom_queue_push(queue, call, 0));
 		if (team >= 3)
 			CU_ASSERT_PTR_NOT_NULL(loom_queue_pop(queue));
 	}
