--- a/src/decide/admission.c
+++ b/src/decide/admission.c
@@ -1,29 +1,31 @@
 /*
- * What one upstream takes in, lets wait and turns away.
+ * Admission control in front of one upstream.
  *
- * Answers: saturation, by a surge or by an upstream that slows.  Without it
- * calls queue inside the upstream until each is served after its caller has
- * given up: full work, no goodput, and callers who send again.
+ * A surge, or an upstream that slows down, saturates the upstream.  Without
+ * admission control, calls queue inside the upstream until each is served after
+ * its caller has given up: it is fully loaded with no goodput, and callers
+ * retry.
  *
- * Refused at once: a call that cannot end within its deadline by the measured
- * pace, and what a full queue displaces.  Of those that wait, each is looked at
- * again every tick and refused as soon as it is given up, not when its deadline
- * comes near: its caller has the most time left then to go elsewhere.  It is
- * given up when
+ * Two kinds of calls are refused at once: a call that cannot finish before its
+ * deadline by the measured times, and a call that a full queue displaces.  Each
+ * waiting call is checked again every tick and refused as soon as it has no
+ * good prospect, rather than when its deadline is near, since its caller then
+ * has the most time left to go elsewhere.  That is the case when
  *
- * - its turns and its own time no longer fit its deadline, because more
- *   important calls came or the upstream has slowed;
- * - it has waited for the standing time, and for many turns only more
- *   important calls were served: they take all that there is;
- * - it has waited for the standing time and the delay stands.  A queue that
- *   has delayed calls by more than a service time for that long is no burst:
- *   every place in it only adds delay, so the newest go first;
- * - the queue has room for fewer than wait.
+ * - the calls ahead of it and its own time no longer fit its deadline, because
+ *   more important calls have come or the upstream has slowed down;
+ * - it has waited for the standing time, and many consecutive calls served were
+ *   all more important: those take the whole capacity;
+ * - it has waited for the standing time, and the queue is a standing one, which
+ *   has not been short for the standing time.  Such a queue is no burst and
+ *   only adds delay, so the newest calls are served first;
+ * - more calls wait than the bound allows.
  *
- * The standing time is 100 ms, a quarter of what a person notices, and at
- * least one service time, below which a queue cannot be told from a burst.
- * That the queue is merely never empty is no sign: close to saturation a few
- * calls always wait, and newest first then starves the unlucky ones.
+ * The standing time is 100 ms, a quarter of the delay that people notice, but
+ * at least one service time, below which a standing queue cannot be told from a
+ * burst.  That a queue never becomes empty does not make it a standing one:
+ * close to saturation a few calls always wait, and serving the newest first
+ * would then starve those that wait.
  */
 
 #include <glib.h>
@@ -36,72 +38,77 @@
 #include "loom/keep.h"
 #include "loom/returns.h"
 
-#define STANDING_US (UINT64_C(100) * LOOM_US_PER_MS)
+#define STANDING_TIME_MIN_US (UINT64_C(100) * LOOM_US_PER_MS)
 
-/* The queue kept then, for each call that may run.  One for one, and small
- * teams and important calls no longer found room at 15 slots (the worst team
- * under a flood fell from 1.00 to 0.84 of its share). */
-#define STANDING_QUEUE 2.0
+/* Bound of a standing queue, per call that may run.  At 1.0, small teams and
+ * important calls no longer found room at 15 slots: under a flood the worst
+ * team fell from 1.00 to 0.84 of its share. */
+#define STANDING_QUEUE_PER_SLOT 2.0
 
-/* So many turns in a row went to more important calls, and at least as many as
- * run: those take all that there is.  Where they take four fifths of it, 32 in
- * a row are one in a thousand, but four in a row two in five, and at a limit
- * of 4 that refused calls whose turn came (contention at derwent fell from
- * 0.88 to 0.84, over 12 seeds). */
+/* A call is starved when this many consecutive turns, and at least as many as
+ * the limit, went to more important calls.  The limit alone is too small a
+ * number: where more important calls take four fifths of the capacity, 32 in a
+ * row have a probability of one in a thousand, but four in a row of two in
+ * five.  At a limit of 4 that refused calls which would have been served, and
+ * the contention case of the load benchmark fell from 0.88 to 0.84 at derwent,
+ * over 12 seeds. */
 #define STARVED_TURNS 32
 
-/* A call that failed is a measurement when it took this many times what its
- * class takes: an upstream that hangs answers nothing else. */
-#define FAILED_SLOW 2.0
+/* A failed call counts as a latency sample when it took at least this many
+ * times the expected time of its class, since an upstream that hangs gives no
+ * other answers. */
+#define FAILED_SLOW_FACTOR 2.0
 
-/* Calls inside, smoothed over about four ticks (40 ms). */
-#define INSIDE_WEIGHT 0.25
+/* Smooths the calls in flight over about four ticks (40 ms). */
+#define IN_FLIGHT_WEIGHT 0.25
 
 /*
- * Of a worker's time, where the daemon counts as full.  The rest is left to
- * the thread that reads the platform: beside a worker that never waits it put
- * a new manifest in force 2.1 s late, and work ran by the old one.
+ * Share of a worker thread's time at which the daemon counts as full.  The rest
+ * is left to the thread that reads from the platform: next to a worker that
+ * never waited, a new manifest came into force 2.1 s late, and calls were
+ * handled by the old one.
  */
 #define BUSY_FULL 0.8
 
-/* A loop that rests now and then, or whose host stands still for the rest of a
- * tenth of a second, comes to an event after so long. */
-#define LAG_USUAL_US (20.0 * LOOM_US_PER_MS)
-/* This much more is a queue as long as the limit. */
+/* Event loop lag that is normal when the loop is idle now and then, or when its
+ * host is suspended for the rest of a period of 100 ms. */
+#define LAG_NORMAL_US (20.0 * LOOM_US_PER_MS)
+/* This much more lag counts as a queue as long as the limit. */
 #define LAG_FULL_US (100.0 * LOOM_US_PER_MS)
 
 #define MILLION 1000000U
 #define THOUSAND 1000U
 
 struct loom_admission {
-	struct loom_gate gate; /* the fast path's cache line */
-	char pad[64];
+	struct loom_gate gate;
+	char pad[64]; /* the fast path's gate has its own cache line */
 	struct loom_limit limit;
 	struct loom_queue *queue;
 	struct loom_cuts *cuts;
 	struct loom_keep_control keep;
-	atomic_uint keep_millionths; /* its share, for any thread */
+	atomic_uint keep_share_millionths; /* keep.share, for any thread */
 	atomic_uint busy_thousandths;
 	atomic_uint lag_us;
 	atomic_uint used_thousandths; /* of the limit, at the last tick */
 	struct loom_returns returns;
 	struct loom_admission_settings settings;
 	atomic_bool shedding; /* some cut is in force */
-	uint64_t calm_us; /* when the delay was last short */
-	uint64_t critical_calm_us; /* the same of critical calls */
-	bool critical_stands; /* their delay does */
-	uint64_t lesser_us; /* when a lesser one last found no room */
-	double inside; /* smoothed over ticks */
+	uint64_t last_short_us; /* when the queue was last short */
+	uint64_t critical_last_short_us; /* as above, of critical calls */
+	bool critical_standing; /* critical calls alone form a standing queue */
+	/* When a less important call last found no free slot. */
+	uint64_t last_noncritical_us;
+	double mean_in_flight; /* smoothed over ticks */
 	bool newest_first;
 };
 
-/* What a sweep needs to know. */
+/* Context of one sweep over the queue. */
 struct sweep {
 	struct loom_admission *adm;
 	struct loom_moved *moved;
 	uint64_t now_us;
-	double turn_us; /* between two calls that begin to run */
-	enum loom_result code; /* why the call at hand must leave */
+	double dispatch_interval_us; /* mean time between two starts of calls */
+	enum loom_result code; /* why the call being checked must be refused */
 };
 
 static void
@@ -138,71 +145,78 @@
 	adm->queue = loom_queue_new(adm, settings->queue);
 	adm->cuts = loom_cuts_new(adm);
 	loom_keep_control_init(&adm->keep, now_us);
-	atomic_store(&adm->keep_millionths, MILLION);
-	adm->calm_us = now_us;
-	adm->critical_calm_us = now_us;
+	atomic_store(&adm->keep_share_millionths, MILLION);
+	adm->last_short_us = now_us;
+	adm->critical_last_short_us = now_us;
 	loom_limit_init(&adm->limit, &settings->limit, now_us);
 	loom_gate_init(&adm->gate, 1);
 	update_limit(adm, now_us);
 	return adm;
 }
 
-/* The limit in force once a trial, over in three service times, has ended. */
+/* The limit without the effect of a trial, which lasts only three service
+ * times. */
 static double
-lasting_limit(const struct loom_admission *adm)
+steady_limit(const struct loom_admission *adm)
 {
 	if (adm->limit.phase != LOOM_LIMIT_STEADY)
 		return adm->limit.pre_trial_limit;
 	return adm->limit.limit;
 }
 
-/* Between two calls that begin to run. */
+/* Mean time between two starts of calls. */
 static double
-turn_us(const struct loom_admission *adm)
+dispatch_interval_us(const struct loom_admission *adm)
 {
-	return adm->limit.mean_latency_us / lasting_limit(adm);
+	return adm->limit.mean_latency_us / steady_limit(adm);
 }
 
 static uint64_t
-standing_us(const struct loom_admission *adm)
+standing_time_us(const struct loom_admission *adm)
 {
 	uint64_t mean_latency_us = (uint64_t)adm->limit.mean_latency_us;
 
-	return mean_latency_us > STANDING_US ? mean_latency_us : STANDING_US;
+	return mean_latency_us > STANDING_TIME_MIN_US ? mean_latency_us
+						      : STANDING_TIME_MIN_US;
 }
 
-/* As many wait as run: they take one service time. */
+/* A queue is short while no more calls wait than run: they take one service
+ * time. */
 static bool
-is_calm_from(const struct loom_admission *adm, enum loom_importance importance)
+is_queue_short_from(
+    const struct loom_admission *adm, enum loom_importance importance)
 {
 	return loom_queue_length_from(adm->queue, importance) <=
 	    (uint32_t)adm->limit.limit;
 }
 
 /*
- * Newest first only so many are kept as can still be of use: of a queue with
- * room for 1000 the rest waited until their deadlines came near, 82 ms in the
- * mean of deadlines of 100 ms, to be refused then.
+ * Sets the order and the bounds of the queue.  While it serves the newest
+ * first, only as many calls are kept as can still be useful.  In a queue with
+ * room for 1000, the others waited until their deadlines were near: 82 ms on
+ * average, of a deadline of 100 ms, and were then refused.
  *
- * Critical calls wait for each other alone, whatever lesser work stands behind
- * them, so their order and bound change only when their own delay stands.
- * Newest first and held to the short bound with the rest, 2 to 9% of them were
- * refused at four hosts of two slots, after 100 ms of a deadline of three
- * seconds, while they were all that ran.
+ * Critical calls wait only for each other, however many less important calls
+ * are behind them, so their order and bound change only when they form a
+ * standing queue by themselves.  When they were served newest first and held to
+ * the short bound with the others, 2 to 9% of them were refused at four hosts
+ * of two slots, after 100 ms of a deadline of three seconds, although no other
+ * calls ran.
  */
 static void
 set_newest_first(struct loom_admission *adm, bool newest_first)
 {
-	uint32_t useful = (uint32_t)(STANDING_QUEUE * lasting_limit(adm));
+	uint32_t useful_calls =
+	    (uint32_t)(STANDING_QUEUE_PER_SLOT * steady_limit(adm));
 	enum loom_importance from = LOOM_CRITICAL;
 	uint32_t bound = adm->settings.queue;
 	uint32_t critical_bound;
 
 	adm->newest_first = newest_first;
-	if (newest_first && bound > useful)
-		bound = useful;
+	if (newest_first && bound > useful_calls)
+		bound = useful_calls;
 	critical_bound = bound;
-	if (newest_first && !adm->critical_stands) {
+	if (newest_first && !adm->critical_standing) {
 		from = LOOM_HIGH;
 		critical_bound = adm->settings.queue;
 	}
@@ -251,39 +265,43 @@
 }
 
 static void
-refuse(struct loom_admission *adm, struct loom_waiting *w,
+refuse(struct loom_admission *adm, struct loom_waiting *call,
     enum loom_result code, uint64_t now_us)
 {
-	w->code = code;
-	w->cut = cut_of(adm, w->team_id);
-	w->retry_after_us = loom_returns_after(&adm->returns, w->importance,
-	    loom_limit_drain_per_s(&adm->limit), &adm->settings.random, now_us);
+	call->code = code;
+	call->cut = cut_of(adm, call->team_id);
+	call->retry_after_us = loom_returns_after(&adm->returns,
+	    call->importance, loom_limit_drain_per_s(&adm->limit),
+	    &adm->settings.random, now_us);
 }
 
-/* The call must leave because of others, so its team's cut counts it. */
+/* Refuses a call because of the load by others, which counts for the cut of its
+ * team. */
 static void
-refuse_for_load(struct loom_admission *adm, struct loom_waiting *w,
+refuse_and_count(struct loom_admission *adm, struct loom_waiting *call,
     enum loom_result code, uint64_t now_us)
 {
-	loom_cuts_refused(adm->cuts, w->team_id, w->rank);
-	refuse(adm, w, code, now_us);
+	loom_cuts_refused(adm->cuts, call->team_id, call->rank);
+	refuse(adm, call, code, now_us);
 }
 
 static uint64_t
-service_us(const struct loom_admission *adm, const struct loom_waiting *w)
+expected_service_us(
+    const struct loom_admission *adm, const struct loom_waiting *call)
 {
-	return (uint64_t)loom_limit_service_us(&adm->limit, w->call_class);
+	return (uint64_t)loom_limit_service_us(&adm->limit, call->call_class);
 }
 
 static bool
-too_late(const struct loom_admission *adm, const struct loom_waiting *w,
-    uint64_t now_us)
+misses_deadline(const struct loom_admission *adm,
+    const struct loom_waiting *call, uint64_t now_us)
 {
-	return now_us + service_us(adm, w) > w->deadline_us;
+	return now_us + expected_service_us(adm, call) > call->deadline_us;
 }
 
 static uint64_t
-expected_wait_us(const struct loom_admission *adm, const struct loom_waiting *w)
+expected_wait_us(
+    const struct loom_admission *adm, const struct loom_waiting *call)
 {
 	double drain = loom_limit_drain_per_s(&adm->limit);
 	uint32_t ahead;
@@ -291,119 +309,122 @@
 	if (drain <= 0)
 		return 0;
 	ahead = loom_queue_ahead(
-	    adm->queue, w->team_id, w->team_weight, w->importance);
+	    adm->queue, call->team_id, call->team_weight, call->importance);
 	return (uint64_t)(ahead / drain * (double)LOOM_US_PER_S);
 }
 
+/* The queue is short, so it is served oldest first. */
 static void
-note_calm(struct loom_admission *adm, uint64_t now_us)
+on_queue_short(struct loom_admission *adm, uint64_t now_us)
 {
-	adm->calm_us = now_us;
+	adm->last_short_us = now_us;
 	if (adm->newest_first)
 		set_newest_first(adm, false);
 }
 
 static void
-note_empty(struct loom_admission *adm, uint64_t now_us)
+on_queue_empty(struct loom_admission *adm, uint64_t now_us)
 {
-	note_calm(adm, now_us);
+	on_queue_short(adm, now_us);
 	if (!atomic_load_explicit(&adm->shedding, memory_order_relaxed))
 		loom_gate_set_watch(&adm->gate, false);
 }
 
-/* Hand room to those that wait. */
+/* Admits waiting calls while there are free slots. */
 static void
-pump(struct loom_admission *adm, uint64_t now_us, struct loom_moved *moved)
+dispatch_waiting(
+    struct loom_admission *adm, uint64_t now_us, struct loom_moved *moved)
 {
-	struct loom_waiting *w;
+	struct loom_waiting *call;
 
 	while (loom_queue_length(adm->queue) > 0 &&
 	    loom_gate_enter_watched(&adm->gate)) {
-		w = loom_queue_pop(adm->queue);
-		if (!too_late(adm, w, now_us)) {
-			loom_cuts_served(adm->cuts, w->team_id);
-			loom_moved_go(moved, w);
+		call = loom_queue_pop(adm->queue);
+		if (!misses_deadline(adm, call, now_us)) {
+			loom_cuts_served(adm->cuts, call->team_id);
+			loom_moved_go(moved, call);
 			continue;
 		}
 		loom_gate_leave(&adm->gate);
-		refuse_for_load(adm, w, LOOM_QUEUE_DEADLINE, now_us);
-		loom_moved_refuse(moved, w);
+		refuse_and_count(adm, call, LOOM_QUEUE_DEADLINE, now_us);
+		loom_moved_refuse(moved, call);
 	}
 	if (loom_queue_length(adm->queue) == 0)
-		note_empty(adm, now_us);
+		on_queue_empty(adm, now_us);
 }
 
 static enum loom_admit
-wait_in_queue(struct loom_admission *adm, struct loom_waiting *w,
-    uint64_t now_us, struct loom_moved *moved)
+enqueue(struct loom_admission *adm, struct loom_waiting *call, uint64_t now_us,
+    struct loom_moved *moved)
 {
 	struct loom_waiting *displaced;
 
-	displaced = loom_queue_push(adm->queue, w, now_us);
+	displaced = loom_queue_push(adm->queue, call, now_us);
 	if (displaced == NULL)
 		return LOOM_QUEUED;
-	refuse_for_load(adm, displaced, LOOM_OVERLOAD, now_us);
-	if (displaced == w)
+	refuse_and_count(adm, displaced, LOOM_OVERLOAD, now_us);
+	if (displaced == call)
 		return LOOM_REFUSED;
 	loom_moved_refuse(moved, displaced);
 	return LOOM_QUEUED;
 }
 
 static enum loom_admit
-offer_slow(struct loom_admission *adm, struct loom_waiting *w, uint64_t now_us,
-    struct loom_moved *moved)
+offer_slow(struct loom_admission *adm, struct loom_waiting *call,
+    uint64_t now_us, struct loom_moved *moved)
 {
-	loom_cuts_offered(adm->cuts, w->team_id, w->rank);
-	if (w->importance != LOOM_CRITICAL)
-		adm->lesser_us = now_us;
-	if (too_late(adm, w, now_us)) {
-		refuse(adm, w, LOOM_QUEUE_DEADLINE, now_us);
+	loom_cuts_offered(adm->cuts, call->team_id, call->rank);
+	if (call->importance != LOOM_CRITICAL)
+		adm->last_noncritical_us = now_us;
+	if (misses_deadline(adm, call, now_us)) {
+		refuse(adm, call, LOOM_QUEUE_DEADLINE, now_us);
 		return LOOM_REFUSED;
 	}
-	/* The flag first, then a last look for room: see gate.c. */
+	/* Sets the flag before the last check for a free slot, see gate.c; and
+	 * again where dispatch_waiting() has cleared it for an empty queue. */
 	loom_gate_set_watch(&adm->gate, true);
-	pump(adm, now_us, moved);
+	dispatch_waiting(adm, now_us, moved);
 	if (loom_queue_length(adm->queue) == 0) {
 		loom_gate_set_watch(&adm->gate, true);
 		if (loom_gate_enter_watched(&adm->gate)) {
-			loom_cuts_served(adm->cuts, w->team_id);
-			note_empty(adm, now_us);
+			loom_cuts_served(adm->cuts, call->team_id);
+			on_queue_empty(adm, now_us);
 			return LOOM_ADMITTED;
 		}
 	}
-	if (too_late(adm, w, now_us + expected_wait_us(adm, w))) {
-		refuse_for_load(adm, w, LOOM_QUEUE_DEADLINE, now_us);
+	if (misses_deadline(adm, call, now_us + expected_wait_us(adm, call))) {
+		refuse_and_count(adm, call, LOOM_QUEUE_DEADLINE, now_us);
 		return LOOM_REFUSED;
 	}
-	return wait_in_queue(adm, w, now_us, moved);
+	return enqueue(adm, call, now_us, moved);
 }
 
 enum loom_admit
-loom_admission_offer(struct loom_admission *adm, struct loom_waiting *w,
+loom_admission_offer(struct loom_admission *adm, struct loom_waiting *call,
     uint64_t now_us, struct loom_moved *moved)
 {
 	enum loom_admit verdict;
 
-	w->code = LOOM_OK;
-	w->cut = LOOM_CUT_NONE;
-	w->retry_after_us = 0;
-	w->team = NULL;
+	call->code = LOOM_OK;
+	call->cut = LOOM_CUT_NONE;
+	call->retry_after_us = 0;
+	call->team = NULL;
 	if (loom_gate_enter(&adm->gate))
 		return LOOM_ADMITTED;
 	lock(adm);
-	verdict = offer_slow(adm, w, now_us, moved);
+	verdict = offer_slow(adm, call, now_us, moved);
 	unlock(adm);
 	return verdict;
 }
 
 bool
-loom_admission_fits(
-    struct loom_admission *adm, const struct loom_waiting *w, uint64_t now_us)
+loom_admission_fits(struct loom_admission *adm, const struct loom_waiting *call,
+    uint64_t now_us)
 {
 	bool fits;
 
 	lock(adm);
-	fits = !too_late(adm, w, now_us);
+	fits = !misses_deadline(adm, call, now_us);
 	unlock(adm);
 	return fits;
 }
@@ -417,10 +438,10 @@
 }
 
 static void
-measure(struct loom_admission *adm, const struct loom_waiting *w,
+record_result(struct loom_admission *adm, const struct loom_waiting *call,
     const struct loom_call_result *result, uint64_t now_us)
 {
-	double usual_us;
+	double expected_us;
 
 	if (result->end == LOOM_CALL_OVERLOAD) {
 		loom_limit_overload(&adm->limit);
@@ -428,108 +449,115 @@
 	}
 	if (result->end == LOOM_CALL_FAILED) {
 		lock(adm);
-		usual_us = loom_limit_service_us(&adm->limit, w->call_class);
+		expected_us =
+		    loom_limit_service_us(&adm->limit, call->call_class);
 		unlock(adm);
-		if ((double)result->latency_us < FAILED_SLOW * usual_us)
+		if ((double)result->latency_us <
+		    FAILED_SLOW_FACTOR * expected_us)
 			return;
 	}
-	loom_limit_sample(&adm->limit, w->call_class, self_us(result),
+	loom_limit_sample(&adm->limit, call->call_class, self_us(result),
 	    result->latency_us, now_us);
 }
 
 void
-loom_admission_done(struct loom_admission *adm, struct loom_waiting *w,
+loom_admission_done(struct loom_admission *adm, struct loom_waiting *call,
     const struct loom_call_result *result, uint64_t now_us,
     struct loom_moved *moved)
 {
-	bool watched;
+	bool slow_path;
 
-	measure(adm, w, result, now_us);
-	watched = loom_gate_leave(&adm->gate);
-	if (!watched && !loom_limit_due(&adm->limit, now_us)) {
-		w->cut = LOOM_CUT_NONE;
+	record_result(adm, call, result, now_us);
+	slow_path = loom_gate_leave(&adm->gate);
+	if (!slow_path && !loom_limit_due(&adm->limit, now_us)) {
+		call->cut = LOOM_CUT_NONE;
 		return;
 	}
 	lock(adm);
 	update_limit(adm, now_us);
-	pump(adm, now_us, moved);
-	w->cut = cut_of(adm, w->team_id);
+	dispatch_waiting(adm, now_us, moved);
+	call->cut = cut_of(adm, call->team_id);
 	unlock(adm);
 }
 
 bool
-loom_admission_cancel(struct loom_admission *adm, struct loom_waiting *w)
+loom_admission_cancel(struct loom_admission *adm, struct loom_waiting *call)
 {
 	bool waiting;
 
 	lock(adm);
-	waiting = w->team != NULL;
+	waiting = call->team != NULL;
 	if (waiting)
-		loom_queue_remove(adm->queue, w);
+		loom_queue_remove(adm->queue, call);
 	unlock(adm);
 	return waiting;
 }
 
-/* Turns ahead are taken one by one at the pace at which calls end. */
+/* Whether the call misses its deadline if ahead calls are served before it, one
+ * per dispatch interval. */
 static bool
-fits_no_more(
-    const struct sweep *sweep, const struct loom_waiting *w, uint32_t ahead)
+misses_deadline_behind(
+    const struct sweep *sweep, const struct loom_waiting *call, uint32_t ahead)
 {
-	uint64_t wait_us = (uint64_t)(ahead * sweep->turn_us);
+	uint64_t wait_us = (uint64_t)(ahead * sweep->dispatch_interval_us);
 
-	return too_late(sweep->adm, w, sweep->now_us + wait_us);
+	return misses_deadline(sweep->adm, call, sweep->now_us + wait_us);
 }
 
-/* Only calls that would not fit behind all others need to know their turn. */
+/* Only calls that would miss their deadline at the end of the queue need the
+ * number of calls ahead. */
 static bool
-needs_ahead(const struct loom_waiting *w, void *arg)
+needs_ahead(const struct loom_waiting *call, void *arg)
 {
 	const struct sweep *sweep = arg;
 
-	return fits_no_more(sweep, w, loom_queue_length(sweep->adm->queue));
+	return misses_deadline_behind(
+	    sweep, call, loom_queue_length(sweep->adm->queue));
 }
 
 static bool
-is_starved(struct loom_admission *adm, const struct loom_waiting *w)
+is_starved(struct loom_admission *adm, const struct loom_waiting *call)
 {
-	uint32_t passed = loom_queue_passed(adm->queue, w->importance);
+	uint32_t overtaken = loom_queue_passed(adm->queue, call->importance);
 
-	return passed >= STARVED_TURNS && passed >= loom_gate_limit(&adm->gate);
+	return overtaken >= STARVED_TURNS &&
+	    overtaken >= loom_gate_limit(&adm->gate);
 }
 
 static bool
-must_leave(const struct loom_waiting *w, uint32_t ahead, void *arg)
+should_drop(const struct loom_waiting *call, uint32_t ahead, void *arg)
 {
 	struct sweep *sweep = arg;
 	struct loom_admission *adm = sweep->adm;
 
 	sweep->code = LOOM_QUEUE_DEADLINE;
-	if (fits_no_more(sweep, w, ahead))
+	if (misses_deadline_behind(sweep, call, ahead))
 		return true;
 	sweep->code = LOOM_OVERLOAD;
-	if (sweep->now_us <= w->arrived_us + standing_us(adm))
+	if (sweep->now_us <= call->arrived_us + standing_time_us(adm))
 		return false;
-	if (is_starved(adm, w))
+	if (is_starved(adm, call))
 		return true;
-	if (!adm->newest_first || w->team_id == LOOM_QUEUE_NO_TEAM)
+	if (!adm->newest_first || call->team_id == LOOM_QUEUE_NO_TEAM)
 		return false;
-	/* A team's newest is next when its turn comes, and a small team's
-	 * turns may lie further apart than the standing time. */
-	if (w->next == NULL)
+	/* The newest call of a team is the next one of that team, and the turns
+	 * of a small team may be further apart than the standing time. */
+	if (call->next == NULL)
 		return false;
-	/* Important calls do not wait behind the rest, whose delay stands. */
-	if (w->importance == LOOM_CRITICAL && !adm->critical_stands)
+	/* Critical calls do not wait behind the less important ones, which form
+	 * the standing queue. */
+	if (call->importance == LOOM_CRITICAL && !adm->critical_standing)
 		return false;
-	return !is_calm_from(adm, w->importance);
+	return !is_queue_short_from(adm, call->importance);
 }
 
 static void
-drop_swept(struct loom_waiting *w, void *arg)
+refuse_dropped(struct loom_waiting *call, void *arg)
 {
 	struct sweep *sweep = arg;
 
-	refuse_for_load(sweep->adm, w, sweep->code, sweep->now_us);
-	loom_moved_refuse(sweep->moved, w);
+	refuse_and_count(sweep->adm, call, sweep->code, sweep->now_us);
+	loom_moved_refuse(sweep->moved, call);
 }
 
 static void
@@ -538,61 +566,66 @@
 {
 	static const struct loom_queue_sweep_ops ops = {
 		.needs_ahead = needs_ahead,
-		.gone = must_leave,
-		.drop = drop_swept,
+		.gone = should_drop,
+		.drop = refuse_dropped,
 	};
 	struct sweep sweep = {
 		.adm = adm,
 		.moved = moved,
 		.now_us = now_us,
-		.turn_us = turn_us(adm),
+		.dispatch_interval_us = dispatch_interval_us(adm),
 		.code = LOOM_OVERLOAD,
 	};
-	struct loom_waiting *w;
+	struct loom_waiting *call;
 
-	while ((w = loom_queue_trim(adm->queue)) != NULL)
-		drop_swept(w, &sweep);
+	while ((call = loom_queue_trim(adm->queue)) != NULL)
+		refuse_dropped(call, &sweep);
 	loom_queue_sweep(adm->queue, &ops, &sweep);
 }
 
 /*
- * While lesser calls come too, the delay of critical ones begins to stand when
- * those that wait take longer than the standing time, for that long: that as
- * many wait as run is then no reason to refuse one.  It ends as that of the
- * others does: held to the short bound, they would be below the standing time
- * at once, and above it again.
+ * Detects a standing queue of critical calls.  While less important calls
+ * arrive as well, it begins only when serving the waiting critical calls would
+ * take longer than the standing time, and has done so for that time: that more
+ * of them wait than run is then no reason to refuse any.  It ends as that of
+ * all calls does, when no more wait than run.  Otherwise the short bound would
+ * bring the wait below the standing time at once, and it would soon rise above
+ * it again.
  */
 static void
 tick_critical(struct loom_admission *adm, uint64_t now_us)
 {
 	uint32_t length = loom_queue_length_from(adm->queue, LOOM_CRITICAL);
-	double wait_us = length * turn_us(adm);
-	bool calm = is_calm_from(adm, LOOM_CRITICAL);
+	double wait_us = length * dispatch_interval_us(adm);
+	bool queue_short = is_queue_short_from(adm, LOOM_CRITICAL);
 
-	if (!adm->critical_stands &&
-	    now_us <= adm->lesser_us + standing_us(adm) &&
-	    wait_us <= (double)standing_us(adm))
-		calm = true;
-	if (calm)
-		adm->critical_calm_us = now_us;
-	adm->critical_stands =
-	    now_us > adm->critical_calm_us + standing_us(adm);
+	if (!adm->critical_standing &&
+	    now_us <= adm->last_noncritical_us + standing_time_us(adm) &&
+	    wait_us <= (double)standing_time_us(adm))
+		queue_short = true;
+	if (queue_short)
+		adm->critical_last_short_us = now_us;
+	adm->critical_standing =
+	    now_us > adm->critical_last_short_us + standing_time_us(adm);
 }
 
+/* Detects a standing queue, and refuses the waiting calls without prospect. */
 static void
 tick_queue(
     struct loom_admission *adm, uint64_t now_us, struct loom_moved *moved)
 {
-	pump(adm, now_us, moved);
+	dispatch_waiting(adm, now_us, moved);
 	tick_critical(adm, now_us);
-	if (is_calm_from(adm, LOOM_IMPORTANCES - 1)) {
-		note_calm(adm, now_us);
-	} else if (now_us > adm->calm_us + standing_us(adm)) {
+	if (is_queue_short_from(adm, LOOM_IMPORTANCES - 1)) {
+		on_queue_short(adm, now_us);
+	} else if (now_us > adm->last_short_us + standing_time_us(adm)) {
 		set_newest_first(adm, true);
 	}
 	sweep_queue(adm, now_us, moved);
 }
 
+/* Updates the share of the fleet's load that this upstream can carry.  Slots,
+ * processor time and event loop lag count as used by whichever is highest. */
 static void
 tick_keep(struct loom_admission *adm, uint64_t now_us)
 {
@@ -606,12 +639,12 @@
 
 	used = MAX(used, busy / BUSY_FULL);
 	lag = atomic_load_explicit(&adm->lag_us, memory_order_relaxed);
-	if (lag > LAG_USUAL_US)
-		used = MAX(used, 1.0 + (lag - LAG_USUAL_US) / LAG_FULL_US);
+	if (lag > LAG_NORMAL_US)
+		used = MAX(used, 1.0 + (lag - LAG_NORMAL_US) / LAG_FULL_US);
 	loom_keep_control_tick(&adm->keep, used, now_us);
 	atomic_store_explicit(&adm->used_thousandths,
 	    (unsigned)(used * THOUSAND), memory_order_relaxed);
-	atomic_store_explicit(&adm->keep_millionths,
+	atomic_store_explicit(&adm->keep_share_millionths,
 	    (unsigned)(adm->keep.share * MILLION), memory_order_relaxed);
 }
 
@@ -640,27 +673,28 @@
 loom_admission_keep(struct loom_admission *adm)
 {
 	return atomic_load_explicit(
-		   &adm->keep_millionths, memory_order_relaxed) /
+		   &adm->keep_share_millionths, memory_order_relaxed) /
 	    (double)MILLION;
 }
 
 static void
 tick_cuts(struct loom_admission *adm, uint64_t now_us)
 {
-	double inside = loom_gate_inside(&adm->gate);
+	double in_flight = loom_gate_inside(&adm->gate);
 	double used = 1.0;
 	bool shedding;
 
-	/* A trial halves the limit for a moment; to tell the entries would
-	 * starve the upstream after it. */
+	/* A trial halves the limit for a moment.  Thresholds based on that
+	 * would leave the upstream short of calls after the trial. */
 	if (adm->limit.phase != LOOM_LIMIT_STEADY) {
 		loom_cuts_restart_windows(adm->cuts, now_us);
 		return;
 	}
 	tick_keep(adm, now_us);
-	adm->inside += (inside - adm->inside) * INSIDE_WEIGHT;
+	adm->mean_in_flight +=
+	    (in_flight - adm->mean_in_flight) * IN_FLIGHT_WEIGHT;
 	if (loom_queue_length(adm->queue) == 0)
-		used = adm->inside / loom_gate_limit(&adm->gate);
+		used = adm->mean_in_flight / loom_gate_limit(&adm->gate);
 	shedding = loom_cuts_tick(adm->cuts, used, now_us);
 	atomic_store_explicit(&adm->shedding, shedding, memory_order_relaxed);
 	if (shedding)
@@ -676,7 +710,7 @@
 	tick_queue(adm, now_us, moved);
 	tick_cuts(adm, now_us);
 	if (loom_queue_length(adm->queue) == 0)
-		note_empty(adm, now_us);
+		on_queue_empty(adm, now_us);
 	unlock(adm);
 }
 
--- a/tests/decide/test_admission.c
+++ b/tests/decide/test_admission.c
@@ -1,6 +1,7 @@
 /*
- * What callers of one upstream get under each pattern of load.  The upstream
- * has 20 slots of 20 ms unless a row says otherwise: 1000 calls a second.
+ * Admission control under simulated load: which share of its calls each group
+ * of callers gets served.  The upstream has 20 slots and a service time of 20
+ * ms, that is 1000 calls per second, unless a row says otherwise.
  */
 
 #include <pthread.h>
@@ -15,7 +16,7 @@
 #define SURGE .from_ms = 1000, .until_ms = 2000
 #define SEEDS 3
 
-struct served {
+struct served_bounds {
 	double min, max; /* share of the offered calls; max 0: no bound */
 };
 
@@ -23,16 +24,16 @@
 	const char *name;
 	struct play_upstream upstream;
 	struct play_load loads[PLAY_LOADS];
-	struct served served[PLAY_LOADS];
+	struct served_bounds served[PLAY_LOADS];
 };
 
 /*
  * Each row: who sends what, and which share of it is answered in time.  The
- * text after the row's name says what happens and why callers get this.
+ * comment above a row says what happens and why callers get this share.
  */
 static const struct pattern
     patterns[] = {
-	    /* A burst that fits the queue: nobody is refused. */
+	    /* A burst that fits the queue: no call is refused. */
 	    { .name = "short burst",
 		.upstream = { SLOTS },
 		.loads = { { .team = 1,
@@ -40,8 +41,7 @@
 		    .from_ms = 100,
 		    .until_ms = 130 } },
 		.served = { { .min = 1 } } },
-	    /* Load below capacity: nothing is refused, whatever it consists of.
-	     */
+	    /* Load below capacity: no call is refused, whatever the mix. */
 	    { .name = "0.8 of capacity",
 		.upstream = { SLOTS },
 		.loads = { { .team = 1, .per_s = 400, ALWAYS },
@@ -50,8 +50,8 @@
 			.importance = LOOM_LOW,
 			ALWAYS } },
 		.served = { { .min = 0.999 }, { .min = 0.995 } } },
-	    /* Saturation: important calls stay whole while the rest fills up.
-	     */
+	    /* Saturation: all important calls are served while the others fill
+	     * the remaining capacity. */
 	    { .name = "1 of capacity",
 		.upstream = { SLOTS },
 		.loads = { { .team = 1, .per_s = 200, ALWAYS },
@@ -84,9 +84,9 @@
 			.importance = LOOM_LOW,
 			ALWAYS } },
 		.served = { { .min = 0.99 }, { .min = 0.07, .max = 0.1 } } },
-	    /* The queue is full of lesser work of other teams and of the same
-	     * team when important work arrives: it displaces. */
-	    { .name = "important work comes late",
+	    /* Important calls arrive while the queue is full of less important
+	     * ones of the same team and of others: they displace those. */
+	    { .name = "important calls arrive late",
 		.upstream = { SLOTS },
 		.loads = { { .team = 1,
 			       .per_s = 100,
@@ -103,7 +103,8 @@
 			ALWAYS } },
 		.served = { { .min = 0.999 }, { .min = 0.2 },
 		    { .min = 0.2 } } },
-	    /* One team sends ten times its share: the others keep theirs. */
+	    /* One team sends ten times its share: the other teams keep
+	     * theirs. */
 	    { .name = "one team floods",
 		.upstream = { SLOTS },
 		.loads = { { .team = 1, .weight = 10, .per_s = 8000, ALWAYS },
@@ -111,16 +112,17 @@
 		    { .team = 3, .weight = 2, .per_s = 50, ALWAYS } },
 		.served = { { .min = 0.07, .max = 0.09 }, { .min = 0.995 },
 		    { .min = 0.99 } } },
-	    /* Both ask for more than there is: capacity goes by weight, 3 to 1.
-	     */
+	    /* Both teams ask for more than there is: they share the capacity by
+	     * weight, 3 to 1. */
 	    { .name = "shares follow weights",
 		.upstream = { SLOTS },
 		.loads = { { .team = 1, .weight = 3, .per_s = 2000, ALWAYS },
 		    { .team = 2, .weight = 1, .per_s = 2000, ALWAYS } },
 		.served = { { .min = 0.35, .max = 0.39 },
 		    { .min = 0.11, .max = 0.14 } } },
-	    /* The upstream slows threefold for a second: a third is served, the
-	     * important part of it whole, and all once it is well again. */
+	    /* The upstream is three times as slow for one second: a third of
+	     * the calls is served, all important ones among them, and every
+	     * call after it has recovered. */
 	    { .name = "slow upstream",
 		.upstream = { SLOTS, .slow_from_ms = 1000,
 		    .slow_until_ms = 2000, .slow_factor = 3 },
@@ -133,8 +135,9 @@
 			.until_ms = 3000 } },
 		.served = { { .min = 0.99 }, { .min = 0.25 },
 		    { .min = 0.99 } } },
-	    /* Long calls among short ones: both kinds are served in their turn,
-	     * and a long call is refused at once when it cannot end in time. */
+	    /* Long calls among short ones: both kinds are served in turn, and a
+	     * long call that cannot finish before its deadline is refused at
+	     * once. */
 	    { .name = "long among short",
 		.upstream = { SLOTS },
 		.loads = { { .team = 1, .per_s = 500, ALWAYS },
@@ -152,10 +155,10 @@
 			.until_ms = 3000 } },
 		.served = { { .min = 0.98 }, { .min = 0.98 },
 		    { .max = 0.01 } } },
-	    /* The upstream runs half of what is declared and says nothing of
-	     * it: the limit is found by measurement, importance keeps its
-	     * order. */
-	    { .name = "report too good",
+	    /* The upstream has half of the declared slots and does not report
+	     * it: the limit is found by measurement, and importance still
+	     * decides. */
+	    { .name = "fewer slots than declared",
 		.upstream = { SLOTS, .real_slots = 10 },
 		.loads = { { .team = 1, .per_s = 100, ALWAYS },
 		    { .team = 1,
@@ -163,13 +166,14 @@
 			.importance = LOOM_LOW,
 			ALWAYS } },
 		.served = { { .min = 0.99 }, { .min = 0.39 } } },
-	    /* The upstream says that it is full all the time: not believed
-	     * while calls are measured. */
-	    { .name = "report too bad",
+	    /* The upstream always reports that it is full: the report is
+	     * ignored while there are latency samples. */
+	    { .name = "always reports that it is full",
 		.upstream = { SLOTS, .says_full = true },
 		.loads = { { .team = 1, .per_s = 800, ALWAYS } },
 		.served = { { .min = 0.99 } } },
-	    /* A new upstream ramps up: it gets little at first, all later. */
+	    /* A new upstream ramps up: few calls are served at first, all
+	     * later. */
 	    { .name = "cold start",
 		.upstream = { SLOTS, .cold_start_ms = 1000, .fresh = true },
 		.loads = { { .team = 1,
@@ -181,9 +185,10 @@
 			.from_ms = 1200,
 			.until_ms = 3000 } },
 		.served = { { .min = 0.1, .max = 0.6 }, { .min = 0.97 } } },
-	    /* Few slots, full of lesser work, and important calls that come in
-	     * bunches: the queue that standing delay makes short is short for
-	     * the lesser work, not for what can still be served in time. */
+	    /* Few slots, many less important calls, and important calls that
+	     * arrive in bunches: the short bound of a standing queue applies to
+	     * the less important calls, not to those that can still be served
+	     * in time. */
 	    { .name = "bunches of important calls at few slots",
 		.upstream = { .slots = 2, .queue = 32, .service_ms = 20 },
 		.loads = { { .team = 1, .per_s = 80, ALWAYS },
@@ -192,7 +197,8 @@
 			.importance = LOOM_LOW,
 			ALWAYS } },
 		.served = { { .min = 0.99 }, { .max = 0.05 } } },
-	    /* A surge that ends: 200 ms later all is as before. */
+	    /* After a surge has ended, all calls are served again within 200
+	     * ms. */
 	    { .name = "surge ends",
 		.upstream = { SLOTS },
 		.loads = { { .team = 1,
@@ -218,7 +224,7 @@
 	TEST_CHECK(result.broken == 0, "%s: %u invariants broken",
 	    pattern->name, result.broken);
 	TEST_CHECK(result.state.inside == 0 && result.state.waiting == 0,
-	    "%s: %u inside, %u wait at the end", pattern->name,
+	    "%s: %u in flight, %u waiting at the end", pattern->name,
 	    result.state.inside, result.state.waiting);
 	for (i = 0; i < PLAY_LOADS; i++) {
 		if (result.loads[i].offered == 0)
@@ -247,10 +253,10 @@
 }
 
 /*
- * A caller whose call cannot be done is told while it still has time: by its
- * refusal, not by its timeout.  A long queue must not make up for that: with
- * short deadlines calls are refused at the door, with long ones the newest go
- * first, so that those that run run soon.
+ * A caller whose call cannot be served learns it from an early refusal and not
+ * from its timeout.  A long queue must not undo that: with short deadlines
+ * calls are refused on arrival, and with long ones the newest calls are served
+ * first, so that calls which run start soon.
  */
 static const struct {
 	const char *name;
@@ -259,7 +265,7 @@
 	uint64_t refused_mean_us, refused_max_us;
 	uint64_t took_mean_us; /* of those that ran */
 	double late_max; /* of those that ran */
-} early[] = {
+} refusal_delays[] = {
 	{ "short queue", 40, 1000, 10000, 250000, 40000, 0 },
 	{ "short deadline", 1000, 100, 10000, 100000, 100000, 0.02 },
 	{ "long queue", 1000, 1000, 110000, 250000, 40000, 0 },
@@ -274,33 +280,37 @@
 	struct play_upstream upstream = { SLOTS };
 	const struct play_outcome *outcome;
 	struct play_result result;
-	uint64_t ran, refused_us, took_us;
+	uint64_t ran, mean_refusal_us, mean_took_us;
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(early); i++) {
-		upstream.queue = early[i].queue;
-		loads[0].deadline_ms = early[i].deadline_ms;
+	for (i = 0; i < G_N_ELEMENTS(refusal_delays); i++) {
+		upstream.queue = refusal_delays[i].queue;
+		loads[0].deadline_ms = refusal_delays[i].deadline_ms;
 		play(&upstream, loads, 4500, 1, &result);
 		outcome = &result.loads[0];
 		ran = outcome->served + outcome->late;
-		refused_us = outcome->refused_wait_sum_us / outcome->refused;
-		took_us = outcome->took_sum_us / ran;
-		TEST_CHECK(refused_us <= early[i].refused_mean_us &&
+		mean_refusal_us =
+		    outcome->refused_wait_sum_us / outcome->refused;
+		mean_took_us = outcome->took_sum_us / ran;
+		TEST_CHECK(
+		    mean_refusal_us <= refusal_delays[i].refused_mean_us &&
 			outcome->refused_wait_max_us <=
-			    early[i].refused_max_us &&
-			took_us <= early[i].took_mean_us &&
-			outcome->late <= early[i].late_max * (double)ran,
+			    refusal_delays[i].refused_max_us &&
+			mean_took_us <= refusal_delays[i].took_mean_us &&
+			outcome->late <=
+			    refusal_delays[i].late_max * (double)ran,
 		    "%s: refusals after %u us, at most %u; runs %u; %u late",
-		    early[i].name, (unsigned)refused_us,
-		    (unsigned)outcome->refused_wait_max_us, (unsigned)took_us,
-		    outcome->late);
+		    refusal_delays[i].name, (unsigned)mean_refusal_us,
+		    (unsigned)outcome->refused_wait_max_us,
+		    (unsigned)mean_took_us, outcome->late);
 	}
 }
 
 /*
- * A call that waits and can no longer be served is refused as soon as that
- * shows, with a time to come back: not when its deadline is near, which would
- * only keep its caller from asking again.  Load 0 is who gives way.
+ * A waiting call that can no longer be served in time is refused as soon as
+ * this is known, with a Retry-After.  A refusal only when its deadline is near
+ * would just delay the caller's next attempt.  Load 0 is the one that is
+ * refused.
  */
 static const struct {
 	const char *name;
@@ -308,10 +318,11 @@
 	struct play_load loads[PLAY_LOADS];
 	uint32_t refused_min;
 	uint64_t waited_max_us;
-} given_up[] = {
-	/* The only call of its team that waits was always kept, since its turn
-	 * must come.  It never does: critical calls take all that there is. */
-	{ "more important calls take all", .upstream = { SLOTS },
+} unservable[] = {
+	/* The only waiting call of a team used to be kept always, since it
+	 * would be the team's next.  Here it is never served, because critical
+	 * calls take the whole capacity. */
+	{ "more important calls take the whole capacity", .upstream = { SLOTS },
 	    .loads = { { .team = 1,
 			   .per_s = 20,
 			   .importance = LOOM_LOW,
@@ -319,9 +330,10 @@
 			   .until_ms = 3000 },
 		{ .team = 2, .per_s = 1500, .deadline_ms = 45, ALWAYS } },
 	    .refused_min = 30, .waited_max_us = 200000 },
-	/* Twenty wait for one service time, which fits.  Then sixty critical
-	 * calls come before them, and it does not. */
-	{ "critical calls come before",
+	/* Twenty calls wait for one service time, which fits their deadline.
+	 * Then sixty critical calls arrive and are served first, and it no
+	 * longer does. */
+	{ "critical calls arrive later and go first",
 	    .upstream = { .slots = 20, .queue = 100, .service_ms = 300 },
 	    .loads = { { .team = 1,
 			   .per_s = 2000,
@@ -334,34 +346,36 @@
 };
 
 static void
-test_given_up(void)
+test_unservable_calls(void)
 {
 	const struct play_outcome *outcome;
 	struct play_result result;
 	uint32_t seed;
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(given_up); i++) {
+	for (i = 0; i < G_N_ELEMENTS(unservable); i++) {
 		for (seed = 1; seed <= SEEDS; seed++) {
-			play(&given_up[i].upstream, given_up[i].loads, 4500,
+			play(&unservable[i].upstream, unservable[i].loads, 4500,
 			    seed, &result);
 			outcome = &result.loads[0];
-			TEST_CHECK(outcome->refused >= given_up[i].refused_min,
-			    "%s: %u refused", given_up[i].name,
+			TEST_CHECK(
+			    outcome->refused >= unservable[i].refused_min,
+			    "%s: %u refused", unservable[i].name,
 			    outcome->refused);
 			TEST_CHECK(outcome->refused_wait_max_us <=
-				given_up[i].waited_max_us,
-			    "%s: refused after %u us", given_up[i].name,
+				unservable[i].waited_max_us,
+			    "%s: refused after %u us", unservable[i].name,
 			    (unsigned)outcome->refused_wait_max_us);
 			TEST_CHECK(
 			    outcome->retry_after_min_us >= LOOM_RETURN_MIN_US,
-			    "%s: come back after %u us", given_up[i].name,
+			    "%s: Retry-After of %u us", unservable[i].name,
 			    (unsigned)outcome->retry_after_min_us);
 		}
 	}
 }
 
-/* Calls take 20 ms here; a call with less left cannot be held any longer. */
+/* Calls take 20 ms here; a call with less time left cannot finish before its
+ * deadline. */
 static void
 test_fits(void)
 {
@@ -388,46 +402,47 @@
 	talloc_free(admission);
 }
 
-#define MANY 50
-#define ROOM 10
+#define QUEUED_CALLS 50
+#define REDUCED_QUEUE 10
 
-/* A new manifest leaves room for ten of those that wait: the rest hears it by
- * the next tick, and not one by one as others come. */
+/* A new manifest leaves room for ten of the waiting calls: the others are
+ * refused by the next tick, and not one by one as new calls arrive. */
 static void
 test_queue_shrinks(void)
 {
-	struct loom_waiting calls[MANY + 1] = { 0 };
+	struct loom_waiting calls[QUEUED_CALLS + 1] = { 0 };
 	struct loom_admission_settings settings = {
 		.limit = { .slots = 1 },
-		.queue = MANY,
+		.queue = QUEUED_CALLS,
 		.random = loom_random_system,
 	};
 	struct loom_admission *admission =
 	    loom_admission_new(NULL, &settings, 0);
 	struct loom_moved moved;
-	struct loom_waiting *w;
+	struct loom_waiting *decided;
 	int i, refused = 0;
 
 	loom_moved_init(&moved);
-	for (i = 0; i <= MANY; i++) {
+	for (i = 0; i <= QUEUED_CALLS; i++) {
 		calls[i].deadline_us = LOOM_US_PER_S;
 		loom_admission_offer(admission, &calls[i], 0, &moved);
 	}
-	loom_admission_set_slots(admission, 1, ROOM);
+	loom_admission_set_slots(admission, 1, REDUCED_QUEUE);
 	loom_admission_tick(admission, 1, &moved);
-	for (w = moved.refused; w != NULL; w = w->next) {
-		CU_ASSERT_EQUAL(w->code, LOOM_OVERLOAD);
-		CU_ASSERT(w->retry_after_us >= LOOM_RETURN_MIN_US);
+	for (decided = moved.refused; decided != NULL;
+	     decided = decided->next) {
+		CU_ASSERT_EQUAL(decided->code, LOOM_OVERLOAD);
+		CU_ASSERT(decided->retry_after_us >= LOOM_RETURN_MIN_US);
 		refused++;
 	}
-	CU_ASSERT_EQUAL(refused, MANY - ROOM);
+	CU_ASSERT_EQUAL(refused, QUEUED_CALLS - REDUCED_QUEUE);
 	talloc_free(admission);
 }
 
 /*
- * After a burst of 2000 refused calls all of them obey Retry-After.  Were the
- * waits alike, they would come back as the same burst; so they spread over
- * several seconds, and by the length of the burst.
+ * After a burst of 2000 calls, the refused callers obey Retry-After.  With
+ * equal waits they would come back as the same burst, so the waits must be
+ * spread over several seconds, in proportion to the length of the burst.
  */
 static void
 test_returns_spread(void)
@@ -452,8 +467,8 @@
 }
 
 /*
- * Callers give up while they wait, in the middle of an overload: their places
- * go to others and nobody is told twice.
+ * Callers cancel waiting calls during an overload: their places become free for
+ * others, and no call gets two verdicts.
  */
 static void
 test_cancel(void)
@@ -471,7 +486,7 @@
 	CU_ASSERT_EQUAL(result.state.waiting, 0);
 }
 
-/* Random upstreams under random loads: only what must always hold. */
+/* Random upstreams under random loads: checks only the invariants. */
 static void
 test_invariants(void)
 {
@@ -515,8 +530,8 @@
 		play(&upstream, loads, 4000, seed, &result);
 		TEST_CHECK(
 		    result.broken == 0, "seed %u: %u", seed, result.broken);
-		TEST_CHECK(result.state.waiting == 0, "seed %u: %u wait", seed,
-		    result.state.waiting);
+		TEST_CHECK(result.state.waiting == 0, "seed %u: %u waiting",
+		    seed, result.state.waiting);
 		test_random_free(&random);
 	}
 }
@@ -529,7 +544,7 @@
 	pthread_mutex_t lock;
 	atomic_uint now_ms;
 	atomic_int running; /* calls between their verdict and their end */
-	atomic_int most;
+	atomic_int max_running;
 	atomic_int verdicts;
 };
 
@@ -552,15 +567,16 @@
 }
 
 static void
-verdict(struct shared *shared, struct thread_call *call, bool admitted)
+record_verdict(struct shared *shared, struct thread_call *call, bool admitted)
 {
-	int now, most;
+	int now, max_running;
 
 	if (admitted) {
 		now = atomic_fetch_add(&shared->running, 1) + 1;
-		most = atomic_load(&shared->most);
-		while (now > most &&
-		    !atomic_compare_exchange_weak(&shared->most, &most, now))
+		max_running = atomic_load(&shared->max_running);
+		while (now > max_running &&
+		    !atomic_compare_exchange_weak(
+			&shared->max_running, &max_running, now))
 			;
 	}
 	atomic_fetch_add(&shared->verdicts, 1);
@@ -569,22 +585,22 @@
 }
 
 static void
-act_on(struct shared *shared, const struct loom_moved *moved)
+record_verdicts(struct shared *shared, const struct loom_moved *moved)
 {
-	struct loom_waiting *w, *next;
+	struct loom_waiting *decided, *next;
 
-	for (w = moved->go; w != NULL; w = next) {
-		next = w->next;
-		verdict(shared, w->arg, true);
+	for (decided = moved->go; decided != NULL; decided = next) {
+		next = decided->next;
+		record_verdict(shared, decided->arg, true);
 	}
-	for (w = moved->refused; w != NULL; w = next) {
-		next = w->next;
-		verdict(shared, w->arg, false);
+	for (decided = moved->refused; decided != NULL; decided = next) {
+		next = decided->next;
+		record_verdict(shared, decided->arg, false);
 	}
 }
 
 static void
-one_call(struct shared *shared, struct thread_call *call, uint64_t team)
+offer_and_finish(struct shared *shared, struct thread_call *call, uint64_t team)
 {
 	struct loom_call_result result = { .latency_us = 1000 };
 	uint64_t now_us;
@@ -602,8 +618,8 @@
 	admit = loom_admission_offer(
 	    shared->admission, &call->waiting, now_us, &moved);
 	if (admit != LOOM_QUEUED)
-		verdict(shared, call, admit == LOOM_ADMITTED);
-	act_on(shared, &moved);
+		record_verdict(shared, call, admit == LOOM_ADMITTED);
+	record_verdicts(shared, &moved);
 	while (atomic_load(&call->verdicts) == 0)
 		g_thread_yield();
 	if (!atomic_load(&call->admitted))
@@ -612,7 +628,7 @@
 	loom_moved_init(&moved);
 	loom_admission_done(shared->admission, &call->waiting, &result,
 	    atomic_load(&shared->now_ms) * LOOM_US_PER_MS, &moved);
-	act_on(shared, &moved);
+	record_verdicts(shared, &moved);
 }
 
 static void *
@@ -625,14 +641,14 @@
 	int i;
 
 	for (i = 0; i < THREAD_CALLS; i++)
-		one_call(shared, &call, team);
+		offer_and_finish(shared, &call, team);
 	return NULL;
 }
 
 /*
- * Four threads offer to an upstream of two slots, and each waits for the
- * verdict on its call, which often comes from another thread.  Nobody waits
- * for ever, nobody is told twice, and never more than two run.
+ * Four threads offer calls to an upstream of two slots, and each waits for the
+ * verdict on its call, which often comes from another thread.  Every call gets
+ * exactly one verdict, and never more than two run.
  */
 static void
 test_threads(void)
@@ -658,25 +674,26 @@
 	CU_ASSERT_EQUAL(state.inside, 0);
 	CU_ASSERT_EQUAL(state.waiting, 0);
 	CU_ASSERT_EQUAL(atomic_load(&shared.verdicts), THREADS * THREAD_CALLS);
-	TEST_CHECK(atomic_load(&shared.most) <= 2, "%d at once",
-	    atomic_load(&shared.most));
+	TEST_CHECK(atomic_load(&shared.max_running) <= 2, "%d ran at once",
+	    atomic_load(&shared.max_running));
 	talloc_free(shared.admission);
 	pthread_mutex_destroy(&shared.lock);
 }
 
 static void
-tick_for(struct loom_admission *adm, uint64_t for_us)
+tick_until(struct loom_admission *adm, uint64_t end_us)
 {
 	struct loom_moved moved;
 	uint64_t now_us;
 
 	loom_moved_init(&moved);
-	for (now_us = 0; now_us < for_us; now_us += 5000)
+	for (now_us = 0; now_us < end_us; now_us += 5000)
 		loom_admission_tick(adm, now_us, &moved);
 }
 
-/* Calls so short that the daemon is full and its upstream is not: entries must
- * be told, or they send on what no thread here has time for. */
+/* Calls so short that the daemon is saturated and its upstream is not: the
+ * entries must be told, or they send on more than the daemon's threads can
+ * handle. */
 static void
 test_busy_daemon(void)
 {
@@ -699,16 +716,16 @@
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		adm = loom_admission_new(NULL, &settings, 0);
 		loom_admission_note_busy(adm, cases[i].busy);
-		tick_for(adm, 5 * LOOM_US_PER_S);
+		tick_until(adm, 5 * LOOM_US_PER_S);
 		TEST_CHECK((loom_admission_keep(adm) < 0.9) == cases[i].refuses,
 		    "%.2f: %.3f", cases[i].busy, loom_admission_keep(adm));
 		talloc_free(adm);
 	}
 }
 
-/* Guards against entries that hear of a daemon out of processor time so slowly
- * that it works on requests whose callers have left: what waits for its loop is
- * a queue like any other. */
+/* Guards against entries that learn too slowly of a daemon out of processor
+ * time, which then works on requests whose callers have left: what waits for
+ * its event loop is a queue like any other. */
 static void
 test_late_loop(void)
 {
@@ -717,7 +734,7 @@
 		double share_min, share_max; /* after half a second */
 	} cases[] = {
 		{ 0, 1, 1 },
-		/* a rest, or a host that stands still for a moment */
+		/* an idle loop, or a host suspended for a moment */
 		{ 20, 1, 1 },
 		{ 70, 0.4, 0.7 },
 		{ 200, 0.1, 0.4 },
@@ -734,7 +751,7 @@
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		adm = loom_admission_new(NULL, &settings, 0);
 		loom_admission_note_lag(adm, cases[i].lag_ms * LOOM_US_PER_MS);
-		tick_for(adm, LOOM_US_PER_S / 2);
+		tick_until(adm, LOOM_US_PER_S / 2);
 		share = loom_admission_keep(adm);
 		TEST_CHECK(
 		    share >= cases[i].share_min && share <= cases[i].share_max,
@@ -744,11 +761,11 @@
 }
 
 static const struct test_case tests[] = {
-	{ "a late loop", test_late_loop },
+	{ "event loop lag", test_late_loop },
 	{ "a busy daemon", test_busy_daemon },
 	{ "patterns of load", test_patterns },
 	{ "refusals are early", test_refusals_are_early },
-	{ "given up", test_given_up },
+	{ "unservable calls", test_unservable_calls },
 	{ "fits", test_fits },
 	{ "queue shrinks", test_queue_shrinks },
 	{ "returns spread", test_returns_spread },
