--- a/include/loom/admission.h
+++ b/include/loom/admission.h
@@ -3,10 +3,10 @@
 
 /*
  * Admission control in front of one upstream: which calls run, wait or are
- * refused.  Combines the gate (the count of calls in flight), the adaptive
- * limit, the queue and the shedding thresholds of the teams.
+ * refused.  Combines the semaphore for the calls in flight, the adaptive limit,
+ * the queue and the shedding thresholds of the teams.
  *
- * Thread-safe.  The gate and the latency samples are atomics; all else is
+ * Thread-safe.  The semaphore and the latency samples are atomic; all else is
  * protected by one lock, which the owner supplies as a table of functions.  The
  * module takes and releases this lock itself and never calls out while it holds
  * it.  A call that finds a free slot while none waits takes no lock and
@@ -79,10 +79,10 @@
 /* The upstream restarted: ramps up again and discards the latency baseline. */
 void loom_admission_upstream_new(struct loom_admission *, uint64_t now_us);
 
-/* Offers a call.  moved must be initialised; it may receive other calls that
+/* Offers a call.  verdicts must be initialised; it may receive other calls that
  * this one displaced.  Any thread. */
 enum loom_admit loom_admission_offer(struct loom_admission *,
-    struct loom_waiting *call, uint64_t now_us, struct loom_moved *moved);
+    struct loom_waiting *call, uint64_t now_us, struct loom_moved *verdicts);
 
 /* Returns whether a call that starts now can finish before its deadline, by the
  * measured time of its class.  Any thread. */
@@ -92,7 +92,8 @@
 /* Ends an admitted call; sets call->cut to the threshold that its answer must
  * carry.  Any thread. */
 void loom_admission_done(struct loom_admission *, struct loom_waiting *call,
-    const struct loom_call_result *, uint64_t now_us, struct loom_moved *moved);
+    const struct loom_call_result *, uint64_t now_us,
+    struct loom_moved *verdicts);
 
 /* Cancels a QUEUED call.  True: it was removed and belongs to the caller again.
  * False: its verdict is already in a list, and the thread that has the list
@@ -102,7 +103,7 @@
 /* Refuses the calls that can no longer finish in time, and updates the limit
  * and the thresholds.  One thread calls it about every 10 ms. */
 void loom_admission_tick(
-    struct loom_admission *, uint64_t now_us, struct loom_moved *moved);
+    struct loom_admission *, uint64_t now_us, struct loom_moved *verdicts);
 
 /*
  * Reports the recent load of this process, 0 to 1 of the time of its busiest
--- a/include/loom/gate.h
+++ b/include/loom/gate.h
@@ -7,7 +7,7 @@
  * and no call waits, a call takes a slot with one compare-and-swap, without a
  * lock or an allocation.  All functions may be called from any thread.
  *
- * While the slow-path (watch) flag is set, every call must go through the
+ * While the slow-path flag is set, every call must go through the
  * owner's lock.  The owner, struct loom_admission, sets the flag under that
  * lock while a call waits or a shedding threshold is in force.
  */
@@ -43,7 +43,9 @@
  * have left. */
 void loom_gate_set_limit(struct loom_gate *, uint32_t limit);
 
-void loom_gate_set_watch(struct loom_gate *, bool watch);
+/* Sets or clears the slow-path flag. */
+void loom_gate_set_watch(struct loom_gate *, bool slow_path);
+
 bool loom_gate_watched(struct loom_gate *);
 uint32_t loom_gate_inside(struct loom_gate *);
 uint32_t loom_gate_limit(struct loom_gate *);
--- a/include/loom/queue.h
+++ b/include/loom/queue.h
@@ -101,7 +101,7 @@
 
 /* Number of calls that would be served before a new call of this team and
  * importance. */
-uint32_t loom_queue_ahead(const struct loom_queue *, uint64_t team_id,
+uint32_t loom_queue_calls_ahead(const struct loom_queue *, uint64_t team_id,
     uint32_t team_weight, enum loom_importance);
 
 uint32_t loom_queue_length(const struct loom_queue *);
@@ -113,20 +113,22 @@
 /* Number of more important calls served since a call of this importance was
  * served, or since the first of the calls that wait at this importance
  * arrived. */
-uint32_t loom_queue_passed(const struct loom_queue *, enum loom_importance);
+uint32_t loom_queue_overtaken(const struct loom_queue *, enum loom_importance);
 
 /* Removes and returns one call while the queue is over its bound; else NULL. */
 struct loom_waiting *loom_queue_trim(struct loom_queue *);
 
 struct loom_queue_sweep_ops {
-	/* Returns false when gone() does not need the number of calls ahead,
-	 * which takes a walk over the teams to compute. */
-	bool (*needs_ahead)(const struct loom_waiting *, void *arg);
-	bool (*gone)(const struct loom_waiting *, uint32_t ahead, void *arg);
+	/* Returns false when should_drop() does not need the number of calls
+	 * ahead, which takes a walk over the teams to compute. */
+	bool (*needs_calls_ahead)(const struct loom_waiting *, void *arg);
+	bool (*should_drop)(
+	    const struct loom_waiting *, uint32_t ahead, void *arg);
 	void (*drop)(struct loom_waiting *, void *arg);
 };
 
-/* Removes each call for which gone() returns true and passes it to drop(). */
+/* Removes each call for which should_drop() returns true and passes it to
+ * drop(). */
 void loom_queue_sweep(
     struct loom_queue *, const struct loom_queue_sweep_ops *, void *arg);
 
--- a/src/decide/admission.c
+++ b/src/decide/admission.c
@@ -105,7 +105,7 @@
 /* Context of one sweep over the queue. */
 struct sweep {
 	struct loom_admission *adm;
-	struct loom_moved *moved;
+	struct loom_moved *verdicts;
 	uint64_t now_us;
 	double dispatch_interval_us; /* mean time between two starts of calls */
 	enum loom_result code; /* why the call being checked must be refused */
@@ -308,7 +308,7 @@
 
 	if (drain <= 0)
 		return 0;
-	ahead = loom_queue_ahead(
+	ahead = loom_queue_calls_ahead(
 	    adm->queue, call->team_id, call->team_weight, call->importance);
 	return (uint64_t)(ahead / drain * (double)LOOM_US_PER_S);
 }
@@ -333,7 +333,7 @@
 /* Admits waiting calls while there are free slots. */
 static void
 dispatch_waiting(
-    struct loom_admission *adm, uint64_t now_us, struct loom_moved *moved)
+    struct loom_admission *adm, uint64_t now_us, struct loom_moved *verdicts)
 {
 	struct loom_waiting *call;
 
@@ -342,12 +342,12 @@
 		call = loom_queue_pop(adm->queue);
 		if (!misses_deadline(adm, call, now_us)) {
 			loom_cuts_served(adm->cuts, call->team_id);
-			loom_moved_go(moved, call);
+			loom_moved_go(verdicts, call);
 			continue;
 		}
 		loom_gate_leave(&adm->gate);
 		refuse_and_count(adm, call, LOOM_QUEUE_DEADLINE, now_us);
-		loom_moved_refuse(moved, call);
+		loom_moved_refuse(verdicts, call);
 	}
 	if (loom_queue_length(adm->queue) == 0)
 		on_queue_empty(adm, now_us);
@@ -355,7 +355,7 @@
 
 static enum loom_admit
 enqueue(struct loom_admission *adm, struct loom_waiting *call, uint64_t now_us,
-    struct loom_moved *moved)
+    struct loom_moved *verdicts)
 {
 	struct loom_waiting *displaced;
 
@@ -365,13 +365,13 @@
 	refuse_and_count(adm, displaced, LOOM_OVERLOAD, now_us);
 	if (displaced == call)
 		return LOOM_REFUSED;
-	loom_moved_refuse(moved, displaced);
+	loom_moved_refuse(verdicts, displaced);
 	return LOOM_QUEUED;
 }
 
 static enum loom_admit
 offer_slow(struct loom_admission *adm, struct loom_waiting *call,
-    uint64_t now_us, struct loom_moved *moved)
+    uint64_t now_us, struct loom_moved *verdicts)
 {
 	loom_cuts_offered(adm->cuts, call->team_id, call->rank);
 	if (call->importance != LOOM_CRITICAL)
@@ -383,7 +383,7 @@
 	/* Sets the flag before the last check for a free slot, see gate.c; and
 	 * again where dispatch_waiting() has cleared it for an empty queue. */
 	loom_gate_set_watch(&adm->gate, true);
-	dispatch_waiting(adm, now_us, moved);
+	dispatch_waiting(adm, now_us, verdicts);
 	if (loom_queue_length(adm->queue) == 0) {
 		loom_gate_set_watch(&adm->gate, true);
 		if (loom_gate_enter_watched(&adm->gate)) {
@@ -396,12 +396,12 @@
 		refuse_and_count(adm, call, LOOM_QUEUE_DEADLINE, now_us);
 		return LOOM_REFUSED;
 	}
-	return enqueue(adm, call, now_us, moved);
+	return enqueue(adm, call, now_us, verdicts);
 }
 
 enum loom_admit
 loom_admission_offer(struct loom_admission *adm, struct loom_waiting *call,
-    uint64_t now_us, struct loom_moved *moved)
+    uint64_t now_us, struct loom_moved *verdicts)
 {
 	enum loom_admit verdict;
 
@@ -412,7 +412,7 @@
 	if (loom_gate_enter(&adm->gate))
 		return LOOM_ADMITTED;
 	lock(adm);
-	verdict = offer_slow(adm, call, now_us, moved);
+	verdict = offer_slow(adm, call, now_us, verdicts);
 	unlock(adm);
 	return verdict;
 }
@@ -463,7 +463,7 @@
 void
 loom_admission_done(struct loom_admission *adm, struct loom_waiting *call,
     const struct loom_call_result *result, uint64_t now_us,
-    struct loom_moved *moved)
+    struct loom_moved *verdicts)
 {
 	bool slow_path;
 
@@ -475,7 +475,7 @@
 	}
 	lock(adm);
 	update_limit(adm, now_us);
-	dispatch_waiting(adm, now_us, moved);
+	dispatch_waiting(adm, now_us, verdicts);
 	call->cut = cut_of(adm, call->team_id);
 	unlock(adm);
 }
@@ -507,7 +507,7 @@
 /* Only calls that would miss their deadline at the end of the queue need the
  * number of calls ahead. */
 static bool
-needs_ahead(const struct loom_waiting *call, void *arg)
+needs_calls_ahead(const struct loom_waiting *call, void *arg)
 {
 	const struct sweep *sweep = arg;
 
@@ -518,7 +518,7 @@
 static bool
 is_starved(struct loom_admission *adm, const struct loom_waiting *call)
 {
-	uint32_t overtaken = loom_queue_passed(adm->queue, call->importance);
+	uint32_t overtaken = loom_queue_overtaken(adm->queue, call->importance);
 
 	return overtaken >= STARVED_TURNS &&
 	    overtaken >= loom_gate_limit(&adm->gate);
@@ -557,21 +557,21 @@
 	struct sweep *sweep = arg;
 
 	refuse_and_count(sweep->adm, call, sweep->code, sweep->now_us);
-	loom_moved_refuse(sweep->moved, call);
+	loom_moved_refuse(sweep->verdicts, call);
 }
 
 static void
 sweep_queue(
-    struct loom_admission *adm, uint64_t now_us, struct loom_moved *moved)
+    struct loom_admission *adm, uint64_t now_us, struct loom_moved *verdicts)
 {
 	static const struct loom_queue_sweep_ops ops = {
-		.needs_ahead = needs_ahead,
-		.gone = should_drop,
+		.needs_calls_ahead = needs_calls_ahead,
+		.should_drop = should_drop,
 		.drop = refuse_dropped,
 	};
 	struct sweep sweep = {
 		.adm = adm,
-		.moved = moved,
+		.verdicts = verdicts,
 		.now_us = now_us,
 		.dispatch_interval_us = dispatch_interval_us(adm),
 		.code = LOOM_OVERLOAD,
@@ -612,16 +612,16 @@
 /* Detects a standing queue, and refuses the waiting calls without prospect. */
 static void
 tick_queue(
-    struct loom_admission *adm, uint64_t now_us, struct loom_moved *moved)
+    struct loom_admission *adm, uint64_t now_us, struct loom_moved *verdicts)
 {
-	dispatch_waiting(adm, now_us, moved);
+	dispatch_waiting(adm, now_us, verdicts);
 	tick_critical(adm, now_us);
 	if (is_queue_short_from(adm, LOOM_IMPORTANCES - 1)) {
 		on_queue_short(adm, now_us);
 	} else if (now_us > adm->last_short_us + standing_time_us(adm)) {
 		set_newest_first(adm, true);
 	}
-	sweep_queue(adm, now_us, moved);
+	sweep_queue(adm, now_us, verdicts);
 }
 
 /* Updates the share of the fleet's load that this upstream can carry.  Slots,
@@ -703,11 +703,11 @@
 
 void
 loom_admission_tick(
-    struct loom_admission *adm, uint64_t now_us, struct loom_moved *moved)
+    struct loom_admission *adm, uint64_t now_us, struct loom_moved *verdicts)
 {
 	lock(adm);
 	update_limit(adm, now_us);
-	tick_queue(adm, now_us, moved);
+	tick_queue(adm, now_us, verdicts);
 	tick_cuts(adm, now_us);
 	if (loom_queue_length(adm->queue) == 0)
 		on_queue_empty(adm, now_us);
--- a/src/decide/gate.c
+++ b/src/decide/gate.c
@@ -99,9 +99,9 @@
 }
 
 void
-loom_gate_set_watch(struct loom_gate *gate, bool watch)
+loom_gate_set_watch(struct loom_gate *gate, bool slow_path)
 {
-	if (watch)
+	if (slow_path)
 		atomic_fetch_or_explicit(
 		    &gate->word, SLOW_PATH_FLAG, memory_order_acq_rel);
 	else
--- a/src/decide/queue.c
+++ b/src/decide/queue.c
@@ -93,28 +93,28 @@
 };
 
 void
-loom_moved_init(struct loom_moved *moved)
+loom_moved_init(struct loom_moved *verdicts)
 {
-	moved->go = NULL;
-	moved->refused = NULL;
-	moved->go_tail = &moved->go;
-	moved->refused_tail = &moved->refused;
+	verdicts->go = NULL;
+	verdicts->refused = NULL;
+	verdicts->go_tail = &verdicts->go;
+	verdicts->refused_tail = &verdicts->refused;
 }
 
 void
-loom_moved_go(struct loom_moved *moved, struct loom_waiting *call)
+loom_moved_go(struct loom_moved *verdicts, struct loom_waiting *call)
 {
 	call->next = NULL;
-	*moved->go_tail = call;
-	moved->go_tail = &call->next;
+	*verdicts->go_tail = call;
+	verdicts->go_tail = &call->next;
 }
 
 void
-loom_moved_refuse(struct loom_moved *moved, struct loom_waiting *call)
+loom_moved_refuse(struct loom_moved *verdicts, struct loom_waiting *call)
 {
 	call->next = NULL;
-	*moved->refused_tail = call;
-	moved->refused_tail = &call->next;
+	*verdicts->refused_tail = call;
+	verdicts->refused_tail = &call->next;
 }
 
 static void
@@ -538,7 +538,7 @@
 }
 
 uint32_t
-loom_queue_ahead(const struct loom_queue *queue, uint64_t team_id,
+loom_queue_calls_ahead(const struct loom_queue *queue, uint64_t team_id,
     uint32_t team_weight, enum loom_importance importance)
 {
 	const struct importance_level *level = &queue->levels[importance];
@@ -563,7 +563,7 @@
 }
 
 uint32_t
-loom_queue_passed(
+loom_queue_overtaken(
     const struct loom_queue *queue, enum loom_importance importance)
 {
 	return queue->levels[importance].overtaken;
@@ -617,10 +617,10 @@
 	for (; call != NULL; call = next) {
 		next = next_to_serve(queue, call, importance);
 		ahead = 0;
-		if (ops->needs_ahead(call, arg))
+		if (ops->needs_calls_ahead(call, arg))
 			ahead = turns_ahead(
 			    queue, team, importance, own_calls_ahead);
-		if (ops->gone(call, ahead, arg)) {
+		if (ops->should_drop(call, ahead, arg)) {
 			loom_queue_remove(queue, call);
 			ops->drop(call, arg);
 		} else {
--- a/tests/decide/test_admission.c
+++ b/tests/decide/test_admission.c
@@ -388,15 +388,16 @@
 	struct loom_waiting call = { .deadline_us = LOOM_US_PER_S };
 	struct loom_admission *admission =
 	    loom_admission_new(NULL, &settings, 0);
-	struct loom_moved moved;
+	struct loom_moved verdict_lists;
 	int i;
 
-	loom_moved_init(&moved);
+	loom_moved_init(&verdict_lists);
 	for (i = 0; i < 100; i++)
-		loom_admission_offer(admission, &call, 0, &moved);
+		loom_admission_offer(admission, &call, 0, &verdict_lists);
 	for (i = 0; i < 100; i++)
-		loom_admission_done(admission, &call, &result, 60000, &moved);
-	loom_admission_tick(admission, 120000, &moved);
+		loom_admission_done(
+		    admission, &call, &result, 60000, &verdict_lists);
+	loom_admission_tick(admission, 120000, &verdict_lists);
 	CU_ASSERT_TRUE(loom_admission_fits(admission, &call, 979999));
 	CU_ASSERT_FALSE(loom_admission_fits(admission, &call, 980001));
 	talloc_free(admission);
@@ -418,18 +419,18 @@
 	};
 	struct loom_admission *admission =
 	    loom_admission_new(NULL, &settings, 0);
-	struct loom_moved moved;
+	struct loom_moved verdict_lists;
 	struct loom_waiting *decided;
 	int i, refused = 0;
 
-	loom_moved_init(&moved);
+	loom_moved_init(&verdict_lists);
 	for (i = 0; i <= QUEUED_CALLS; i++) {
 		calls[i].deadline_us = LOOM_US_PER_S;
-		loom_admission_offer(admission, &calls[i], 0, &moved);
+		loom_admission_offer(admission, &calls[i], 0, &verdict_lists);
 	}
 	loom_admission_set_slots(admission, 1, REDUCED_QUEUE);
-	loom_admission_tick(admission, 1, &moved);
-	for (decided = moved.refused; decided != NULL;
+	loom_admission_tick(admission, 1, &verdict_lists);
+	for (decided = verdict_lists.refused; decided != NULL;
 	     decided = decided->next) {
 		CU_ASSERT_EQUAL(decided->code, LOOM_OVERLOAD);
 		CU_ASSERT(decided->retry_after_us >= LOOM_RETURN_MIN_US);
@@ -585,15 +586,16 @@
 }
 
 static void
-record_verdicts(struct shared *shared, const struct loom_moved *moved)
+record_verdicts(struct shared *shared, const struct loom_moved *verdict_lists)
 {
 	struct loom_waiting *decided, *next;
 
-	for (decided = moved->go; decided != NULL; decided = next) {
+	for (decided = verdict_lists->go; decided != NULL; decided = next) {
 		next = decided->next;
 		record_verdict(shared, decided->arg, true);
 	}
-	for (decided = moved->refused; decided != NULL; decided = next) {
+	for (decided = verdict_lists->refused; decided != NULL;
+	     decided = next) {
 		next = decided->next;
 		record_verdict(shared, decided->arg, false);
 	}
@@ -604,7 +606,7 @@
 {
 	struct loom_call_result result = { .latency_us = 1000 };
 	uint64_t now_us;
-	struct loom_moved moved;
+	struct loom_moved verdict_lists;
 	enum loom_admit admit;
 
 	now_us = atomic_fetch_add(&shared->now_ms, 1) * LOOM_US_PER_MS;
@@ -614,21 +616,21 @@
 		    .deadline_us = now_us + LOOM_US_PER_S,
 		    .arg = call },
 	};
-	loom_moved_init(&moved);
+	loom_moved_init(&verdict_lists);
 	admit = loom_admission_offer(
-	    shared->admission, &call->waiting, now_us, &moved);
+	    shared->admission, &call->waiting, now_us, &verdict_lists);
 	if (admit != LOOM_QUEUED)
 		record_verdict(shared, call, admit == LOOM_ADMITTED);
-	record_verdicts(shared, &moved);
+	record_verdicts(shared, &verdict_lists);
 	while (atomic_load(&call->verdicts) == 0)
 		g_thread_yield();
 	if (!atomic_load(&call->admitted))
 		return;
 	atomic_fetch_sub(&shared->running, 1);
-	loom_moved_init(&moved);
+	loom_moved_init(&verdict_lists);
 	loom_admission_done(shared->admission, &call->waiting, &result,
-	    atomic_load(&shared->now_ms) * LOOM_US_PER_MS, &moved);
-	record_verdicts(shared, &moved);
+	    atomic_load(&shared->now_ms) * LOOM_US_PER_MS, &verdict_lists);
+	record_verdicts(shared, &verdict_lists);
 }
 
 static void *
@@ -683,12 +685,12 @@
 static void
 tick_until(struct loom_admission *adm, uint64_t end_us)
 {
-	struct loom_moved moved;
+	struct loom_moved verdict_lists;
 	uint64_t now_us;
 
-	loom_moved_init(&moved);
+	loom_moved_init(&verdict_lists);
 	for (now_us = 0; now_us < end_us; now_us += 5000)
-		loom_admission_tick(adm, now_us, &moved);
+		loom_admission_tick(adm, now_us, &verdict_lists);
 }
 
 /* Calls so short that the daemon is saturated and its upstream is not: the
--- a/tests/decide/test_gate.c
+++ b/tests/decide/test_gate.c
@@ -1,6 +1,6 @@
 /*
- * The gate never lets in more calls than its limit and never loses a wake-up,
- * with one thread and with several.
+ * The semaphore never admits more calls than its limit and never loses a
+ * wake-up, with one thread and with several.
  */
 
 #include <pthread.h>
--- a/tests/decide/test_queue.c
+++ b/tests/decide/test_queue.c
@@ -226,7 +226,7 @@
 		for (j = 0; j < strlen(cases[i].waiting) / 3 + 1; j++)
 			loom_queue_push(queue, &calls[j], 0);
 		parse_calls(new_call, cases[i].call);
-		ahead = loom_queue_ahead(queue, new_call[0].team_id,
+		ahead = loom_queue_calls_ahead(queue, new_call[0].team_id,
 		    new_call[0].team_weight, new_call[0].importance);
 		TEST_CHECK(ahead == cases[i].ahead, "%s before %s: %u",
 		    cases[i].waiting, cases[i].call, ahead);
