--- a/src/decide/queue.c
+++ b/src/decide/queue.c
@@ -441,7 +441,7 @@
 /*
  * Removes the lowest-priority call while too many wait.  The short bound of a
  * standing queue is meant for calls that would wait in vain, whereas critical
- * calls wait only for each other.  With the short bound, more than 5% of the
+ * calls wait only for each other.  With the short bound, at least 5% of the
  * critical calls were refused at four hosts of two slots, with half of the time
  * to their deadlines left.
  */
