--- a/src/decide/balance.c
+++ b/src/decide/balance.c
@@ -1,48 +1,51 @@
 /*
- * Which target of a service gets a call.
+ * Load balancing among the targets of a service.
  *
- * Answers: one slow target, one that fails at once, new ones, ones that leave,
- * and more load in one data centre than its targets can take.  By turns a slow
- * target gets as many calls as the others and holds them longer, until most of
- * the calls in flight wait for it; by least latency alone all entries run to
- * the same target.
+ * The cases to handle are one slow target, one that fails at once, new targets,
+ * draining targets, and more load in one data centre than its targets can take.
+ * Round robin gives a slow target as many calls as the others; it holds them
+ * longer, until most of the calls in flight wait for it. Choosing by lowest
+ * latency alone sends the calls of all entries to the same target.
  *
- * The better of two random choices needs only what this worker sees itself:
- * its calls in flight, which move at once, and measured latency.  The first
- * choice is drawn from the own data centre, the second from all the rest, so
- * that calls stay near while scores are equal and spill over by load.
+ * The better of two random choices needs only what this worker observes itself:
+ * its calls in flight, which change at once, and the measured latency. The
+ * first choice is drawn from the local data centre and the second from all
+ * other targets, so calls stay local while scores are equal and spill over
+ * under load.
  *
- * A target that refuses or fails answers fast and would look best of all.
- * Refusals are a share that multiplies the score; failures in a row eject the
- * target for a time that doubles, drawn with a spread so that entries do not
- * all come back to it in the same instant.  At most half of the targets are
- * ejected: when more than half seem to fail, the fault is likelier here or
- * behind them, and the rest could not carry the load.
+ * A target that refuses or fails answers quickly and would score best of all.
+ * Therefore the score is multiplied by a factor that grows with the share of
+ * refusals, and consecutive failures eject the target for a time that doubles
+ * with each ejection. The time is randomized so that entries do not all return
+ * to the target at the same instant. At most half of the targets are ejected:
+ * when more than half seem to fail, the fault is more likely on this host or
+ * behind the targets, and the remaining ones could not carry the load.
  *
  * Latency alone loads a fast target until its queue makes it as slow as a slow
- * one that is idle.  No caller is worse off for it, but the fast one looks
- * overloaded, and whole requests are then refused for want of room that the
- * service has (at targets of 12 and 25 ms the fast one let in a fifth to a
- * third of what was offered, while half of the slow one's slots were free).
- * So targets say with each answer how much of them is in use, and a nearly
- * full one scores as the wait of a queue grows, by 1 / (1 - use).
+ * target that is idle. No caller is worse off, but the fast target looks
+ * overloaded and requests are refused although the service has room. With
+ * targets of 12 and 25 ms, the fast one admitted a fifth to a third of the
+ * offered load while half of the slots of the slow one were free. So targets
+ * report their utilization with each answer, and the score grows as the waiting
+ * time of a queue does, by 1 / (1 - utilization).
  *
- * A far target scores worse by a factor, since bytes between data centres cost.
- * The factor fades as the near ones fill, and as they take longer than others.
- * With a fixed one near targets have queues while far ones have room, a slow
- * near one gets all calls, and whole requests are refused for want of room.
+ * The score of a far target is multiplied by a factor, because traffic between
+ * data centres is expensive. The factor decreases as near targets fill up or
+ * become slower than others. With a fixed factor near targets have queues while
+ * far ones have room, a slow near target gets all calls, and requests are
+ * refused for lack of room.
  *
- * A target across a network cut is neither slow nor failing: it says nothing.
- * Its calls end by their deadline or when their caller goes away, long after
- * the next ones were sent to it, and more than half of a service may be gone
- * at once.  So what counts is how long a target has owed an answer.  One that
- * was silent for several times as long as calls usually take is scored by its
- * silence; sooner, and the few long answers of a crowded service would drive
- * its calls from target to target.  After SILENT_MIN_US besides, it is doubted:
- * no call goes to it while any other can be had, and the owner probes it
- * meanwhile, so that no call pays for the trial.
- * An overloaded target refuses, which is an answer; when what is behind all
- * targets stalls, all are doubted and all are used as before.
+ * A target behind a network partition is neither slow nor failing: it does not
+ * answer at all. Calls to it end at their deadline or when the caller
+ * disconnects, long after the next calls were sent to it, and more than half of
+ * a service may be unreachable at once. So the time for which a target has left
+ * calls unanswered counts. If that is several times the usual latency, it
+ * replaces the latency in the score; with a lower limit, the few long calls of
+ * a busy service would move its calls from target to target. If it also exceeds
+ * UNRESPONSIVE_MIN_US, the target gets no calls while any other is available,
+ * and the owner probes it meanwhile, so that no call is spent on testing it. An
+ * overloaded target refuses, which is an answer. When something behind all
+ * targets stalls, all are unresponsive and all are used as before.
  */
 
 #include <glib.h>
@@ -52,76 +55,92 @@
 
 #include "loom/balance.h"
 
-#define LATENCY_WEIGHT 0.1 /* of a new sample: the last ten count most */
-#define REFUSED_WEIGHT 0.1
-#define REFUSED_PENALTY 10.0 /* a target that refuses all scores 11 times */
-#define COLD_PENALTY 4.0 /* a new target scores 5 times, falling to 1 */
+#define LATENCY_EWMA_WEIGHT \
+	0.1 /* of a new sample: about the last ten dominate */
+#define REFUSAL_EWMA_WEIGHT 0.1
+#define REFUSAL_PENALTY \
+	10.0 /* a target that refuses everything scores 11 times as much */
+#define COLD_START_PENALTY \
+	4.0 /* a new target scores 5 times as much, decreasing to 1 */
 
 /*
- * At this use of the near targets, or at so many times the usual latency, a far
- * one costs no more than this.  Less, and calls of all data centres meet at a
- * target that a cut or a fault has made slow for some of them.
+ * When near targets have this utilization, or this many times the mean latency,
+ * the factor of far targets is at most FAR_COST_BUSY_MAX. With a smaller
+ * factor, the calls of all data centres would gather at a target that a
+ * partition or a fault has made slow for some of them.
  */
-#define NEAR_FULL 0.7
-#define NEAR_SLOW 2.0
-#define FAR_COST_BUSY 2.5
+#define NEAR_FULL_UTILIZATION 0.7
+#define NEAR_SLOW_RATIO 2.0
+#define FAR_COST_BUSY_MAX 2.5
 
-/* At this use and above a target scores 20 times as when idle. */
-#define USED_FULL 0.95
+/* From this utilization on, a target scores 20 times as much as an idle one. */
+#define SCORED_UTILIZATION_MAX 0.95
 
-/* What was measured counts half after this time without a call, so that a
- * target that was slow once is tried again. */
-#define FORGET_US (2.0 * LOOM_US_PER_S)
+/*
+ * After this time without a new sample, a sample has half its weight, so that a
+ * target that was slow once is tried again.
+ */
+#define SAMPLE_HALF_WEIGHT_US (2.0 * LOOM_US_PER_S)
 
-/* Five failures in a row are no accident at a failure rate of some percent;
- * an upstream that is down reaches them within its next five calls. */
+/*
+ * At a failure rate of a few per cent, five consecutive failures are unlikely
+ * to be chance. An upstream that is down reaches them within its next five
+ * calls.
+ */
 #define EJECT_FAILURES 5
 #define EJECT_MIN_US (UINT64_C(500) * LOOM_US_PER_MS)
-#define EJECT_DOUBLINGS 5 /* to 16 s */
-#define EJECT_PART 2 /* one part in two at most */
+#define EJECT_DOUBLINGS_MAX 5 /* up to 16 s */
+#define EJECT_MAX_DIVISOR 2 /* at most one target in two */
 
-/* Longer than a retransmission on a lossy path (1 s at most for the first) or
- * a pause of the target's process is worth; under the seconds within which
- * calls must go elsewhere. */
-#define SILENT_MIN_US (1 * LOOM_US_PER_S)
-#define SILENT_LATENCIES 4.0 /* work that is long by nature is no silence */
-#define PROBE_GAP_US (UINT64_C(500) * LOOM_US_PER_MS)
+/*
+ * Longer than a retransmission on a lossy path (the first takes at most 1 s) or
+ * a pause of the target's process should count for, and shorter than the few
+ * seconds within which calls have to move to other targets.
+ */
+#define UNRESPONSIVE_MIN_US (1 * LOOM_US_PER_S)
+#define UNRESPONSIVE_LATENCIES \
+	4.0 /* tolerates work that takes long by nature */
+#define PROBE_INTERVAL_US (UINT64_C(500) * LOOM_US_PER_MS)
 
 /*
- * A host's own word that it leaves counts for so long.  It is not taken for
- * ever: a host that is restarted in place comes back under the same name, and
- * the list that lags may never have shown it gone.  One that still leaves
- * refuses the next call unrun and says so again.  Probes bring a host back
- * sooner: restarted in place it serves after one or two seconds, and without
- * it a third of a service of three stood idle for the rest of the five.
+ * How long a host's report that it is draining is believed. The limit is needed
+ * because a host that is restarted in place returns under the same name, and
+ * the delayed host list may never have shown it as gone. A host that is still
+ * draining refuses the next call without running it and reports again.
+ *
+ * Probes bring a host back sooner. A host that is restarted in place serves
+ * again after one or two seconds; without probes, a third of a service of three
+ * hosts was idle for the rest of the five seconds.
  */
-#define LEAVING_WORD_US (5 * LOOM_US_PER_S)
+#define DRAINING_REPORT_US (5 * LOOM_US_PER_S)
 
 struct target {
 	struct loom_balance_host host;
-	uint64_t says_leaving_until_us;
+	uint64_t draining_until_us;
 	uint32_t in_flight;
-	uint32_t failures; /* in a row */
-	uint32_t ejections; /* since it last did well */
+	uint32_t consecutive_failures;
+	uint32_t ejection_count; /* since its last success */
 	uint64_t ejected_until_us;
-	uint64_t warm_us; /* when its cold start is over */
+	uint64_t cold_start_end_us; /* end of the cold start */
 	double latency_us;
-	double refused; /* share of the last calls */
-	double used; /* its own word, when it last gave it */
-	uint64_t used_us;
-	uint64_t sampled_us; /* when it last ended a call */
-	uint64_t owes_since_us; /* an answer, without any since; 0: none */
-	uint64_t ended_us; /* its last call, however that ended */
-	uint64_t probed_us; /* when a probe of it was last begun or over */
-	bool probing;
+	double refusal_rate; /* moving average, 0 to 1 */
+	double utilization; /* as last reported by the target */
+	uint64_t utilization_at_us;
+	uint64_t last_result_us; /* when a call last ended, other than by
+				    cancellation */
+	uint64_t unanswered_since_us; /* no answer since this call was sent; 0:
+					 none owed */
+	uint64_t last_end_us; /* when a call last ended, in any way */
+	uint64_t last_probe_us; /* when a probe was last started or finished */
+	bool probe_in_flight;
 };
 
 struct loom_balance {
 	struct loom_random random;
 	uint64_t cold_start_us;
-	double far_cost; /* a far target scores so many times */
+	double far_cost; /* factor for the score of a far target */
 	struct target *targets; /* owned */
-	struct target **eligible; /* owned scratch, near ones first */
+	struct target **eligible; /* owned scratch array, near targets first */
 	uint32_t ntargets;
 };
 
@@ -169,7 +188,8 @@
 		if (known != NULL)
 			targets[i] = *known;
 		else if (!first_list)
-			targets[i].warm_us = now_us + balance->cold_start_us;
+			targets[i].cold_start_end_us =
+			    now_us + balance->cold_start_us;
 		targets[i].host = hosts[i];
 	}
 	talloc_free(balance->targets);
@@ -180,9 +200,9 @@
 }
 
 static bool
-usable(const struct target *target, uint64_t now_us)
+accepts_calls(const struct target *target, uint64_t now_us)
 {
-	return !target->host.leaving && now_us >= target->says_leaving_until_us;
+	return !target->host.leaving && now_us >= target->draining_until_us;
 }
 
 static bool
@@ -203,10 +223,12 @@
 	return false;
 }
 
-/* Latency that a target without samples is taken to have: the mean of the
- * others, so that it is neither shunned nor flooded. */
+/*
+ * Mean latency of the targets that have samples. A target without samples is
+ * assumed to have it too, so that it is neither avoided nor flooded.
+ */
 static double
-usual_latency(const struct loom_balance *balance)
+mean_latency_us(const struct loom_balance *balance)
 {
 	double sum = 0;
 	uint32_t i, n = 0;
@@ -221,105 +243,121 @@
 }
 
 static double
-silence_us(const struct target *target, uint64_t now_us)
+unresponsive_us(const struct target *target, uint64_t now_us)
 {
-	uint64_t until_us = target->in_flight > 0 ? now_us : target->ended_us;
+	uint64_t until_us =
+	    target->in_flight > 0 ? now_us : target->last_end_us;
 
-	if (target->owes_since_us == 0 || until_us < target->owes_since_us)
+	if (target->unanswered_since_us == 0 ||
+	    until_us < target->unanswered_since_us)
 		return 0;
-	return (double)(until_us - target->owes_since_us);
+	return (double)(until_us - target->unanswered_since_us);
 }
 
 static double
-silence_max_us(double usual_us)
+unresponsive_limit_us(double mean_us)
 {
-	return MAX((double)SILENT_MIN_US, SILENT_LATENCIES * usual_us);
+	return MAX(
+	    (double)UNRESPONSIVE_MIN_US, UNRESPONSIVE_LATENCIES * mean_us);
 }
 
-/* How far its word on its use still counts. */
+/* Weight of the reported utilization, which decreases with its age. */
 static double
-used_known(const struct target *target, uint64_t now_us)
+utilization_weight(const struct target *target, uint64_t now_us)
 {
-	return 1.0 / (1.0 + (double)(now_us - target->used_us) / FORGET_US);
+	return 1.0 /
+	    (1.0 +
+		(double)(now_us - target->utilization_at_us) /
+		    SAMPLE_HALF_WEIGHT_US);
 }
 
-/* What a far target costs by the near ones that may be picked. */
+/* The factor for far targets, given the load of the eligible near ones. */
 static double
-far_cost_now(const struct loom_balance *balance, uint32_t nnear,
-    double usual_us, uint64_t now_us)
+effective_far_cost(const struct loom_balance *balance, uint32_t nnear,
+    double mean_us, uint64_t now_us)
 {
-	const double least = MIN(balance->far_cost, FAR_COST_BUSY);
+	const double min_cost = MIN(balance->far_cost, FAR_COST_BUSY_MAX);
 	const struct target *target;
-	double used = 0, latency_us = 0, part;
+	double utilization = 0, latency_us = 0, fraction;
 	uint32_t i;
 
 	for (i = 0; i < nnear; i++) {
 		target = balance->eligible[i];
-		used += target->used * used_known(target, now_us) / nnear;
+		utilization += target->utilization *
+		    utilization_weight(target, now_us) / nnear;
 		latency_us += target->latency_us / nnear;
 	}
-	part = CLAMP(1.0 - used / NEAR_FULL, 0, 1);
-	part *= CLAMP(NEAR_SLOW - latency_us / usual_us, 0, 1);
-	return least + (balance->far_cost - least) * part;
+	fraction = CLAMP(1.0 - utilization / NEAR_FULL_UTILIZATION, 0, 1);
+	fraction *= CLAMP(NEAR_SLOW_RATIO - latency_us / mean_us, 0, 1);
+	return min_cost + (balance->far_cost - min_cost) * fraction;
 }
 
 static double
 score(const struct loom_balance *balance, const struct target *target,
-    double usual_us, double far_cost, uint64_t now_us)
+    double mean_us, double far_cost, uint64_t now_us)
 {
-	double latency = usual_us;
-	double known =
-	    1.0 / (1.0 + (double)(now_us - target->sampled_us) / FORGET_US);
-	double silence, value, left;
+	double latency = mean_us;
+	double weight = 1.0 /
+	    (1.0 +
+		(double)(now_us - target->last_result_us) /
+		    SAMPLE_HALF_WEIGHT_US);
+	double unresponsive, value, remaining;
 
 	if (target->latency_us > 0)
-		latency += (target->latency_us - latency) * known;
-	silence = silence_us(target, now_us);
-	if (silence > SILENT_LATENCIES * usual_us)
-		latency = MAX(latency, silence);
+		latency += (target->latency_us - latency) * weight;
+	unresponsive = unresponsive_us(target, now_us);
+	if (unresponsive > UNRESPONSIVE_LATENCIES * mean_us)
+		latency = MAX(latency, unresponsive);
 	value = latency * (target->in_flight + 1);
-	value /=
-	    1.0 - MIN(target->used, USED_FULL) * used_known(target, now_us);
-	value *= 1.0 + REFUSED_PENALTY * target->refused * known;
-	if (now_us < target->warm_us) {
-		left = (double)(target->warm_us - now_us) /
+	value /= 1.0 -
+	    MIN(target->utilization, SCORED_UTILIZATION_MAX) *
+		utilization_weight(target, now_us);
+	value *= 1.0 + REFUSAL_PENALTY * target->refusal_rate * weight;
+	if (now_us < target->cold_start_end_us) {
+		remaining = (double)(target->cold_start_end_us - now_us) /
 		    (double)balance->cold_start_us;
-		value *= 1.0 + COLD_PENALTY * left;
+		value *= 1.0 + COLD_START_PENALTY * remaining;
 	}
 	if (!target->host.near)
 		value *= far_cost;
 	return value;
 }
 
-/* Collect the targets that may be picked, those of one distance. */
+/* Appends the eligible targets that are near, or those that are far. */
 static uint32_t
-collect(struct loom_balance *balance, const uint64_t *tried, uint32_t ntried,
-    uint64_t now_us, bool near, double silence_max, uint32_t n)
+collect_by_distance(struct loom_balance *balance, const uint64_t *tried,
+    uint32_t ntried, uint64_t now_us, bool near, double unresponsive_limit,
+    uint32_t n)
 {
 	struct target *target;
 	uint32_t i;
 
 	for (i = 0; i < balance->ntargets; i++) {
 		target = &balance->targets[i];
-		if (target->host.near != near || !usable(target, now_us))
+		if (target->host.near != near || !accepts_calls(target, now_us))
 			continue;
 		if (ejected(target, now_us) || was_tried(target, tried, ntried))
 			continue;
-		if (silence_us(target, now_us) > silence_max)
+		if (unresponsive_us(target, now_us) > unresponsive_limit)
 			continue;
 		balance->eligible[n++] = target;
 	}
 	return n;
 }
 
-/* All that may be picked, near ones first; *nnear receives how many are. */
+/*
+ * Collects all eligible targets, near ones first; *nnear receives the number of
+ * near ones.
+ */
 static uint32_t
-collect_all(struct loom_balance *balance, const uint64_t *tried,
-    uint32_t ntried, uint64_t now_us, double silence_max, uint32_t *nnear)
+collect_eligible(struct loom_balance *balance, const uint64_t *tried,
+    uint32_t ntried, uint64_t now_us, double unresponsive_limit,
+    uint32_t *nnear)
 {
-	*nnear = collect(balance, tried, ntried, now_us, true, silence_max, 0);
-	return collect(
-	    balance, tried, ntried, now_us, false, silence_max, *nnear);
+	*nnear = collect_by_distance(
+	    balance, tried, ntried, now_us, true, unresponsive_limit, 0);
+	return collect_by_distance(
+	    balance, tried, ntried, now_us, false, unresponsive_limit, *nnear);
 }
 
 uint64_t
@@ -327,14 +365,14 @@
     uint32_t ntried, uint64_t now_us)
 {
 	const struct target *first, *second;
-	double usual_us = usual_latency(balance);
+	double mean_us = mean_latency_us(balance);
 	double far_cost;
 	uint32_t n, nnear, i, j;
 
-	n = collect_all(
-	    balance, tried, ntried, now_us, silence_max_us(usual_us), &nnear);
+	n = collect_eligible(balance, tried, ntried, now_us,
+	    unresponsive_limit_us(mean_us), &nnear);
 	if (n == 0)
-		n = collect_all(
+		n = collect_eligible(
 		    balance, tried, ntried, now_us, HUGE_VAL, &nnear);
 	if (n == 0)
 		return 0;
@@ -345,9 +383,9 @@
 		return first->host.host_id;
 	j = (uint32_t)loom_random_below(&balance->random, n - 1);
 	second = balance->eligible[j < i ? j : j + 1];
-	far_cost = far_cost_now(balance, nnear, usual_us, now_us);
-	if (score(balance, second, usual_us, far_cost, now_us) <
-	    score(balance, first, usual_us, far_cost, now_us))
+	far_cost = effective_far_cost(balance, nnear, mean_us, now_us);
+	if (score(balance, second, mean_us, far_cost, now_us) <
+	    score(balance, first, mean_us, far_cost, now_us))
 		first = second;
 	return first->host.host_id;
 }
@@ -360,41 +398,44 @@
 
 	if (target == NULL)
 		return;
-	if (target->owes_since_us == 0)
-		target->owes_since_us = now_us;
+	if (target->unanswered_since_us == 0)
+		target->unanswered_since_us = now_us;
 	target->in_flight++;
 }
 
-/* A sign of life; what is still in flight is owed from now on. */
+/*
+ * The target responded. Calls still in flight count as unanswered from now on.
+ */
 static void
-note_answer(struct target *target, uint64_t now_us)
+note_response(struct target *target, uint64_t now_us)
 {
-	target->owes_since_us = target->in_flight > 0 ? now_us : 0;
+	target->unanswered_since_us = target->in_flight > 0 ? now_us : 0;
 }
 
-/* It said that it leaves, and is listed all the same. */
+/* The target reported that it is draining, but the list does not say so. */
 static bool
-may_be_back(const struct target *target, uint64_t now_us)
+listed_but_draining(const struct target *target, uint64_t now_us)
 {
-	return !target->host.leaving && now_us < target->says_leaving_until_us;
+	return !target->host.leaving && now_us < target->draining_until_us;
 }
 
 uint64_t
 loom_balance_probe_due(struct loom_balance *balance, uint64_t now_us)
 {
-	double silence_max = silence_max_us(usual_latency(balance));
+	double unresponsive_limit =
+	    unresponsive_limit_us(mean_latency_us(balance));
 	struct target *target;
 	uint32_t i;
 
 	for (i = 0; i < balance->ntargets; i++) {
 		target = &balance->targets[i];
-		if (target->probing ||
-		    (silence_us(target, now_us) <= silence_max &&
-			!may_be_back(target, now_us)) ||
-		    now_us < target->probed_us + PROBE_GAP_US)
+		if (target->probe_in_flight ||
+		    (unresponsive_us(target, now_us) <= unresponsive_limit &&
+			!listed_but_draining(target, now_us)) ||
+		    now_us < target->last_probe_us + PROBE_INTERVAL_US)
 			continue;
-		target->probing = true;
-		target->probed_us = now_us;
+		target->probe_in_flight = true;
+		target->last_probe_us = now_us;
 		return target->host.host_id;
 	}
 	return 0;
@@ -408,12 +449,12 @@
 
 	if (target == NULL)
 		return;
-	target->probing = false;
-	target->probed_us = now_us;
+	target->probe_in_flight = false;
+	target->last_probe_us = now_us;
 	if (end != LOOM_PROBE_SILENT)
-		note_answer(target, now_us);
+		note_response(target, now_us);
 	if (end == LOOM_PROBE_SERVING)
-		target->says_leaving_until_us = 0;
+		target->draining_until_us = 0;
 }
 
 static uint32_t
@@ -429,18 +470,18 @@
 static void
 eject(struct loom_balance *balance, struct target *target, uint64_t now_us)
 {
-	uint64_t time_us;
+	uint64_t duration_us;
 
-	if ((count_ejected(balance, now_us) + 1) * EJECT_PART >
+	if ((count_ejected(balance, now_us) + 1) * EJECT_MAX_DIVISOR >
 	    balance->ntargets)
 		return;
-	time_us = EJECT_MIN_US << target->ejections;
-	time_us += loom_random_below(&balance->random, time_us);
-	target->ejected_until_us = now_us + time_us;
-	if (target->ejections < EJECT_DOUBLINGS)
-		target->ejections++;
-	/* Back on trial: one more failure ejects it again. */
-	target->failures = EJECT_FAILURES - 1;
+	duration_us = EJECT_MIN_US << target->ejection_count;
+	duration_us += loom_random_below(&balance->random, duration_us);
+	target->ejected_until_us = now_us + duration_us;
+	if (target->ejection_count < EJECT_DOUBLINGS_MAX)
+		target->ejection_count++;
+	/* After the ejection a single failure ejects it again. */
+	target->consecutive_failures = EJECT_FAILURES - 1;
 }
 
 static void
@@ -450,10 +491,11 @@
 
 	if (target->latency_us <= 0)
 		target->latency_us = latency;
-	target->latency_us += (latency - target->latency_us) * LATENCY_WEIGHT;
-	target->refused -= target->refused * REFUSED_WEIGHT;
-	target->failures = 0;
-	target->ejections = 0;
+	target->latency_us +=
+	    (latency - target->latency_us) * LATENCY_EWMA_WEIGHT;
+	target->refusal_rate -= target->refusal_rate * REFUSAL_EWMA_WEIGHT;
+	target->consecutive_failures = 0;
+	target->ejection_count = 0;
 }
 
 void
@@ -466,22 +508,23 @@
 		return;
 	if (target->in_flight > 0)
 		target->in_flight--;
-	target->ended_us = now_us;
+	target->last_end_us = now_us;
 	if (end != LOOM_TARGET_CANCELLED)
-		target->sampled_us = now_us;
+		target->last_result_us = now_us;
 	if (end == LOOM_TARGET_OK || end == LOOM_TARGET_REFUSED)
-		note_answer(target, now_us);
+		note_response(target, now_us);
 	switch (end) {
 	case LOOM_TARGET_OK:
 		note_ok(target, latency_us);
 		break;
 	case LOOM_TARGET_REFUSED:
-		target->refused += (1.0 - target->refused) * REFUSED_WEIGHT;
-		target->failures = 0;
+		target->refusal_rate +=
+		    (1.0 - target->refusal_rate) * REFUSAL_EWMA_WEIGHT;
+		target->consecutive_failures = 0;
 		break;
 	case LOOM_TARGET_FAILED:
-		target->failures++;
-		if (target->failures >= EJECT_FAILURES &&
+		target->consecutive_failures++;
+		if (target->consecutive_failures >= EJECT_FAILURES &&
 		    !ejected(target, now_us))
 			eject(balance, target, now_us);
 		break;
@@ -492,14 +535,14 @@
 
 void
 loom_balance_note_used(struct loom_balance *balance, uint64_t host_id,
-    double used, uint64_t now_us)
+    double utilization, uint64_t now_us)
 {
 	struct target *target = find(balance, host_id);
 
 	if (target == NULL)
 		return;
-	target->used = used;
-	target->used_us = now_us;
+	target->utilization = utilization;
+	target->utilization_at_us = now_us;
 }
 
 void
@@ -510,8 +553,8 @@
 
 	if (target == NULL)
 		return;
-	target->says_leaving_until_us = now_us + LEAVING_WORD_US;
-	target->probed_us = now_us;
+	target->draining_until_us = now_us + DRAINING_REPORT_US;
+	target->last_probe_us = now_us;
 }
 
 uint32_t
@@ -520,7 +563,7 @@
 	uint32_t i, n = 0;
 
 	for (i = 0; i < balance->ntargets; i++)
-		n += usable(&balance->targets[i], now_us) &&
+		n += accepts_calls(&balance->targets[i], now_us) &&
 		    !ejected(&balance->targets[i], now_us);
 	return n;
 }
--- a/tests/decide/test_balance.c
+++ b/tests/decide/test_balance.c
@@ -1,6 +1,6 @@
 /*
- * Which target gets the calls of one entry: calls arrive every millisecond,
- * each target answers after its own time.
+ * Distribution of one entry's calls among targets. Calls arrive at a fixed
+ * interval, and each target answers after a latency of its own.
  */
 
 #include <talloc.h>
@@ -10,206 +10,218 @@
 
 #define TARGETS 4
 #define COLD_US (UINT64_C(2) * LOOM_US_PER_S)
-#define RING 2048 /* longest answer, in milliseconds */
+#define MAX_LATENCY_MS 2048 /* longest latency in a case is below this */
 
-struct target_play {
+struct simulated_target {
 	uint32_t latency_ms;
 	enum loom_target_end end;
 	bool far;
-	bool leaving; /* by the list */
-	bool says_leaving;
-	bool added_late; /* joins at half time */
+	bool listed_draining; /* draining according to the host list */
+	bool reports_draining;
+	bool joins_midway; /* added after half of the simulated time */
 };
 
 static const struct {
 	const char *name;
-	struct target_play targets[TARGETS];
+	struct simulated_target targets[TARGETS];
 	struct {
-		uint32_t min, max; /* percent of the calls */
-	} got[TARGETS];
-	uint32_t every_ms; /* a call; 0: each millisecond */
+		uint32_t min, max;
+	} share_percent[TARGETS];
+	uint32_t call_interval_ms; /* 0: a call each millisecond */
 } cases[] = {
 	{ .name = "equal targets share evenly",
 	    .targets = { { .latency_ms = 20 }, { .latency_ms = 20 },
 		{ .latency_ms = 20 }, { .latency_ms = 20 } },
-	    .got = { { 20, 30 }, { 20, 30 }, { 20, 30 }, { 20, 30 } } },
+	    .share_percent = { { 20, 30 }, { 20, 30 }, { 20, 30 },
+		{ 20, 30 } } },
 	{ .name = "a slow target gets less",
 	    .targets = { { .latency_ms = 20 }, { .latency_ms = 20 },
 		{ .latency_ms = 20 }, { .latency_ms = 200 } },
-	    .got = { { 25, 40 }, { 25, 40 }, { 25, 40 }, { 0, 8 } } },
-	{ .name = "a target that refuses at once draws no more calls",
+	    .share_percent = { { 25, 40 }, { 25, 40 }, { 25, 40 }, { 0, 8 } } },
+	{ .name = "a target that refuses at once gets no extra calls",
 	    .targets = { { .latency_ms = 20 }, { .latency_ms = 20 },
 		{ .latency_ms = 20 },
 		{ .latency_ms = 1, .end = LOOM_TARGET_REFUSED } },
-	    .got = { { 20, 40 }, { 20, 40 }, { 20, 40 }, { 0, 25 } } },
+	    .share_percent = { { 20, 40 }, { 20, 40 }, { 20, 40 },
+		{ 0, 25 } } },
 	{ .name = "a failing target is ejected",
 	    .targets = { { .latency_ms = 20 }, { .latency_ms = 20 },
 		{ .latency_ms = 20 },
 		{ .latency_ms = 1, .end = LOOM_TARGET_FAILED } },
-	    .got = { { 25, 40 }, { 25, 40 }, { 25, 40 }, { 0, 2 } } },
+	    .share_percent = { { 25, 40 }, { 25, 40 }, { 25, 40 }, { 0, 2 } } },
 	{ .name = "never more than half are ejected",
 	    .targets = { { .latency_ms = 5, .end = LOOM_TARGET_FAILED },
 		{ .latency_ms = 5, .end = LOOM_TARGET_FAILED },
 		{ .latency_ms = 5, .end = LOOM_TARGET_FAILED },
 		{ .latency_ms = 5, .end = LOOM_TARGET_FAILED } },
-	    .got = { { 5, 60 }, { 5, 60 }, { 5, 60 }, { 5, 60 } } },
-	{ .name = "leaving by the list",
+	    .share_percent = { { 5, 60 }, { 5, 60 }, { 5, 60 }, { 5, 60 } } },
+	{ .name = "draining according to the host list",
 	    .targets = { { .latency_ms = 20 }, { .latency_ms = 20 },
-		{ .latency_ms = 20 }, { .latency_ms = 20, .leaving = true } },
-	    .got = { { 25, 40 }, { 25, 40 }, { 25, 40 }, { 0, 0 } } },
-	{ .name = "leaving by its own word",
+		{ .latency_ms = 20 },
+		{ .latency_ms = 20, .listed_draining = true } },
+	    .share_percent = { { 25, 40 }, { 25, 40 }, { 25, 40 }, { 0, 0 } } },
+	{ .name = "reports that it is draining",
 	    .targets = { { .latency_ms = 20 }, { .latency_ms = 20 },
 		{ .latency_ms = 20 },
-		{ .latency_ms = 20, .says_leaving = true } },
-	    .got = { { 25, 40 }, { 25, 40 }, { 25, 40 }, { 0, 0 } } },
-	{ .name = "near ones first while equal",
+		{ .latency_ms = 20, .reports_draining = true } },
+	    .share_percent = { { 25, 40 }, { 25, 40 }, { 25, 40 }, { 0, 0 } } },
+	{ .name = "near targets are preferred at equal latency",
 	    .targets = { { .latency_ms = 20 }, { .latency_ms = 20 },
 		{ .latency_ms = 20, .far = true },
 		{ .latency_ms = 20, .far = true } },
-	    .got = { { 35, 50 }, { 35, 50 }, { 0, 15 }, { 0, 15 } },
-	    .every_ms = 20 },
-	{ .name = "spills over by load",
+	    .share_percent = { { 35, 50 }, { 35, 50 }, { 0, 15 }, { 0, 15 } },
+	    .call_interval_ms = 20 },
+	{ .name = "calls spill over to far targets under load",
 	    .targets = { { .latency_ms = 200 }, { .latency_ms = 200 },
 		{ .latency_ms = 20, .far = true },
 		{ .latency_ms = 20, .far = true } },
-	    .got = { { 0, 20 }, { 0, 20 }, { 30, 50 }, { 30, 50 } } },
-	{ .name = "three of four are cut off: calls end by their deadline",
+	    .share_percent = { { 0, 20 }, { 0, 20 }, { 30, 50 }, { 30, 50 } } },
+	{ .name = "three of four are unreachable: calls end at their deadline",
 	    .targets = { { .latency_ms = 20 },
 		{ .latency_ms = 700, .end = LOOM_TARGET_FAILED },
 		{ .latency_ms = 700, .end = LOOM_TARGET_FAILED },
 		{ .latency_ms = 700, .end = LOOM_TARGET_FAILED } },
-	    .got = { { 85, 100 }, { 0, 5 }, { 0, 5 }, { 0, 5 } },
-	    .every_ms = 10 },
-	{ .name = "three of four are cut off: callers do not wait",
+	    .share_percent = { { 85, 100 }, { 0, 5 }, { 0, 5 }, { 0, 5 } },
+	    .call_interval_ms = 10 },
+	{ .name = "three of four are unreachable: callers disconnect",
 	    .targets = { { .latency_ms = 20 },
 		{ .latency_ms = 400, .end = LOOM_TARGET_CANCELLED },
 		{ .latency_ms = 400, .end = LOOM_TARGET_CANCELLED },
 		{ .latency_ms = 400, .end = LOOM_TARGET_CANCELLED } },
-	    .got = { { 85, 100 }, { 0, 5 }, { 0, 5 }, { 0, 5 } },
-	    .every_ms = 10 },
-	{ .name = "near ones are cut off, far ones answer",
+	    .share_percent = { { 85, 100 }, { 0, 5 }, { 0, 5 }, { 0, 5 } },
+	    .call_interval_ms = 10 },
+	{ .name = "near targets are unreachable, far ones answer",
 	    .targets = { { .latency_ms = 700, .end = LOOM_TARGET_FAILED },
 		{ .latency_ms = 700, .end = LOOM_TARGET_FAILED },
 		{ .latency_ms = 20, .far = true },
 		{ .latency_ms = 20, .far = true } },
-	    .got = { { 0, 3 }, { 0, 3 }, { 40, 60 }, { 40, 60 } },
-	    .every_ms = 10 },
-	{ .name = "long work is no silence",
+	    .share_percent = { { 0, 3 }, { 0, 3 }, { 40, 60 }, { 40, 60 } },
+	    .call_interval_ms = 10 },
+	{ .name = "slow answers do not count as unresponsive",
 	    .targets = { { .latency_ms = 1500 }, { .latency_ms = 1500 },
 		{ .latency_ms = 1500 }, { .latency_ms = 1500 } },
-	    .got = { { 20, 30 }, { 20, 30 }, { 20, 30 }, { 20, 30 } },
-	    .every_ms = 10 },
+	    .share_percent = { { 20, 30 }, { 20, 30 }, { 20, 30 }, { 20, 30 } },
+	    .call_interval_ms = 10 },
 	{ .name = "a cold target starts with less",
 	    .targets = { { .latency_ms = 20 }, { .latency_ms = 20 },
 		{ .latency_ms = 20 },
-		{ .latency_ms = 20, .added_late = true } },
-	    .got = { { 25, 35 }, { 25, 35 }, { 25, 35 }, { 4, 12 } } },
+		{ .latency_ms = 20, .joins_midway = true } },
+	    .share_percent = { { 25, 35 }, { 25, 35 }, { 25, 35 },
+		{ 4, 12 } } },
 };
 
-struct balance_play {
+struct simulation {
 	struct loom_balance *balance;
 	struct loom_random random;
-	/* host ids of calls that end at a millisecond, modulo RING */
-	GArray *ends[RING];
-	uint32_t got[TARGETS];
+	/* host ids of calls that end at a millisecond, modulo MAX_LATENCY_MS */
+	GArray *completions[MAX_LATENCY_MS];
+	uint32_t calls[TARGETS];
 };
 
 static void
-set_hosts(struct balance_play *play, const struct target_play *targets,
-    bool late, uint64_t now_us)
+set_hosts(struct simulation *sim, const struct simulated_target *targets,
+    bool midway, uint64_t now_us)
 {
 	struct loom_balance_host hosts[TARGETS];
 	uint32_t i, n = 0;
 
 	for (i = 0; i < TARGETS; i++) {
-		if (targets[i].added_late && !late)
+		if (targets[i].joins_midway && !midway)
 			continue;
 		hosts[n++] = (struct loom_balance_host){
 			.host_id = i + 1,
 			.near = !targets[i].far,
-			.leaving = targets[i].leaving,
+			.leaving = targets[i].listed_draining,
 		};
 	}
-	loom_balance_hosts_changed(play->balance, hosts, n, now_us);
+	loom_balance_hosts_changed(sim->balance, hosts, n, now_us);
 }
 
 static void
-end_calls(
-    struct balance_play *play, const struct target_play *targets, uint64_t ms)
+complete_calls(
+    struct simulation *sim, const struct simulated_target *targets, uint64_t ms)
 {
-	GArray *ends = play->ends[ms % RING];
-	const struct target_play *target;
+	GArray *completions = sim->completions[ms % MAX_LATENCY_MS];
+	const struct simulated_target *target;
 	uint64_t host_id;
 	guint i;
 
-	for (i = 0; i < ends->len; i++) {
-		host_id = g_array_index(ends, uint64_t, i);
+	for (i = 0; i < completions->len; i++) {
+		host_id = g_array_index(completions, uint64_t, i);
 		target = &targets[host_id - 1];
-		loom_balance_note_done(play->balance, host_id, target->end,
+		loom_balance_note_done(sim->balance, host_id, target->end,
 		    target->latency_ms * LOOM_US_PER_MS, ms * LOOM_US_PER_MS);
 	}
-	g_array_set_size(ends, 0);
+	g_array_set_size(completions, 0);
 }
 
 static void
-play_balance(
-    const struct target_play *targets, uint32_t every_ms, uint32_t got[TARGETS])
+simulate(const struct simulated_target *targets, uint32_t call_interval_ms,
+    uint32_t share_percent[TARGETS])
 {
-	struct balance_play play = { .random = test_random_new(1) };
+	struct simulation sim = { .random = test_random_new(1) };
 	uint64_t ms, host_id;
 	int i;
 
-	play.balance = loom_balance_new(NULL, &play.random, COLD_US);
-	for (i = 0; i < RING; i++)
-		play.ends[i] = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	set_hosts(&play, targets, false, 0);
+	sim.balance = loom_balance_new(NULL, &sim.random, COLD_US);
+	for (i = 0; i < MAX_LATENCY_MS; i++)
+		sim.completions[i] =
+		    g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	set_hosts(&sim, targets, false, 0);
 	for (i = 0; i < TARGETS; i++) {
-		if (targets[i].says_leaving)
-			loom_balance_note_leaving(play.balance, i + 1, 0);
+		if (targets[i].reports_draining)
+			loom_balance_note_leaving(sim.balance, i + 1, 0);
 	}
 	for (ms = 1; ms <= 4000; ms++) {
 		if (ms == 2000)
-			set_hosts(&play, targets, true, ms * LOOM_US_PER_MS);
-		end_calls(&play, targets, ms);
-		if (ms % every_ms != 0)
+			set_hosts(&sim, targets, true, ms * LOOM_US_PER_MS);
+		complete_calls(&sim, targets, ms);
+		if (ms % call_interval_ms != 0)
 			continue;
 		host_id = loom_balance_pick(
-		    play.balance, NULL, 0, ms * LOOM_US_PER_MS);
+		    sim.balance, NULL, 0, ms * LOOM_US_PER_MS);
 		CU_ASSERT_FATAL(host_id >= 1 && host_id <= TARGETS);
 		loom_balance_note_sent(
-		    play.balance, host_id, ms * LOOM_US_PER_MS);
-		play.got[host_id - 1]++;
+		    sim.balance, host_id, ms * LOOM_US_PER_MS);
+		sim.calls[host_id - 1]++;
 		g_array_append_val(
-		    play.ends[(ms + targets[host_id - 1].latency_ms) % RING],
+		    sim.completions[(ms + targets[host_id - 1].latency_ms) %
+			MAX_LATENCY_MS],
 		    host_id);
 	}
 	for (i = 0; i < TARGETS; i++)
-		got[i] = play.got[i] * every_ms / 40;
-	for (i = 0; i < RING; i++)
-		g_array_free(play.ends[i], TRUE);
-	talloc_free(play.balance);
-	test_random_free(&play.random);
+		share_percent[i] = sim.calls[i] * call_interval_ms / 40;
+	for (i = 0; i < MAX_LATENCY_MS; i++)
+		g_array_free(sim.completions[i], TRUE);
+	talloc_free(sim.balance);
+	test_random_free(&sim.random);
 }
 
 static void
-test_shares(void)
+test_call_distribution(void)
 {
-	uint32_t got[TARGETS];
+	uint32_t share_percent[TARGETS];
 	size_t i, j;
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
-		play_balance(cases[i].targets, MAX(cases[i].every_ms, 1), got);
+		simulate(cases[i].targets, MAX(cases[i].call_interval_ms, 1),
+		    share_percent);
 		for (j = 0; j < TARGETS; j++)
-			TEST_CHECK(got[j] >= cases[i].got[j].min &&
-				got[j] <= cases[i].got[j].max,
+			TEST_CHECK(
+			    share_percent[j] >= cases[i].share_percent[j].min &&
+				share_percent[j] <=
+				    cases[i].share_percent[j].max,
 			    "%s: target %zu got %u%%", cases[i].name, j,
-			    got[j]);
+			    share_percent[j]);
 	}
 }
 
-/* A second try goes elsewhere; with all tried, or none there, nowhere. */
+/*
+ * A retry goes to a host that the call has not tried. No host is returned when
+ * all were tried, or when the list is empty.
+ */
 static void
-test_tried(void)
+test_tried_and_draining(void)
 {
 	static const struct loom_balance_host hosts[] = {
 		{ .host_id = 1, .near = true },
@@ -228,19 +240,20 @@
 	CU_ASSERT_EQUAL(loom_balance_live(balance, 0), 2);
 	loom_balance_note_leaving(balance, 1, 0);
 	CU_ASSERT_EQUAL(loom_balance_live(balance, 0), 1);
-	/* The list lags: it still says live, but the host said it leaves. */
+	/* The host list is delayed: it still lists the host as serving. */
 	loom_balance_hosts_changed(balance, hosts, 2, 0);
 	CU_ASSERT_EQUAL(loom_balance_live(balance, 0), 1);
-	/* Restarted in place, it never left the list: it is asked again. */
+	/* The report expires: a host restarted in place never left the list. */
 	CU_ASSERT_EQUAL(loom_balance_live(balance, 6 * LOOM_US_PER_S), 2);
 	talloc_free(balance);
 	test_random_free(&random);
 }
 
 /*
- * A target falls silent and is doubted: no call goes to it, a probe is due at
- * once, one at a time, and again after a gap.  The probe that is answered
- * brings it back; when all are silent, all are used.
+ * An unresponsive target gets no calls while another is available. A probe of
+ * it is due at once, only one at a time, and the next after an interval. A
+ * probe that is answered makes it eligible again. When all targets are
+ * unresponsive, all are used.
  */
 static void
 test_probes(void)
@@ -264,7 +277,7 @@
 	loom_balance_note_probe(balance, 1, LOOM_PROBE_SILENT, 10 * s);
 	CU_ASSERT_EQUAL(loom_balance_probe_due(balance, 10 * s), 0);
 	CU_ASSERT_EQUAL(loom_balance_probe_due(balance, 11 * s), 1);
-	/* Its call is given up: it still owes a sign of life. */
+	/* Its call is cancelled, but it has still not answered. */
 	loom_balance_note_done(
 	    balance, 1, LOOM_TARGET_CANCELLED, 10 * s, 11 * s);
 	CU_ASSERT_EQUAL(loom_balance_pick(balance, NULL, 0, 12 * s), 2);
@@ -277,11 +290,14 @@
 	test_random_free(&random);
 }
 
-/* Two targets of 12 and 25 ms.  As long as neither says how much of it is in
- * use the fast one is taken; full, it is left for the slow one that is idle,
- * and taken again once its word is old. */
+/*
+ * Two targets with latencies of 12 and 25 ms. The fast one is chosen while
+ * neither reports its utilization. Once it reports that it is full, the slow
+ * one, which is idle, is chosen, and when that report is old the fast one is
+ * chosen again.
+ */
 static void
-test_used(void)
+test_utilization(void)
 {
 	static const struct loom_balance_host hosts[] = {
 		{ .host_id = 1, .near = true },
@@ -312,11 +328,14 @@
 	test_random_free(&random);
 }
 
-/* One of three executors is restarted in place.  It has said that it leaves
- * and serves again a second later, and its third of the service stood idle
- * for four more.  A probe that finds it not yet serving changes nothing. */
+/*
+ * Guards against an idle host after a restart in place. One of three executors
+ * had reported that it was draining and served again a second later, but its
+ * third of the service was idle for four more seconds. A probe that finds the
+ * host not yet serving changes nothing.
+ */
 static void
-test_back_from_leaving(void)
+test_probe_ends_draining(void)
 {
 	static const struct loom_balance_host hosts[] = {
 		{ .host_id = 1, .near = true },
@@ -341,9 +360,10 @@
 }
 
 /*
- * A far target is taken when it is better by the factor set.  Where the near
- * one says that it is nearly full the factor is gone: its queue stood while the
- * far one had room, and whole requests were refused for want of it.
+ * A far target is chosen when its score is better by the configured factor.
+ * When the near target reports that it is nearly full, the factor no longer
+ * applies: otherwise calls queued at the near target while the far one had
+ * room, and requests were refused for lack of room.
  */
 static void
 test_far_cost(void)
@@ -354,9 +374,9 @@
 	};
 	static const struct {
 		double far_cost;
-		uint32_t near_in_flight; /* besides none at the far one */
-		double near_used;
-		uint64_t picked;
+		uint32_t near_in_flight; /* while the far target has none */
+		double near_utilization;
+		uint64_t expected;
 	} rows[] = {
 		{ 1.25, 0, 0, 1 },
 		{ 1.25, 1, 0, 2 },
@@ -378,9 +398,9 @@
 		for (j = 0; j < rows[i].near_in_flight; j++)
 			loom_balance_note_sent(balance, 1, LOOM_US_PER_MS);
 		loom_balance_note_used(
-		    balance, 1, rows[i].near_used, LOOM_US_PER_MS);
+		    balance, 1, rows[i].near_utilization, LOOM_US_PER_MS);
 		TEST_CHECK(loom_balance_pick(balance, NULL, 0,
-			       LOOM_US_PER_MS) == rows[i].picked,
+			       LOOM_US_PER_MS) == rows[i].expected,
 		    "%zu", i);
 		talloc_free(balance);
 	}
@@ -388,11 +408,11 @@
 }
 
 static const struct test_case tests[] = {
-	{ "use", test_used },
-	{ "back from leaving", test_back_from_leaving },
+	{ "utilization", test_utilization },
+	{ "probe ends draining", test_probe_ends_draining },
 	{ "far cost", test_far_cost },
-	{ "shares", test_shares },
-	{ "tried ones", test_tried },
+	{ "call distribution", test_call_distribution },
+	{ "tried and draining", test_tried_and_draining },
 	{ "probes", test_probes },
 };
 
