--- a/src/decide/balance.c
+++ b/src/decide/balance.c
@@ -55,13 +55,14 @@
 
 #include "loom/balance.h"
 
-#define LATENCY_EWMA_WEIGHT \
-	0.1 /* of a new sample: about the last ten dominate */
+/* Weight of a new sample: the last ten samples dominate. */
+#define LATENCY_EWMA_WEIGHT 0.1
 #define REFUSAL_EWMA_WEIGHT 0.1
-#define REFUSAL_PENALTY \
-	10.0 /* a target that refuses everything scores 11 times as much */
-#define COLD_START_PENALTY \
-	4.0 /* a new target scores 5 times as much, decreasing to 1 */
+
+/* A target that refuses everything scores 11 times as much. */
+#define REFUSAL_PENALTY 10.0
+/* A new target scores 5 times as much, decreasing to the plain score. */
+#define COLD_START_PENALTY 4.0
 
 /*
  * When near targets have this utilization, or this many times the mean latency,
@@ -93,13 +94,13 @@
 #define EJECT_MAX_DIVISOR 2 /* at most one target in two */
 
 /*
- * Longer than a retransmission on a lossy path (the first takes at most 1 s) or
- * a pause of the target's process should count for, and shorter than the few
- * seconds within which calls have to move to other targets.
+ * Longer than a retransmission on a lossy path (1 s at most for the first one)
+ * or a short pause of the target's process, which do not count as unresponsive,
+ * and shorter than the few seconds within which calls have to move elsewhere.
  */
 #define UNRESPONSIVE_MIN_US (1 * LOOM_US_PER_S)
-#define UNRESPONSIVE_LATENCIES \
-	4.0 /* tolerates work that takes long by nature */
+/* In mean latencies, so that work that takes long by nature is tolerated. */
+#define UNRESPONSIVE_LATENCIES 4.0
 #define PROBE_INTERVAL_US (UINT64_C(500) * LOOM_US_PER_MS)
 
 /*
@@ -121,16 +122,14 @@
 	uint32_t consecutive_failures;
 	uint32_t ejection_count; /* since its last success */
 	uint64_t ejected_until_us;
-	uint64_t cold_start_end_us; /* end of the cold start */
+	uint64_t cold_start_end_us;
 	double latency_us;
 	double refusal_rate; /* moving average, 0 to 1 */
 	double utilization; /* as last reported by the target */
 	uint64_t utilization_at_us;
-	uint64_t last_result_us; /* when a call last ended, other than by
-				    cancellation */
-	uint64_t unanswered_since_us; /* no answer since this call was sent; 0:
-					 none owed */
-	uint64_t last_end_us; /* when a call last ended, in any way */
+	uint64_t last_result_us; /* last end of a call, without cancellations */
+	uint64_t unanswered_since_us; /* 0 if no answer is outstanding */
+	uint64_t last_end_us; /* last end of a call, however it ended */
 	uint64_t last_probe_us; /* when a probe was last started or finished */
 	bool probe_in_flight;
 };
--- a/src/decide/gone.h
+++ b/src/decide/gone.h
@@ -2,17 +2,18 @@
 #define LOOM_DECIDE_GONE_H
 
 /*
- * Whether an upstream crashed, where it is back before anybody looks.
+ * Detects a crash of an upstream that accepts connections again before anybody
+ * notices.
  *
- * Load pattern: a request crashes its upstream, whose watchdog starts it anew
- * within a millisecond, or holds its listening socket.  A new connection is
- * then never refused, the crash looks like one broken connection, and the
- * culprit is repeated from host to host.
+ * Such an upstream has a watchdog that restarts it within a millisecond or that
+ * holds its listening socket. A new connection is then never refused, so a
+ * crash caused by a request looks like a single broken connection, and the
+ * request is repeated on one host after another.
  *
- * The daemon keeps two idle connections to its upstream, its witnesses.  An
- * upstream that is done with one connection leaves them alone; one that comes
- * down takes both along.  They are opened apart, so that an upstream that
- * closes idle connections after a time of its own never closes both at once.
+ * Therefore the daemon keeps two idle connections to its upstream, called
+ * witnesses. An upstream that closes one connection leaves them open, whereas
+ * one that crashes closes both. They are opened at different times, so that an
+ * upstream with an idle timeout never closes both at once.
  */
 
 #include <stdbool.h>
@@ -20,28 +21,36 @@
 
 #define GONE_WITNESSES 2
 
-/* How often the witnesses are looked at. */
+/* Interval at which the witnesses are checked. */
 #define GONE_LOOK_US UINT64_C(50000)
-/* Far over the time between two looks, so that one upstream's idle timeout
- * cannot end both in between. */
+/*
+ * Far longer than the interval between two checks, so that an idle timeout of
+ * the upstream cannot close both witnesses between two checks.
+ */
 #define GONE_APART_US UINT64_C(250000)
-/* Both ends must be known to within this, and be as near to the broken call:
- * two looks, and a thread that is late. */
+/*
+ * The closing time of both witnesses must be known to within this time and must
+ * lie within this time of the broken call. It allows for two checks and a
+ * thread that runs late.
+ */
 #define GONE_TOGETHER_US UINT64_C(150000)
 
-/* The last witness of its place that ended. */
+/* The last witness connection of a slot that was closed by the upstream. */
 struct gone_witness {
-	bool ended; /* ever */
+	bool ended; /* false if none was closed yet */
 	uint64_t opened_us;
-	uint64_t seen_us; /* open for the last time */
+	uint64_t seen_us; /* last seen open */
 	uint64_t ended_us; /* found closed */
 };
 
-/* A call broke just now: did the upstream go with it? */
+/* Whether the upstream went down together with a call that broke just now. */
 bool gone_with(
     const struct gone_witness witnesses[GONE_WITNESSES], uint64_t now_us);
 
-/* Whether a witness may be opened now; the other is open since then, or 0. */
+/*
+ * Whether a witness may be opened now. other_opened_us is the time when the
+ * other one was opened, or 0 if it is not open.
+ */
 bool gone_may_open(uint64_t other_opened_us, uint64_t now_us);
 
 #endif
--- a/src/decide/outcome.c
+++ b/src/decide/outcome.c
@@ -1,25 +1,25 @@
 /*
- * What may be said about a failed call.
+ * What may be reported about a failed call, and who may retry it.
  *
- * Two questions are kept apart: what happened to this request (the outcome),
- * and who may send it again.  "Not run" is said only where it is known for
- * certain: no byte was given to a socket on this leg, or the one place that
- * could have run it says so.  A request with a ticket has one such place, its
- * executor; any other that turns it away cannot know whether an earlier copy
- * ran or a delayed one still will, and says unknown.  Its caller sends it
- * again with the same ticket, which is always safe.
+ * The outcome (what happened to this request) is decided separately from who
+ * may send it again. The outcome is not-run only if that is certain: no byte
+ * was written to a socket on this leg, or the one daemon that could have run
+ * the request says so. For a request with a ticket that daemon is its executor.
+ * Any other daemon that refuses it cannot know whether an earlier copy ran or a
+ * delayed one still will, and reports unknown; the caller can safely send it
+ * again with the same ticket.
  *
- * Retry happens on the hop right above the failure alone.  What that hop did
- * not mend is final on the way up, and so is every sign of overload: a chain
- * that is 28 deep and tries twice at each hop would make a quarter of a
- * milliard calls of one.
+ * Only the hop directly above the failure retries. A failure that this hop
+ * could not recover from is final on the way up, and so is any sign of
+ * overload: in a chain 28 hops deep with two attempts at each hop, one call
+ * would become about 250 million calls.
  */
 
 #include "loom/outcome.h"
 
-/* A code by leg for a failure that nobody else has named. */
+/* The result code of a failure for which there is no refusal yet. */
 static enum loom_result
-code_of(const struct loom_failure_facts *facts)
+result_code(const struct loom_failure_facts *facts)
 {
 	bool upstream = facts->leg == LOOM_LEG_UPSTREAM;
 
@@ -46,13 +46,13 @@
 	return LOOM_INTERNAL;
 }
 
-/* What is known before tickets are looked at. */
+/* The outcome, without regard to tickets. */
 static enum loom_outcome
-plain_outcome(const struct loom_failure_facts *facts)
+base_outcome(const struct loom_failure_facts *facts)
 {
 	switch (facts->failure) {
 	case LOOM_FAILURE_REFUSED:
-		/* A refusal is the word of whoever sent it. */
+		/* The sender of the refusal has decided the outcome. */
 		if (facts->refusal != NULL)
 			return facts->refusal->outcome;
 		return LOOM_OUTCOME_UNKNOWN;
@@ -61,8 +61,10 @@
 			return facts->refusal->outcome;
 		return LOOM_OUTCOME_UNKNOWN;
 	case LOOM_FAILURE_ANSWER_CUT:
-		/* The upstream answered, so it ran; whether to its end nobody
-		 * can tell. */
+		/*
+		 * The upstream began to answer, so the request ran, but it is
+		 * unknown whether it ran to completion.
+		 */
 		return LOOM_OUTCOME_UNKNOWN;
 	case LOOM_FAILURE_CONNECT:
 	case LOOM_FAILURE_CUT:
@@ -76,29 +78,32 @@
 	return facts->sent ? LOOM_OUTCOME_UNKNOWN : LOOM_OUTCOME_NOT_RUN;
 }
 
-/* True when the refusal was said by the executor's daemon. */
+/* Whether the outcome comes from the executor's daemon. */
 static bool
-executor_speaks(const struct loom_failure_facts *facts)
+outcome_from_executor(const struct loom_failure_facts *facts)
 {
 	return facts->leg == LOOM_LEG_UPSTREAM ||
 	    facts->failure == LOOM_FAILURE_REFUSED;
 }
 
 static enum loom_outcome
-outcome_of(const struct loom_failure_facts *facts)
+decide_outcome(const struct loom_failure_facts *facts)
 {
-	struct loom_refusal refusal = { .outcome = plain_outcome(facts) };
+	struct loom_refusal refusal = { .outcome = base_outcome(facts) };
 
-	if (facts->ticketed && !executor_speaks(facts))
+	if (facts->ticketed && !outcome_from_executor(facts))
 		loom_refusal_ticket_not_begun(&refusal);
 	return refusal.outcome;
 }
 
-/* Failures of one target, which another may not share.  A crash is not among
- * them: the retry of a request that crashed one upstream crashes the next,
- * within a millisecond and before the word of it can spread. */
+/*
+ * Failures of one target that other targets need not share. A crash is not
+ * among them: retrying a request that crashed one upstream crashes the next
+ * one, within a millisecond and before reports of the crash can reach other
+ * hosts.
+ */
 static bool
-other_target_may_help(enum loom_result code)
+is_target_specific(enum loom_result code)
 {
 	switch ((int)code) {
 	case LOOM_UPSTREAM_CONNECT:
@@ -116,8 +121,8 @@
 }
 
 /*
- * The entry tries again, never the executor: its one upstream has just shown
- * that it fails, and trying on both hops multiplies.
+ * Only the entry retries, never the executor: the executor's only upstream has
+ * just failed, and retries at both hops would multiply.
  */
 static bool
 may_retry(const struct loom_failure_facts *facts, enum loom_result code,
@@ -130,23 +135,24 @@
 		return false;
 	if (facts->refusal != NULL && facts->refusal->final)
 		return false;
-	if (!other_target_may_help(code))
+	if (!is_target_specific(code))
 		return false;
 	return outcome == LOOM_OUTCOME_NOT_RUN || facts->repeatable;
 }
 
 /*
- * The executor leaves a failure of its own open, so that the entry right
- * above may try; everything that passes the entry is final.
+ * The executor does not mark its own failures as final if another target may
+ * succeed, so that the entry directly above can retry. Everything that the
+ * entry passes on is final.
  */
 static bool
-is_final(const struct loom_failure_facts *facts, enum loom_result code)
+must_be_final(const struct loom_failure_facts *facts, enum loom_result code)
 {
 	if (facts->refusal != NULL && facts->refusal->final)
 		return true;
 	if (facts->leg == LOOM_LEG_PEER)
 		return true;
-	return !other_target_may_help(code);
+	return !is_target_specific(code);
 }
 
 struct loom_failure_verdict
@@ -154,10 +160,10 @@
 {
 	struct loom_failure_verdict verdict = { 0 };
 
-	verdict.code = code_of(facts);
-	verdict.outcome = outcome_of(facts);
+	verdict.code = result_code(facts);
+	verdict.outcome = decide_outcome(facts);
 	verdict.retry_here = may_retry(facts, verdict.code, verdict.outcome);
-	verdict.final = is_final(facts, verdict.code);
+	verdict.final = must_be_final(facts, verdict.code);
 	return verdict;
 }
 
--- a/tests/decide/test_gone.c
+++ b/tests/decide/test_gone.c
@@ -1,5 +1,5 @@
 /*
- * Whether an upstream that takes connections again went down with a call.
+ * Detection of crashes of an upstream that accepts connections again at once.
  */
 
 #include "decide/gone.h"
@@ -8,46 +8,48 @@
 #define MS UINT64_C(1000)
 #define NOW_MS 100000
 
-/* When the witnesses were opened, last seen and found closed, in milliseconds
- * before now; a negative end is a witness that is still open. */
+/*
+ * When a witness was opened, last seen open and found closed, in milliseconds
+ * before now. A negative found_closed_ago_ms means that it is still open.
+ */
 struct witness_case {
-	int opened_ms;
-	int seen_ms;
-	int ended_ms;
+	int opened_ago_ms;
+	int last_open_ago_ms;
+	int found_closed_ago_ms;
 };
 
 /*
- * A call's connection breaks.  Only when both idle connections broke with it
- * is the upstream taken for crashed; everything else that ends connections
- * leaves the call without blame.
+ * When a call's connection breaks, the upstream counts as crashed only if both
+ * idle connections broke with it. Anything else that closes connections must
+ * not put the blame on the call.
  */
 static void
-test_gone(void)
+test_crash_detected(void)
 {
 	static const struct {
 		const char *name;
 		struct witness_case witnesses[GONE_WITNESSES];
-		bool gone;
+		bool crashed;
 	} cases[] = {
-		{ "both with the call", { { 9000, 20, 0 }, { 8000, 20, 0 } },
-		    true },
-		{ "found by the look just before",
+		{ "both witnesses close with the call",
+		    { { 9000, 20, 0 }, { 8000, 20, 0 } }, true },
+		{ "found closed by the check just before",
 		    { { 9000, 60, 10 }, { 8000, 60, 10 } }, true },
-		{ "one connection is closed: the call's own",
+		{ "only the call's own connection closes",
 		    { { 9000, 20, -1 }, { 8000, 20, -1 } }, false },
-		{ "the call's and one idle one",
+		{ "the call's connection and one witness close",
 		    { { 9000, 20, 0 }, { 8000, 20, -1 } }, false },
-		{ "idle timeouts, each at its own time",
+		{ "each witness reaches its idle timeout at its own time",
 		    { { 60300, 320, 300 }, { 60000, 20, 0 } }, false },
-		{ "both long ago", { { 9000, 520, 500 }, { 8000, 520, 500 } },
-		    false },
-		{ "this daemon was paused: nobody knows when",
+		{ "both closed long ago",
+		    { { 9000, 520, 500 }, { 8000, 520, 500 } }, false },
+		{ "this daemon was paused, closing time unknown",
 		    { { 90000, 9000, 0 }, { 80000, 9000, 0 } }, false },
-		{ "of one age: one idle timeout",
+		{ "same age, same idle timeout",
 		    { { 60000, 20, 0 }, { 60000, 20, 0 } }, false },
-		{ "nearly of one age", { { 60000, 20, 0 }, { 59800, 20, 0 } },
+		{ "nearly the same age", { { 60000, 20, 0 }, { 59800, 20, 0 } },
 		    false },
-		{ "as near as they are opened",
+		{ "opened with the smallest allowed spacing",
 		    { { 60000, 20, 0 }, { 59750, 20, 0 } }, true },
 	};
 	struct gone_witness witnesses[GONE_WITNESSES];
@@ -58,24 +60,27 @@
 		for (j = 0; j < GONE_WITNESSES; j++) {
 			witness = &cases[i].witnesses[j];
 			witnesses[j] = (struct gone_witness){
-				.ended = witness->ended_ms >= 0,
-				.opened_us =
-				    (uint64_t)(NOW_MS - witness->opened_ms) *
+				.ended = witness->found_closed_ago_ms >= 0,
+				.opened_us = (uint64_t)(NOW_MS -
+						 witness->opened_ago_ms) *
+				    MS,
+				.seen_us = (uint64_t)(NOW_MS -
+					       witness->last_open_ago_ms) *
+				    MS,
+				.ended_us = (uint64_t)(NOW_MS -
+						witness->found_closed_ago_ms) *
 				    MS,
-				.seen_us =
-				    (uint64_t)(NOW_MS - witness->seen_ms) * MS,
-				.ended_us =
-				    (uint64_t)(NOW_MS - witness->ended_ms) * MS,
 			};
 		}
-		TEST_CHECK(gone_with(witnesses, NOW_MS * MS) == cases[i].gone,
-		    "%s", cases[i].name);
+		TEST_CHECK(
+		    gone_with(witnesses, NOW_MS * MS) == cases[i].crashed, "%s",
+		    cases[i].name);
 	}
 }
 
-/* Opened apart, or one idle timeout ends both. */
+/* Witnesses opened close together could be closed by the same idle timeout. */
 static void
-test_may_open(void)
+test_witness_spacing(void)
 {
 	CU_ASSERT_TRUE(gone_may_open(0, 5));
 	CU_ASSERT_FALSE(gone_may_open(5, 5 + GONE_APART_US - 1));
@@ -83,8 +88,8 @@
 }
 
 static const struct test_case tests[] = {
-	{ "gone", test_gone },
-	{ "may open", test_may_open },
+	{ "crash detected", test_crash_detected },
+	{ "witness spacing", test_witness_spacing },
 };
 
 TEST_MAIN("gone", tests)
--- a/tests/decide/test_outcome.c
+++ b/tests/decide/test_outcome.c
@@ -1,6 +1,4 @@
-/*
- * What is said about each failed call, and who may try again.
- */
+/* What is reported about each failed call, and who may retry it. */
 
 #include <string.h>
 
@@ -13,7 +11,7 @@
 #define UP LOOM_LEG_UPSTREAM
 #define PEER LOOM_LEG_PEER
 
-static const struct loom_refusal shed = {
+static const struct loom_refusal overload = {
 	.code = LOOM_OVERLOAD,
 	.outcome = NOT_RUN,
 	.final = true,
@@ -22,25 +20,25 @@
 	.code = LOOM_DRAINING,
 	.outcome = NOT_RUN,
 };
-static const struct loom_refusal cut = {
+static const struct loom_refusal upstream_cut = {
 	.code = LOOM_UPSTREAM_CUT,
 	.outcome = UNKNOWN,
 };
-static const struct loom_refusal crashed = {
+static const struct loom_refusal upstream_crashed = {
 	.code = LOOM_UPSTREAM_CRASHED,
 	.outcome = UNKNOWN,
 };
-static const struct loom_refusal ran = {
+static const struct loom_refusal ticket_ran = {
 	.code = LOOM_TICKET_RAN,
 	.outcome = RAN,
 	.final = true,
 };
-static const struct loom_refusal rate = {
+static const struct loom_refusal team_rate = {
 	.code = LOOM_TEAM_RATE,
 	.outcome = NOT_RUN,
 };
 
-/* What happened, then what must be said. */
+/* The facts of a failure and the expected decision. */
 static const struct {
 	const char *name;
 	enum loom_leg leg;
@@ -60,20 +58,22 @@
 	    false, NULL, LOOM_UPSTREAM_CUT, NOT_RUN, false, false },
 	{ "upstream cut after a byte", UP, LOOM_FAILURE_CUT, true, false, false,
 	    NULL, LOOM_UPSTREAM_CUT, UNKNOWN, false, false },
-	{ "upstream crashed: no other one shall", UP, LOOM_FAILURE_CRASH, true,
-	    true, false, NULL, LOOM_UPSTREAM_CRASHED, UNKNOWN, false, true },
-	{ "upstream cut in its answer", UP, LOOM_FAILURE_ANSWER_CUT, true,
+	{ "upstream crashed, so no retry elsewhere", UP, LOOM_FAILURE_CRASH,
+	    true, true, false, NULL, LOOM_UPSTREAM_CRASHED, UNKNOWN, false,
+	    true },
+	{ "upstream cut during its answer", UP, LOOM_FAILURE_ANSWER_CUT, true,
 	    false, false, NULL, LOOM_UPSTREAM_CUT, UNKNOWN, false, false },
 	{ "deadline in the queue", UP, LOOM_FAILURE_DEADLINE, false, false,
 	    false, NULL, LOOM_QUEUE_DEADLINE, NOT_RUN, false, true },
-	{ "deadline while it runs", UP, LOOM_FAILURE_DEADLINE, true, false,
+	{ "deadline while running", UP, LOOM_FAILURE_DEADLINE, true, false,
 	    false, NULL, LOOM_DEADLINE, UNKNOWN, false, true },
-	{ "caller gone before", UP, LOOM_FAILURE_CALLER_GONE, false, false,
-	    false, NULL, LOOM_CALLER_GONE, NOT_RUN, false, true },
-	{ "caller gone after", UP, LOOM_FAILURE_CALLER_GONE, true, false, false,
-	    NULL, LOOM_CALLER_GONE, UNKNOWN, false, true },
+	{ "caller gone before a byte", UP, LOOM_FAILURE_CALLER_GONE, false,
+	    false, false, NULL, LOOM_CALLER_GONE, NOT_RUN, false, true },
+	{ "caller gone after a byte", UP, LOOM_FAILURE_CALLER_GONE, true, false,
+	    false, NULL, LOOM_CALLER_GONE, UNKNOWN, false, true },
 	{ "executor spends a ticket that it refuses", UP, LOOM_FAILURE_LOCAL,
-	    false, false, true, &shed, LOOM_OVERLOAD, NOT_RUN, false, true },
+	    false, false, true, &overload, LOOM_OVERLOAD, NOT_RUN, false,
+	    true },
 	{ "peer cannot be reached", PEER, LOOM_FAILURE_CONNECT, false, false,
 	    false, NULL, LOOM_PEER_CONNECT, NOT_RUN, true, true },
 	{ "peer cannot be reached, with a ticket", PEER, LOOM_FAILURE_CONNECT,
@@ -84,40 +84,42 @@
 	    NULL, LOOM_PEER_CUT, UNKNOWN, false, true },
 	{ "peer cut after a byte, repeatable", PEER, LOOM_FAILURE_CUT, true,
 	    true, false, NULL, LOOM_PEER_CUT, UNKNOWN, true, true },
-	{ "answer cut when the caller may have part of it", PEER,
+	{ "answer cut after the caller may have received part of it", PEER,
 	    LOOM_FAILURE_ANSWER_CUT, true, true, false, NULL, LOOM_PEER_CUT,
 	    UNKNOWN, false, true },
-	{ "peer sheds: overload is final", PEER, LOOM_FAILURE_REFUSED, true,
-	    true, false, &shed, LOOM_OVERLOAD, NOT_RUN, false, true },
-	{ "peer drains: not run there, so another may", PEER,
+	{ "peer sheds the call, overload is final", PEER, LOOM_FAILURE_REFUSED,
+	    true, true, false, &overload, LOOM_OVERLOAD, NOT_RUN, false, true },
+	{ "peer draining, not run there, so another may run it", PEER,
 	    LOOM_FAILURE_REFUSED, true, false, false, &draining, LOOM_DRAINING,
 	    NOT_RUN, true, true },
 	{ "peer's upstream cut, not repeatable", PEER, LOOM_FAILURE_REFUSED,
-	    true, false, false, &cut, LOOM_UPSTREAM_CUT, UNKNOWN, false, true },
+	    true, false, false, &upstream_cut, LOOM_UPSTREAM_CUT, UNKNOWN,
+	    false, true },
 	{ "peer's upstream cut, repeatable", PEER, LOOM_FAILURE_REFUSED, true,
-	    true, false, &cut, LOOM_UPSTREAM_CUT, UNKNOWN, true, true },
-	{ "peer's upstream crashed, repeatable", PEER, LOOM_FAILURE_REFUSED,
-	    true, true, false, &crashed, LOOM_UPSTREAM_CRASHED, UNKNOWN, false,
+	    true, false, &upstream_cut, LOOM_UPSTREAM_CUT, UNKNOWN, true,
 	    true },
-	{ "peer says that it ran", PEER, LOOM_FAILURE_REFUSED, true, false,
-	    true, &ran, LOOM_TICKET_RAN, RAN, false, true },
+	{ "peer's upstream crashed, repeatable", PEER, LOOM_FAILURE_REFUSED,
+	    true, true, false, &upstream_crashed, LOOM_UPSTREAM_CRASHED,
+	    UNKNOWN, false, true },
+	{ "peer reports that it ran", PEER, LOOM_FAILURE_REFUSED, true, false,
+	    true, &ticket_ran, LOOM_TICKET_RAN, RAN, false, true },
 	{ "executor's not-run is passed on with a ticket", PEER,
-	    LOOM_FAILURE_REFUSED, true, false, true, &shed, LOOM_OVERLOAD,
+	    LOOM_FAILURE_REFUSED, true, false, true, &overload, LOOM_OVERLOAD,
 	    NOT_RUN, false, true },
 	{ "entry refuses over rate", PEER, LOOM_FAILURE_LOCAL, false, false,
-	    false, &rate, LOOM_TEAM_RATE, NOT_RUN, false, true },
-	{ "entry cannot speak for a ticket's executor", PEER,
-	    LOOM_FAILURE_LOCAL, false, false, true, &rate, LOOM_TEAM_RATE,
+	    false, &team_rate, LOOM_TEAM_RATE, NOT_RUN, false, true },
+	{ "entry does not know what a ticket's executor did", PEER,
+	    LOOM_FAILURE_LOCAL, false, false, true, &team_rate, LOOM_TEAM_RATE,
 	    UNKNOWN, false, true },
 };
 
 /*
- * The caller paid and gets an error.  The connection to the executor breaks
- * at some byte; a daemon that called it not-run too early, or tried again,
- * would have the payment made twice.
+ * Guards against a duplicate payment. The connection to the executor breaks at
+ * some byte; if a daemon reported not-run too early or retried the call, the
+ * payment would be made twice.
  */
 static void
-test_failure_points(void)
+test_failure_decisions(void)
 {
 	struct loom_failure_verdict verdict;
 	struct loom_failure_facts facts;
@@ -144,8 +146,10 @@
 	}
 }
 
-/* Over every combination: a byte that left this leg is never called not-run
- * by this leg, and nothing with a ticket is tried elsewhere. */
+/*
+ * For every combination: once a byte was sent on this leg, the leg does not
+ * report not-run, and a request with a ticket is never tried elsewhere.
+ */
 static void
 test_no_false_not_run(void)
 {
@@ -250,7 +254,7 @@
 }
 
 static const struct test_case tests[] = {
-	{ "failure points", test_failure_points },
+	{ "failure decisions", test_failure_decisions },
 	{ "no false not-run", test_no_false_not_run },
 	{ "refusal round trip", test_refusal_round_trip },
 	{ "refusal parse", test_refusal_parse },
