--- a/tests/decide/test_balance.c
+++ b/tests/decide/test_balance.c
@@ -411,7 +411,7 @@
 	{ "utilization", test_utilization },
 	{ "probe ends draining", test_probe_ends_draining },
 	{ "far cost", test_far_cost },
-	{ "call distribution", test_call_distribution },
+	{ "shares", test_call_distribution },
 	{ "tried and draining", test_tried_and_draining },
 	{ "probes", test_probes },
 };
