--- a/src/control/retry.c
+++ b/src/control/retry.c
@@ -1,19 +1,19 @@
 /*
- * Asking a request's home for one retry.
+ * Queries to the home of a request for permission to retry.
  *
- * Nothing here needs a message to arrive: a question or an answer that is
- * lost means no retry, and a grant that comes too late is wasted.  So the
- * home's count is the most that all daemons together can repeat.
+ * No message needs to arrive: if a query or a reply is lost there is no retry,
+ * and a grant that arrives too late is not used. The home's budget is therefore
+ * an upper bound on the retries of all daemons together.
  */
 
 #include "control/retry_internal.h"
 #include "inner/codec_retry.h"
 
-#define TICK_US 5000
+#define QUERY_TICK_US 5000
 
-/* With no question out, ticks only sweep budgets that are over. */
+/* Without pending queries, ticks only remove expired budgets. */
 #define IDLE_TICK_US 100000
-#define SWEEP_US UINT64_C(1000000)
+#define SWEEP_INTERVAL_US UINT64_C(1000000)
 #define DEFAULT_BUDGET 2
 #define DEFAULT_RATIO 0.1
 
@@ -23,9 +23,9 @@
 	unsigned i;
 
 	retry_home_clear(retry);
-	for (i = 0; i < RETRY_SHARDS; i++) {
-		g_hash_table_destroy(retry->asks[i].asks);
-		g_mutex_clear(&retry->asks[i].lock);
+	for (i = 0; i < RETRY_SHARD_COUNT; i++) {
+		g_hash_table_destroy(retry->queries[i].queries);
+		g_mutex_clear(&retry->queries[i].lock);
 		g_hash_table_destroy(retry->services[i].services);
 		g_mutex_clear(&retry->services[i].lock);
 	}
@@ -48,9 +48,9 @@
 	atomic_store(&retry->budget, DEFAULT_BUDGET);
 	atomic_store(&retry->ratio, DEFAULT_RATIO);
 	retry_home_init(retry);
-	for (i = 0; i < RETRY_SHARDS; i++) {
-		g_mutex_init(&retry->asks[i].lock);
-		retry->asks[i].asks =
+	for (i = 0; i < RETRY_SHARD_COUNT; i++) {
+		g_mutex_init(&retry->queries[i].lock);
+		retry->queries[i].queries =
 		    g_hash_table_new(g_int64_hash, g_int64_equal);
 		g_mutex_init(&retry->services[i].lock);
 		retry->services[i].services = g_hash_table_new_full(
@@ -67,14 +67,14 @@
 }
 
 static struct retry_service_shard *
-services_of(struct loom_retry *retry, uint64_t service_id)
+service_shard(struct loom_retry *retry, uint64_t service_id)
 {
-	return &retry->services[service_id % RETRY_SHARDS];
+	return &retry->services[service_id % RETRY_SHARD_COUNT];
 }
 
-/* The shard is locked. */
+/* The shard's lock is held. */
 static struct loom_retry_credit *
-credit_of(
+service_credit(
     struct retry_service_shard *shard, uint64_t service_id, uint64_t now_us)
 {
 	struct retry_service *service;
@@ -83,8 +83,8 @@
 	if (service == NULL) {
 		service = g_new0(struct retry_service, 1);
 		service->id = service_id;
-		service->credit =
-		    (struct loom_retry_credit){ .credit = 1, .at_us = now_us };
+		service->credit = (struct loom_retry_credit){ .credit = 1,
+			.updated_us = now_us };
 		g_hash_table_insert(shard->services, &service->id, service);
 	}
 	return &service->credit;
@@ -94,34 +94,34 @@
 loom_retry_first_attempt(
     struct loom_retry *retry, uint64_t service_id, uint64_t now_us)
 {
-	struct retry_service_shard *shard = services_of(retry, service_id);
+	struct retry_service_shard *shard = service_shard(retry, service_id);
 
 	g_mutex_lock(&shard->lock);
-	loom_retry_credit_first(credit_of(shard, service_id, now_us),
+	loom_retry_credit_earn(service_credit(shard, service_id, now_us),
 	    atomic_load(&retry->ratio), now_us);
 	g_mutex_unlock(&shard->lock);
 }
 
 static bool
-take_credit(struct loom_retry *retry, uint64_t service_id, uint64_t now_us)
+spend_credit(struct loom_retry *retry, uint64_t service_id, uint64_t now_us)
 {
-	struct retry_service_shard *shard = services_of(retry, service_id);
-	bool taken;
+	struct retry_service_shard *shard = service_shard(retry, service_id);
+	bool spent;
 
 	g_mutex_lock(&shard->lock);
-	taken = loom_retry_credit_take(
-	    credit_of(shard, service_id, now_us), now_us);
+	spent = loom_retry_credit_spend(
+	    service_credit(shard, service_id, now_us), now_us);
 	g_mutex_unlock(&shard->lock);
-	return taken;
+	return spent;
 }
 
 static void
-return_credit(struct loom_retry *retry, uint64_t service_id, uint64_t now_us)
+refund_credit(struct loom_retry *retry, uint64_t service_id, uint64_t now_us)
 {
-	struct retry_service_shard *shard = services_of(retry, service_id);
+	struct retry_service_shard *shard = service_shard(retry, service_id);
 
 	g_mutex_lock(&shard->lock);
-	loom_retry_credit_return(credit_of(shard, service_id, now_us));
+	loom_retry_credit_refund(service_credit(shard, service_id, now_us));
 	g_mutex_unlock(&shard->lock);
 }
 
@@ -129,10 +129,10 @@
 loom_retry_ask(struct loom_retry *retry, const struct loom_retry_root *root,
     uint64_t service_id, uint64_t now_us, struct loom_retry_ask *ask)
 {
-	struct retry_ask_shard *shard;
+	struct retry_query_shard *shard;
 
 	if (root->home_host_id == 0 ||
-	    !take_credit(retry, service_id, now_us)) {
+	    !spend_credit(retry, service_id, now_us)) {
 		loom_counter_add(retry->refused, 1);
 		return false;
 	}
@@ -142,9 +142,9 @@
 	ask->until_us = now_us + LOOM_RETRY_WAIT_US;
 	ask->service_id = service_id;
 	ask->sent = false;
-	shard = &retry->asks[ask->number % RETRY_SHARDS];
+	shard = &retry->queries[ask->number % RETRY_SHARD_COUNT];
 	g_mutex_lock(&shard->lock);
-	g_hash_table_insert(shard->asks, &ask->number, ask);
+	g_hash_table_insert(shard->queries, &ask->number, ask);
 	g_mutex_unlock(&shard->lock);
 	if (retry->wake != NULL)
 		retry->wake(retry->wake_arg);
@@ -154,24 +154,24 @@
 bool
 loom_retry_cancel(struct loom_retry *retry, struct loom_retry_ask *ask)
 {
-	struct retry_ask_shard *shard =
-	    &retry->asks[ask->number % RETRY_SHARDS];
+	struct retry_query_shard *shard =
+	    &retry->queries[ask->number % RETRY_SHARD_COUNT];
 	bool found;
 
 	g_mutex_lock(&shard->lock);
-	found = g_hash_table_remove(shard->asks, &ask->number);
+	found = g_hash_table_remove(shard->queries, &ask->number);
 	g_mutex_unlock(&shard->lock);
 	return found;
 }
 
 /* Control thread; no lock is held. */
 static void
-finish(struct loom_retry *retry, struct loom_retry_ask *ask, bool granted,
-    uint64_t now_us)
+complete_query(struct loom_retry *retry, struct loom_retry_ask *ask,
+    bool granted, uint64_t now_us)
 {
 	loom_counter_add(granted ? retry->granted : retry->refused, 1);
 	if (!granted)
-		return_credit(retry, ask->service_id, now_us);
+		refund_credit(retry, ask->service_id, now_us);
 	ask->done(ask, granted);
 }
 
@@ -183,9 +183,9 @@
 }
 
 static void
-send_question(struct loom_retry *retry, const struct loom_retry_ask *ask)
+send_query(struct loom_retry *retry, const struct loom_retry_ask *ask)
 {
-	const struct loom_retry_question question = {
+	const struct loom_retry_question query = {
 		.number = ask->number,
 		.home_incarnation = ask->root.home_incarnation,
 		.root_id = ask->root.id,
@@ -193,34 +193,37 @@
 	uint8_t buf[LOOM_RETRY_MESSAGE_MAX];
 	size_t len;
 
-	len = loom_retry_question_pack(&question, buf, sizeof(buf));
+	len = loom_retry_question_pack(&query, buf, sizeof(buf));
 	retry->sender.send(retry->sender.arg, ask->root.home_host_id,
 	    LOOM_RETRY_ASK, buf, len);
 }
 
-/* Send what is new; take out what is over or was asked of this daemon. */
+/*
+ * Sends new queries. Returns those that have timed out or whose home is this
+ * daemon, removed from the shard.
+ */
 static struct loom_retry_ask *
-run_shard(
-    struct loom_retry *retry, struct retry_ask_shard *shard, uint64_t now_us)
+process_shard(
+    struct loom_retry *retry, struct retry_query_shard *shard, uint64_t now_us)
 {
-	struct loom_retry_ask *ask, *over = NULL;
+	struct loom_retry_ask *ask, *completed = NULL;
 	GHashTableIter iter;
 
 	g_mutex_lock(&shard->lock);
-	g_hash_table_iter_init(&iter, shard->asks);
+	g_hash_table_iter_init(&iter, shard->queries);
 	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&ask)) {
 		if (now_us >= ask->until_us ||
 		    home_is_here(retry, &ask->root)) {
-			ask->next = over;
-			over = ask;
+			ask->next = completed;
+			completed = ask;
 			g_hash_table_iter_remove(&iter);
 		} else if (!ask->sent) {
 			ask->sent = true;
-			send_question(retry, ask);
+			send_query(retry, ask);
 		}
 	}
 	g_mutex_unlock(&shard->lock);
-	return over;
+	return completed;
 }
 
 void
@@ -230,8 +233,8 @@
 	bool granted;
 	unsigned i;
 
-	for (i = 0; i < RETRY_SHARDS; i++) {
-		ask = run_shard(retry, &retry->asks[i], now_us);
+	for (i = 0; i < RETRY_SHARD_COUNT; i++) {
+		ask = process_shard(retry, &retry->queries[i], now_us);
 		for (; ask != NULL; ask = next) {
 			next = ask->next;
 			granted = false;
@@ -240,58 +243,62 @@
 				    retry, ask->root.id, now_us);
 			else
 				loom_counter_add(retry->unanswered, 1);
-			finish(retry, ask, granted, now_us);
+			complete_query(retry, ask, granted, now_us);
 		}
 	}
 }
 
 static void
-heard_question(struct loom_retry *retry, const struct loom_from *from,
+handle_query(struct loom_retry *retry, const struct loom_from *from,
     const uint8_t *payload, size_t len, uint64_t now_us)
 {
-	struct loom_retry_question question;
-	struct loom_retry_answer answer;
+	struct loom_retry_question query;
+	struct loom_retry_answer reply;
 	uint8_t buf[LOOM_RETRY_MESSAGE_MAX];
 
-	if (!loom_retry_question_unpack(&question, payload, len))
+	if (!loom_retry_question_unpack(&query, payload, len))
 		return;
-	/* a restarted home has forgotten what it granted: it grants nothing
-	 * for requests of its forerunner */
-	answer = (struct loom_retry_answer){
-		.number = question.number,
+	/*
+	 * A restarted home has lost its record of earlier grants, so it grants
+	 * nothing for requests that entered before the restart.
+	 */
+	reply = (struct loom_retry_answer){
+		.number = query.number,
 		.asker_incarnation = from->incarnation,
-		.granted =
-		    question.home_incarnation == retry->self.incarnation &&
-		    retry_home_grant(retry, question.root_id, now_us),
+		.granted = query.home_incarnation == retry->self.incarnation &&
+		    retry_home_grant(retry, query.root_id, now_us),
 	};
-	len = loom_retry_answer_pack(&answer, buf, sizeof(buf));
+	len = loom_retry_answer_pack(&reply, buf, sizeof(buf));
 	retry->sender.send(
 	    retry->sender.arg, from->host_id, LOOM_RETRY_ANSWER, buf, len);
 }
 
 static void
-heard_answer(struct loom_retry *retry, const struct loom_from *from,
+handle_reply(struct loom_retry *retry, const struct loom_from *from,
     const uint8_t *payload, size_t len, uint64_t now_us)
 {
-	struct loom_retry_answer answer;
-	struct retry_ask_shard *shard;
+	struct loom_retry_answer reply;
+	struct retry_query_shard *shard;
 	struct loom_retry_ask *ask;
 
-	if (!loom_retry_answer_unpack(&answer, payload, len) ||
-	    answer.asker_incarnation != retry->self.incarnation)
+	if (!loom_retry_answer_unpack(&reply, payload, len) ||
+	    reply.asker_incarnation != retry->self.incarnation)
 		return;
-	shard = &retry->asks[answer.number % RETRY_SHARDS];
+	shard = &retry->queries[reply.number % RETRY_SHARD_COUNT];
 	g_mutex_lock(&shard->lock);
-	ask = g_hash_table_lookup(shard->asks, &answer.number);
+	ask = g_hash_table_lookup(shard->queries, &reply.number);
 	if (ask != NULL && ask->root.home_host_id == from->host_id)
-		g_hash_table_remove(shard->asks, &answer.number);
+		g_hash_table_remove(shard->queries, &reply.number);
 	else
 		ask = NULL;
 	g_mutex_unlock(&shard->lock);
 	if (ask == NULL)
 		return;
-	/* a process that was stopped meanwhile finds the answer too old */
-	finish(retry, ask, answer.granted && now_us < ask->until_us, now_us);
+	/*
+	 * The reply is too old if this process was stopped in the meantime.
+	 */
+	complete_query(
+	    retry, ask, reply.granted && now_us < ask->until_us, now_us);
 }
 
 static void
@@ -301,9 +308,9 @@
 	struct loom_retry *retry = part;
 
 	if (type == LOOM_RETRY_ASK)
-		heard_question(retry, from, payload, len, now_us);
+		handle_query(retry, from, payload, len, now_us);
 	else if (type == LOOM_RETRY_ANSWER)
-		heard_answer(retry, from, payload, len, now_us);
+		handle_reply(retry, from, payload, len, now_us);
 }
 
 static void
@@ -312,9 +319,9 @@
 	struct loom_retry *retry = part;
 
 	loom_retry_run(retry, now_us);
-	if (now_us < retry->swept_us + SWEEP_US)
+	if (now_us < retry->last_sweep_us + SWEEP_INTERVAL_US)
 		return;
-	retry->swept_us = now_us;
+	retry->last_sweep_us = now_us;
 	retry_home_sweep(retry, now_us);
 }
 
@@ -328,20 +335,20 @@
 	atomic_store(&retry->ratio, manifest->fleet.retry_ratio);
 }
 
-/* Some question waits for its answer. */
+/* Whether a query is waiting for its reply. */
 static bool
-busy(void *part)
+has_pending_queries(void *part)
 {
 	struct loom_retry *retry = part;
-	bool waits = false;
+	bool pending = false;
 	unsigned i;
 
-	for (i = 0; i < RETRY_SHARDS && !waits; i++) {
-		g_mutex_lock(&retry->asks[i].lock);
-		waits = g_hash_table_size(retry->asks[i].asks) > 0;
-		g_mutex_unlock(&retry->asks[i].lock);
+	for (i = 0; i < RETRY_SHARD_COUNT && !pending; i++) {
+		g_mutex_lock(&retry->queries[i].lock);
+		pending = g_hash_table_size(retry->queries[i].queries) > 0;
+		g_mutex_unlock(&retry->queries[i].lock);
 	}
-	return waits;
+	return pending;
 }
 
 const struct loom_part_ops loom_retry_ops = {
@@ -349,8 +356,8 @@
 	.first_type = LOOM_RETRY_ASK,
 	.last_type = LOOM_RETRY_ANSWER,
 	.tick_us = IDLE_TICK_US,
-	.busy_tick_us = TICK_US,
-	.busy = busy,
+	.busy_tick_us = QUERY_TICK_US,
+	.busy = has_pending_queries,
 	.message = message,
 	.tick = tick,
 	.manifest_changed = manifest_changed,
--- a/src/control/retry_internal.h
+++ b/src/control/retry_internal.h
@@ -2,8 +2,8 @@
 #define LOOM_CONTROL_RETRY_INTERNAL_H
 
 /*
- * What the files of the retry part share: retry.c asks homes, retry_home.c is
- * the home of requests that entered here.
+ * Declarations shared by the files of the retry component: retry.c sends
+ * queries to homes, retry_home.c is the home of requests that entered here.
  */
 
 #include <glib.h>
@@ -13,10 +13,13 @@
 #include "loom/counter.h"
 #include "loom/retry.h"
 
-#define RETRY_SHARDS 64
+#define RETRY_SHARD_COUNT 64
 
-/* Requests that a home knows at once, in all: a few bytes over 100 each. */
-#define RETRY_ROOTS_MAX (RETRY_SHARDS * 4096)
+/*
+ * The most requests for which a home keeps a budget, over all shards. Each
+ * takes slightly more than 100 bytes.
+ */
+#define RETRY_ROOTS_MAX (RETRY_SHARD_COUNT * 4096)
 
 /* A request that entered here. */
 struct retry_root {
@@ -28,12 +31,12 @@
 struct retry_home_shard {
 	GMutex lock;
 	GHashTable *by_id; /* (lock) owned, of struct retry_root */
-	GHashTable *by_key; /* (lock) borrowed from by_id */
+	GHashTable *by_request_key; /* (lock) borrowed from by_id */
 };
 
-struct retry_ask_shard {
+struct retry_query_shard {
 	GMutex lock;
-	GHashTable *asks; /* (lock) by number; memory of their callers */
+	GHashTable *queries; /* (lock) by number; owned by the callers */
 };
 
 struct retry_service {
@@ -52,13 +55,13 @@
 	struct loom_random random;
 	void (*wake)(void *arg);
 	void *wake_arg;
-	atomic_uint budget; /* retries of one request in all */
+	atomic_uint budget; /* total retries of one request */
 	_Atomic(double) ratio;
 	atomic_uint_fast64_t number;
-	struct retry_home_shard homes[RETRY_SHARDS];
-	struct retry_ask_shard asks[RETRY_SHARDS];
-	struct retry_service_shard services[RETRY_SHARDS];
-	uint64_t swept_us;
+	struct retry_home_shard home_shards[RETRY_SHARD_COUNT];
+	struct retry_query_shard queries[RETRY_SHARD_COUNT];
+	struct retry_service_shard services[RETRY_SHARD_COUNT];
+	uint64_t last_sweep_us;
 	struct loom_counter *granted;
 	struct loom_counter *refused;
 	struct loom_counter *unanswered;
@@ -67,7 +70,7 @@
 /* retry_home.c */
 void retry_home_init(struct loom_retry *);
 void retry_home_clear(struct loom_retry *);
-/* Take one grant of a request that entered here. */
+/* Spends one retry of the budget of a request that entered here. */
 bool retry_home_grant(struct loom_retry *, uint64_t root_id, uint64_t now_us);
 void retry_home_sweep(struct loom_retry *, uint64_t now_us);
 
--- a/src/decide/retry.c
+++ b/src/decide/retry.c
@@ -1,44 +1,44 @@
-/*
- * Which failure may be repeated, and what bounds it.
- */
+/* Which failures may be retried, and the limits on retries. */
 
 #include "decide/retry.h"
 #include "loom/retry.h"
 
-/* Retries that a burst of failures may use at once; more would be a storm of
- * its own. */
+/*
+ * Retries that a burst of failures may use at once. A larger number would
+ * itself overload the service.
+ */
 #define CREDIT_MAX 10.0
-/* Free retries a second, while there is less than one to spend. */
+/* Free retries per second, earned only while the credit is below one. */
 #define CREDIT_FREE_PER_S 1.0
 
 static void
-credit_to(struct loom_retry_credit *credit, uint64_t now_us)
+accrue_free_credit(struct loom_retry_credit *credit, uint64_t now_us)
 {
 	double free;
 
-	if (now_us <= credit->at_us)
+	if (now_us <= credit->updated_us)
 		return;
-	free = CREDIT_FREE_PER_S * (double)(now_us - credit->at_us) / 1e6;
+	free = CREDIT_FREE_PER_S * (double)(now_us - credit->updated_us) / 1e6;
 	if (credit->credit < 1)
 		credit->credit =
 		    credit->credit + free < 1 ? credit->credit + free : 1;
-	credit->at_us = now_us;
+	credit->updated_us = now_us;
 }
 
 void
-loom_retry_credit_first(
+loom_retry_credit_earn(
     struct loom_retry_credit *credit, double ratio, uint64_t now_us)
 {
-	credit_to(credit, now_us);
+	accrue_free_credit(credit, now_us);
 	credit->credit += ratio;
 	if (credit->credit > CREDIT_MAX)
 		credit->credit = CREDIT_MAX;
 }
 
 bool
-loom_retry_credit_take(struct loom_retry_credit *credit, uint64_t now_us)
+loom_retry_credit_spend(struct loom_retry_credit *credit, uint64_t now_us)
 {
-	credit_to(credit, now_us);
+	accrue_free_credit(credit, now_us);
 	if (credit->credit < 1)
 		return false;
 	credit->credit -= 1;
@@ -46,7 +46,7 @@
 }
 
 void
-loom_retry_credit_return(struct loom_retry_credit *credit)
+loom_retry_credit_refund(struct loom_retry_credit *credit)
 {
 	credit->credit += 1;
 	if (credit->credit > CREDIT_MAX)
@@ -54,25 +54,25 @@
 }
 
 bool
-loom_retry_budget_take(struct loom_retry_budget *budget, uint64_t now_us)
+loom_retry_budget_spend(struct loom_retry_budget *budget, uint64_t now_us)
 {
-	if (now_us >= budget->deadline_us || budget->left == 0)
+	if (now_us >= budget->deadline_us || budget->remaining == 0)
 		return false;
-	budget->left--;
+	budget->remaining--;
 	return true;
 }
 
 /*
- * Only failures of one host: another may do better.  Overload is none of
- * them: a retry would add load where there is too much.  Nor are refusals
- * that any other host would repeat, nor a deadline that has passed.
+ * Failures of a single host, where another host may succeed. Overload is not
+ * among them, because a retry would add to the load. Neither are refusals that
+ * any other host would repeat, nor a missed deadline.
  */
 static bool
-may_do_better_elsewhere(enum loom_result code)
+is_host_specific(enum loom_result code)
 {
 	switch (code) {
 	case LOOM_DRAINING:
-	case LOOM_CONTEXT_INVALID: /* the host's address is another's now */
+	case LOOM_CONTEXT_INVALID: /* address reassigned to another host */
 	case LOOM_PEER_CONNECT:
 	case LOOM_UPSTREAM_CONNECT:
 	case LOOM_UPSTREAM_SHED:
@@ -84,10 +84,12 @@
 	}
 }
 
-/* Failures before a byte was sent: nothing ran, so that a call which may not
- * be repeated can go elsewhere as well. */
+/*
+ * Failures before anything was sent. Nothing ran, so even a call that must not
+ * be repeated can be sent to another host.
+ */
 static bool
-never_ran(enum loom_result code)
+failed_before_sending(enum loom_result code)
 {
 	return code == LOOM_DRAINING || code == LOOM_CONTEXT_INVALID ||
 	    code == LOOM_PEER_CONNECT || code == LOOM_UPSTREAM_CONNECT ||
@@ -98,18 +100,18 @@
 loom_retry_may(const struct loom_retry_failure *failure, bool *final)
 {
 	/*
-	 * This is the hop right above the failure, or the failure is final
-	 * already.  Either way no hop further up may try again: retries would
-	 * multiply at each of them.
+	 * Either this is the hop directly above the failure, or the failure is
+	 * final already. In both cases no hop further up may retry, since the
+	 * retries of all hops would multiply.
 	 */
 	*final = true;
 	if (failure->final || !failure->body_kept || failure->answer_begun)
 		return LOOM_RETRY_NO;
-	if (!failure->repeatable && !never_ran(failure->code))
+	if (!failure->repeatable && !failed_before_sending(failure->code))
 		return LOOM_RETRY_NO;
 	if (failure->remaining_us <= failure->expected_us)
 		return LOOM_RETRY_NO;
-	if (!may_do_better_elsewhere(failure->code))
+	if (!is_host_specific(failure->code))
 		return LOOM_RETRY_NO;
 	return LOOM_RETRY_ASK_HOME;
 }
--- a/src/decide/retry.h
+++ b/src/decide/retry.h
@@ -2,38 +2,39 @@
 #define LOOM_DECIDE_RETRY_H
 
 /*
- * Decisions about retries: the credit of a service against storms, and the
- * budget of one request at its home.  The rule of which failure may be
- * repeated is loom_retry_may() in loom/retry.h.
+ * Limits on retries: the retry credit of a service and the budget of one
+ * request at its home. Which failures may be retried is decided by
+ * loom_retry_may() in loom/retry.h.
  */
 
 #include <stdbool.h>
 #include <stdint.h>
 
 /*
- * Pattern: a service fails for many callers at once.  Each request alone
- * could afford its retries; together they would double the load on what is
- * already failing.  A first attempt earns a part of a retry, so that retries
- * stay within that part of the load.  One retry a second is free, or a
- * service that is seldom called could never repeat anything.
+ * The retry credit of a service. It guards against a service that fails for
+ * many callers at once: each request alone is within its budget, but together
+ * the retries would double the load on a service that is already failing. Each
+ * first attempt earns a fraction of a retry, so that retries stay within that
+ * fraction of the load. One retry per second is free; otherwise a service that
+ * is rarely called could never be retried.
  */
 struct loom_retry_credit {
-	double credit; /* retries that may be made now */
-	uint64_t at_us;
+	double credit; /* retries available now */
+	uint64_t updated_us;
 };
 
-void loom_retry_credit_first(
+void loom_retry_credit_earn(
     struct loom_retry_credit *, double ratio, uint64_t now_us);
-bool loom_retry_credit_take(struct loom_retry_credit *, uint64_t now_us);
-/* The retry was not made after all. */
-void loom_retry_credit_return(struct loom_retry_credit *);
+bool loom_retry_credit_spend(struct loom_retry_credit *, uint64_t now_us);
+/* Undoes a spend for a retry that was not made. */
+void loom_retry_credit_refund(struct loom_retry_credit *);
 
-/* One request's budget. */
+/* The retry budget of one request. */
 struct loom_retry_budget {
 	uint64_t deadline_us;
-	uint32_t left;
+	uint32_t remaining;
 };
 
-bool loom_retry_budget_take(struct loom_retry_budget *, uint64_t now_us);
+bool loom_retry_budget_spend(struct loom_retry_budget *, uint64_t now_us);
 
 #endif
--- a/tests/control/test_retry.c
+++ b/tests/control/test_retry.c
@@ -1,6 +1,6 @@
 /*
- * Retries of one request over the whole chain: few daemons, a list of
- * messages in place of a network, and calls that fail at the deepest hop.
+ * Retries of one request over its whole call chain, with a few daemons, a
+ * message queue instead of a network, and calls that fail at the deepest hop.
  */
 
 #include <string.h>
@@ -12,7 +12,7 @@
 #define DAEMONS 4
 #define FAN_OUT 3
 #define DEPTH 3 /* hops below the entry */
-#define LEAVES 27 /* FAN_OUT to the power of DEPTH */
+#define LEAF_CALLS 27 /* FAN_OUT to the power of DEPTH */
 #define SERVICE 7
 #define DEADLINE_US UINT64_C(5000000)
 
@@ -22,7 +22,7 @@
 	struct loom_retry *retry; /* NULL when killed */
 };
 
-struct letter {
+struct queued_message {
 	unsigned from, to;
 	uint64_t incarnation;
 	uint8_t type;
@@ -33,22 +33,23 @@
 struct chain {
 	struct node nodes[DAEMONS];
 	struct loom_random random;
-	GArray *letters; /* of struct letter */
+	GArray *queue; /* struct queued_message */
 	double loss;
-	bool repeated; /* each message comes twice */
+	bool duplicate; /* each message is delivered twice */
 	uint64_t now_us;
 	unsigned leaf_attempts;
 	unsigned granted;
 	bool answered;
-	bool last_grant;
+	bool last_granted;
 };
 
 static void
-post(void *arg, uint64_t host_id, uint8_t type, const void *payload, size_t len)
+enqueue_message(
+    void *arg, uint64_t host_id, uint8_t type, const void *payload, size_t len)
 {
 	struct node *node = arg;
 	struct chain *chain = node->chain;
-	struct letter letter = {
+	struct queued_message message = {
 		.from = (unsigned)(node - chain->nodes),
 		.to = (unsigned)host_id - 1,
 		.incarnation = node->self.incarnation,
@@ -56,20 +57,20 @@
 		.len = len,
 	};
 
-	g_assert(len <= sizeof(letter.payload));
-	memcpy(letter.payload, payload, len);
+	g_assert(len <= sizeof(message.payload));
+	memcpy(message.payload, payload, len);
 	if (loom_random_unit(&chain->random) < chain->loss)
 		return;
-	g_array_append_val(chain->letters, letter);
-	if (chain->repeated)
-		g_array_append_val(chain->letters, letter);
+	g_array_append_val(chain->queue, message);
+	if (chain->duplicate)
+		g_array_append_val(chain->queue, message);
 }
 
 static void
 start_node(struct chain *chain, unsigned i, uint64_t incarnation)
 {
 	struct node *node = &chain->nodes[i];
-	struct loom_sender sender = { .send = post, .arg = node };
+	struct loom_sender sender = { .send = enqueue_message, .arg = node };
 
 	node->chain = chain;
 	node->self.host_id = i + 1;
@@ -85,11 +86,11 @@
 
 	memset(chain, 0, sizeof(*chain));
 	chain->random = test_random_new(seed);
-	chain->letters = g_array_new(FALSE, TRUE, sizeof(struct letter));
+	chain->queue = g_array_new(FALSE, TRUE, sizeof(struct queued_message));
 	chain->now_us = 1000000;
 	for (i = 0; i < DAEMONS; i++) {
 		start_node(chain, i, 100 + i);
-		/* traffic earns the service's credit */
+		/* The service's retry credit is earned by first attempts. */
 		for (k = 0; k < 200; k++)
 			loom_retry_first_attempt(
 			    chain->nodes[i].retry, SERVICE, chain->now_us);
@@ -103,29 +104,29 @@
 
 	for (i = 0; i < DAEMONS; i++)
 		talloc_free(chain->nodes[i].retry);
-	g_array_free(chain->letters, TRUE);
+	g_array_free(chain->queue, TRUE);
 	test_random_free(&chain->random);
 }
 
-/* Deliver what is on its way, let time pass, tick. */
+/* Delivers all queued messages, advances the clock and runs the ticks. */
 static void
 step(struct chain *chain)
 {
-	struct letter letter;
+	struct queued_message message;
 	struct loom_from from;
 	struct node *to;
 	unsigned i;
 
 	chain->now_us += 1000;
-	while (chain->letters->len > 0) {
-		letter = g_array_index(chain->letters, struct letter, 0);
-		g_array_remove_index(chain->letters, 0);
-		to = &chain->nodes[letter.to];
+	while (chain->queue->len > 0) {
+		message = g_array_index(chain->queue, struct queued_message, 0);
+		g_array_remove_index(chain->queue, 0);
+		to = &chain->nodes[message.to];
 		from =
-		    (struct loom_from){ letter.from + 1, letter.incarnation };
+		    (struct loom_from){ message.from + 1, message.incarnation };
 		if (to->retry != NULL)
-			loom_retry_ops.message(to->retry, &from, letter.type,
-			    letter.payload, letter.len, chain->now_us);
+			loom_retry_ops.message(to->retry, &from, message.type,
+			    message.payload, message.len, chain->now_us);
 	}
 	for (i = 0; i < DAEMONS; i++) {
 		if (chain->nodes[i].retry != NULL)
@@ -140,7 +141,7 @@
 	struct chain *chain = ask->arg;
 
 	chain->answered = true;
-	chain->last_grant = granted;
+	chain->last_granted = granted;
 }
 
 static bool
@@ -154,17 +155,18 @@
 		return false;
 	while (!chain->answered)
 		step(chain);
-	chain->granted += chain->last_grant;
-	return chain->last_grant;
+	chain->granted += chain->last_granted;
+	return chain->last_granted;
 }
 
 /*
- * A call at a hop: its failure, after the hop above it did what it may.  The
- * deepest hop's upstream cuts each call; every other call fails because one
- * that it made did.  Returns whether the failure is final.
+ * Simulates a call that fails, with the retries that the hop above it makes.
+ * The upstream of the deepest hop breaks each connection; every other call
+ * fails because one of the calls that it made failed. Returns whether the
+ * failure is final.
  */
 static bool
-call_fails(
+run_failing_call(
     struct chain *chain, unsigned depth, const struct loom_retry_root *root)
 {
 	struct loom_retry_failure failure = {
@@ -181,49 +183,59 @@
 		return false;
 	}
 	for (i = 0; i < FAN_OUT; i++) {
-		failure.final = call_fails(chain, depth + 1, root);
+		failure.final = run_failing_call(chain, depth + 1, root);
 		while (
 		    loom_retry_may(&failure, &final) == LOOM_RETRY_ASK_HOME &&
 		    ask_home(chain, node, root))
-			failure.final = call_fails(chain, depth + 1, root);
+			failure.final =
+			    run_failing_call(chain, depth + 1, root);
 	}
 	return final;
 }
 
 /*
- * Each of 27 calls at the deepest hop fails.  With two tries a hop callers
- * would see the deepest service hit 216 times; with the home's budget of two
- * it is hit 29 times, however messages are lost or repeated, and 27 times
- * when the home died or was started anew.
+ * Guards against retries that multiply along the chain. All of the 27 calls at
+ * the deepest hop fail. With two attempts at each hop the deepest service would
+ * get 216 calls. With a budget of two at the home it gets at most 29, even if
+ * messages are lost or duplicated, and 27 if the home was killed or restarted.
  */
 static void
-test_chain(void)
+test_budget_over_chain(void)
 {
 	static const struct {
 		const char *name;
 		double loss;
-		bool repeated;
+		bool duplicate;
 		bool home_killed;
 		bool home_restarted;
-		unsigned least, most;
+		unsigned min_attempts, max_attempts;
 	} cases[] = {
-		{ .name = "all well", .least = 29, .most = 29 },
-		{ .name = "half lost", .loss = 0.5, .least = 27, .most = 29 },
-		{ .name = "most lost", .loss = 0.9, .least = 27, .most = 29 },
-		{ .name = "all lost", .loss = 1, .least = 27, .most = 27 },
-		{ .name = "repeated",
-		    .repeated = true,
-		    .least = 28,
-		    .most = 29 },
+		{ .name = "no faults", .min_attempts = 29, .max_attempts = 29 },
+		{ .name = "half of the messages lost",
+		    .loss = 0.5,
+		    .min_attempts = 27,
+		    .max_attempts = 29 },
+		{ .name = "most messages lost",
+		    .loss = 0.9,
+		    .min_attempts = 27,
+		    .max_attempts = 29 },
+		{ .name = "all messages lost",
+		    .loss = 1,
+		    .min_attempts = 27,
+		    .max_attempts = 27 },
+		{ .name = "messages duplicated",
+		    .duplicate = true,
+		    .min_attempts = 28,
+		    .max_attempts = 29 },
 		{ .name = "home killed",
 		    .home_killed = true,
-		    .least = 27,
-		    .most = 27 },
+		    .min_attempts = 27,
+		    .max_attempts = 27 },
 		{ .name = "home restarted",
 		    .home_killed = true,
 		    .home_restarted = true,
-		    .least = 27,
-		    .most = 27 },
+		    .min_attempts = 27,
+		    .max_attempts = 27 },
 	};
 	struct loom_retry_root root;
 	struct chain chain;
@@ -232,7 +244,7 @@
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
 		start_chain(&chain, (uint32_t)i);
 		chain.loss = cases[i].loss;
-		chain.repeated = cases[i].repeated;
+		chain.duplicate = cases[i].duplicate;
 		CU_ASSERT_TRUE(loom_retry_begin_root(chain.nodes[3].retry, 0,
 		    chain.now_us, chain.now_us + DEADLINE_US, &root));
 		if (cases[i].home_killed) {
@@ -241,21 +253,21 @@
 		}
 		if (cases[i].home_restarted)
 			start_node(&chain, 3, 999);
-		call_fails(&chain, 0, &root);
-		TEST_CHECK(chain.leaf_attempts >= cases[i].least &&
-			chain.leaf_attempts <= cases[i].most,
+		run_failing_call(&chain, 0, &root);
+		TEST_CHECK(chain.leaf_attempts >= cases[i].min_attempts &&
+			chain.leaf_attempts <= cases[i].max_attempts,
 		    "%s: %u attempts", cases[i].name, chain.leaf_attempts);
 		end_chain(&chain);
 	}
 }
 
 /*
- * A caller whose request fails sends it again 50 times with the same request
- * id.  Each attempt is a call against its team's rate, but all of them share
- * one budget: two retries in all, not a hundred.
+ * A caller repeats a failing request 50 times with the same request id. Each
+ * attempt counts against the rate of its team, but all of them share one
+ * budget: two retries in total instead of a hundred.
  */
 static void
-test_caller_sends_again(void)
+test_same_request_id(void)
 {
 	struct loom_retry_root root, first;
 	struct chain chain;
@@ -265,16 +277,16 @@
 	start_chain(&chain, 1);
 	key = loom_retry_request_key(11, "order-1");
 	other = loom_retry_request_key(12, "order-1");
-	TEST_CHECK(key != other, "two teams share a budget");
+	TEST_CHECK(key != other, "two teams share a request key");
 	for (i = 0; i < 50; i++) {
 		CU_ASSERT_TRUE(loom_retry_begin_root(chain.nodes[3].retry, key,
 		    chain.now_us, chain.now_us + DEADLINE_US, &root));
 		if (i == 0)
 			first = root;
 		CU_ASSERT_EQUAL(root.id, first.id);
-		call_fails(&chain, 0, &root);
+		run_failing_call(&chain, 0, &root);
 	}
-	TEST_CHECK(chain.leaf_attempts == 50 * LEAVES + 2, "%u attempts",
+	TEST_CHECK(chain.leaf_attempts == 50 * LEAF_CALLS + 2, "%u attempts",
 	    chain.leaf_attempts);
 	CU_ASSERT_TRUE(loom_retry_begin_root(chain.nodes[3].retry, other,
 	    chain.now_us, chain.now_us + DEADLINE_US, &root));
@@ -282,7 +294,10 @@
 	end_chain(&chain);
 }
 
-/* After the deadline the budget is gone, also for a question on its way. */
+/*
+ * The budget expires at the deadline, also for a query that is still on its
+ * way.
+ */
 static void
 test_deadline(void)
 {
@@ -290,7 +305,7 @@
 	struct chain chain;
 
 	start_chain(&chain, 2);
-	/* the next sweep, which forgets the request, is a second away */
+	/* the next sweep, which would remove the root, is a second away */
 	step(&chain);
 	CU_ASSERT_TRUE(loom_retry_begin_root(chain.nodes[3].retry, 0,
 	    chain.now_us, chain.now_us + 10000, &root));
@@ -299,21 +314,23 @@
 	end_chain(&chain);
 }
 
-/* A flood of requests must not take the daemon's memory: beyond its bound a
- * home lets requests run without a budget, and takes new ones once old ones
- * have passed their deadline. */
+/*
+ * A flood of requests must not exhaust the daemon's memory. Beyond its limit a
+ * home lets requests run without a budget, and it accepts new ones again when
+ * the deadlines of old ones have passed.
+ */
 static void
-test_bounded(void)
+test_root_limit(void)
 {
 	struct loom_retry_root root;
 	struct chain chain;
-	unsigned i, full = 0;
+	unsigned i, refused = 0;
 
 	start_chain(&chain, 3);
 	for (i = 0; i < 400000; i++)
-		full += !loom_retry_begin_root(chain.nodes[0].retry, 0,
+		refused += !loom_retry_begin_root(chain.nodes[0].retry, 0,
 		    chain.now_us, chain.now_us + 10000, &root);
-	TEST_CHECK(full >= 400000 - 262144, "%u", full);
+	TEST_CHECK(refused >= 400000 - 262144, "%u", refused);
 	CU_ASSERT_EQUAL(root.home_host_id, 0);
 	CU_ASSERT_FALSE(ask_home(&chain, 1, &root));
 	chain.now_us += 2000000;
@@ -324,12 +341,13 @@
 }
 
 /*
- * A service fails for all its callers at once, 1,000 a second, each with a
- * budget of its own.  Without the ratio its load would treble; with it a
- * daemon adds a tenth, one retry a second, and a first burst of ten.
+ * A service fails for all its callers at once: 1,000 calls per second, each
+ * with a budget of its own. Without the ratio its load would triple. With it, a
+ * daemon adds a tenth of the load, one retry per second, and an initial burst
+ * of ten.
  */
 static void
-test_storm(void)
+test_retry_ratio(void)
 {
 	struct loom_retry_credit credit = { .credit = 1 };
 	unsigned second, call, retries = 0;
@@ -338,16 +356,16 @@
 	for (second = 0; second < 10; second++) {
 		for (call = 0; call < 1000; call++) {
 			now_us += 1000;
-			loom_retry_credit_first(&credit, 0.1, now_us);
-			retries += loom_retry_credit_take(&credit, now_us);
-			retries += loom_retry_credit_take(&credit, now_us);
+			loom_retry_credit_earn(&credit, 0.1, now_us);
+			retries += loom_retry_credit_spend(&credit, now_us);
+			retries += loom_retry_credit_spend(&credit, now_us);
 		}
 	}
 	TEST_CHECK(retries <= 1000 + 10 + 10 && retries >= 990, "%u", retries);
 }
 
 static void
-test_rule(void)
+test_retryable_failures(void)
 {
 	static const struct {
 		const char *name;
@@ -367,7 +385,7 @@
 			.body_kept = true,
 			.remaining_us = 100 },
 		    LOOM_RETRY_ASK_HOME },
-		{ "leaving",
+		{ "draining",
 		    { .code = LOOM_DRAINING,
 			.repeatable = true,
 			.body_kept = true,
@@ -391,7 +409,7 @@
 			.body_kept = true,
 			.remaining_us = 100 },
 		    LOOM_RETRY_NO },
-		{ "over its rate",
+		{ "team over its rate",
 		    { .code = LOOM_TEAM_RATE,
 			.repeatable = true,
 			.body_kept = true,
@@ -409,12 +427,12 @@
 			.body_kept = true,
 			.remaining_us = 100 },
 		    LOOM_RETRY_NO },
-		{ "body gone",
+		{ "body not kept",
 		    { .code = LOOM_UPSTREAM_CUT,
 			.repeatable = true,
 			.remaining_us = 100 },
 		    LOOM_RETRY_NO },
-		{ "answer begun",
+		{ "answer started",
 		    { .code = LOOM_UPSTREAM_CUT,
 			.repeatable = true,
 			.body_kept = true,
@@ -442,12 +460,12 @@
 }
 
 static const struct test_case tests[] = {
-	{ "chain", test_chain },
-	{ "caller sends again", test_caller_sends_again },
+	{ "budget over the chain", test_budget_over_chain },
+	{ "same request id sent again", test_same_request_id },
 	{ "deadline", test_deadline },
-	{ "bounded", test_bounded },
-	{ "storm", test_storm },
-	{ "rule", test_rule },
+	{ "root limit", test_root_limit },
+	{ "retry ratio", test_retry_ratio },
+	{ "retryable failures", test_retryable_failures },
 };
 
 TEST_MAIN("retry", tests)
