--- a/src/control/quarantine.c
+++ b/src/control/quarantine.c
@@ -1,9 +1,9 @@
 /*
- * The quarantine of one upstream: the decision of src/decide under a lock,
- * and the word about it to the other daemons of the service.
+ * The quarantine of one upstream: locks the logic in src/decide and exchanges
+ * reports with the other daemons of the service.
  *
- * Workers only mark what is to be told; the control thread tells it, since
- * the sender is its own.
+ * Worker threads only mark what has to be sent. The control thread sends it,
+ * because the sender belongs to that thread.
  */
 
 #include <talloc.h>
@@ -11,25 +11,34 @@
 #include "inner/quarantine_codec.h"
 #include "loom/clock.h"
 
-/* How soon the word goes out.  The caller's own repetition takes a round
- * trip and, after an honest Retry-After, far longer. */
+/*
+ * Longest delay of a report. A repetition by the caller takes a round trip, and
+ * far longer if the caller respects Retry-After.
+ */
 #define TICK_US (20 * LOOM_US_PER_MS)
-/* For lost messages and hosts that started since.  16 records to 20 hosts are
- * about 1.3 KB a second, and only while anything is suspected. */
-#define REPEAT_US (10 * LOOM_US_PER_S)
-#define SUSPECT_US (600 * LOOM_US_PER_S)
-#define QUARANTINE_US (1800 * LOOM_US_PER_S)
-#define CAPACITY 4096
-/* Clearings that wait to be told; more are left to run out by themselves. */
-#define CLEARED_MAX 64
+/*
+ * Reports are repeated for the sake of lost messages and hosts that started
+ * later. 16 records to 20 hosts take about 1.3 KB per second, and only while
+ * there are suspects.
+ */
+#define REPEAT_INTERVAL_US (10 * LOOM_US_PER_S)
+#define DEFAULT_SUSPECT_US (600 * LOOM_US_PER_S)
+#define DEFAULT_QUARANTINE_US (1800 * LOOM_US_PER_S)
+#define DEFAULT_CAPACITY 4096
+/*
+ * Limit on cleared fingerprints waiting to be sent; further ones expire by
+ * themselves on the other hosts.
+ */
+#define PENDING_CLEARED_MAX 64
 
 struct loom_quarantine {
 	struct loom_quarantine_config config;
 	GMutex lock;
 	struct suspects suspects;
 	GArray *cleared; /* struct loom_fingerprint */
-	struct loom_hosts *hosts; /* counted; the control thread's alone */
-	uint64_t repeated_us;
+	struct loom_hosts
+	    *hosts; /* reference held; used only by the control thread */
+	uint64_t last_repeat_us;
 };
 
 struct loom_quarantine *
@@ -44,9 +53,9 @@
 	quarantine->config = *config;
 	g_mutex_init(&quarantine->lock);
 	suspects_init(&quarantine->suspects,
-	    suspect_us != 0 ? suspect_us : SUSPECT_US,
-	    quarantine_us != 0 ? quarantine_us : QUARANTINE_US,
-	    capacity != 0 ? capacity : CAPACITY);
+	    suspect_us != 0 ? suspect_us : DEFAULT_SUSPECT_US,
+	    quarantine_us != 0 ? quarantine_us : DEFAULT_QUARANTINE_US,
+	    capacity != 0 ? capacity : DEFAULT_CAPACITY);
 	quarantine->cleared =
 	    g_array_new(FALSE, FALSE, sizeof(struct loom_fingerprint));
 	return quarantine;
@@ -100,7 +109,7 @@
 
 	g_mutex_lock(&quarantine->lock);
 	if (suspects_leave(&quarantine->suspects, entry, end, now_us) &&
-	    quarantine->cleared->len < CLEARED_MAX)
+	    quarantine->cleared->len < PENDING_CLEARED_MAX)
 		g_array_append_val(quarantine->cleared, fingerprint);
 	g_mutex_unlock(&quarantine->lock);
 }
@@ -119,7 +128,7 @@
     struct loom_quarantine *quarantine, uint64_t now_us)
 {
 	g_mutex_lock(&quarantine->lock);
-	suspects_blind(&quarantine->suspects, now_us);
+	suspects_fast_restart(&quarantine->suspects, now_us);
 	g_mutex_unlock(&quarantine->lock);
 }
 
@@ -145,14 +154,14 @@
 	while (g_hash_table_iter_next(&iter, &key, NULL)) {
 		record = key;
 		n += record->level == SUSPECT_QUARANTINED &&
-		    now_us < record->until_us;
+		    now_us < record->expires_us;
 	}
 	g_mutex_unlock(&quarantine->lock);
 	return n;
 }
 
 static void
-tell_service(struct loom_quarantine *quarantine, uint8_t type,
+send_to_service(struct loom_quarantine *quarantine, uint8_t type,
     const uint8_t *message, size_t len)
 {
 	const struct loom_self *self = quarantine->config.self;
@@ -170,10 +179,10 @@
 	}
 }
 
-/* Up to QUARANTINE_RECORDS_MAX records that are ours to tell. */
+/* Collects up to QUARANTINE_RECORDS_MAX records that this host has to send. */
 static uint32_t
 collect_records(struct loom_quarantine *quarantine, bool repeat,
-    uint64_t now_us, struct quarantine_told *told)
+    uint64_t now_us, struct quarantine_told *reports)
 {
 	struct suspect_record *record;
 	GHashTableIter iter;
@@ -185,15 +194,15 @@
 	while (count < QUARANTINE_RECORDS_MAX &&
 	    g_hash_table_iter_next(&iter, &key, NULL)) {
 		record = key;
-		if (!record->ours || now_us >= record->until_us ||
-		    !(record->untold || repeat))
+		if (!record->local || now_us >= record->expires_us ||
+		    !(record->unannounced || repeat))
 			continue;
-		record->untold = false;
-		told[count++] = (struct quarantine_told){
+		record->unannounced = false;
+		reports[count++] = (struct quarantine_told){
 			.fingerprint = record->fingerprint,
 			.level = record->level,
-			.strikes = record->strikes,
-			.remaining_us = record->until_us - now_us,
+			.strikes = record->crash_count,
+			.remaining_us = record->expires_us - now_us,
 		};
 	}
 	g_mutex_unlock(&quarantine->lock);
@@ -221,35 +230,35 @@
 part_tick(void *part, uint64_t now_us)
 {
 	struct loom_quarantine *quarantine = part;
-	struct quarantine_told told[QUARANTINE_RECORDS_MAX];
+	struct quarantine_told reports[QUARANTINE_RECORDS_MAX];
 	uint8_t message[QUARANTINE_MESSAGE_MAX];
-	bool repeat = now_us - quarantine->repeated_us >= REPEAT_US;
+	bool repeat = now_us - quarantine->last_repeat_us >= REPEAT_INTERVAL_US;
 	struct loom_fingerprint fingerprint;
 	uint32_t count;
 
 	if (repeat)
-		quarantine->repeated_us = now_us;
-	count = collect_records(quarantine, repeat, now_us, told);
+		quarantine->last_repeat_us = now_us;
+	count = collect_records(quarantine, repeat, now_us, reports);
 	if (count != 0)
-		tell_service(quarantine, QUARANTINE_RECORDS, message,
-		    quarantine_records_pack(told, count, message));
+		send_to_service(quarantine, QUARANTINE_RECORDS, message,
+		    quarantine_records_pack(reports, count, message));
 	while (pop_cleared(quarantine, &fingerprint))
-		tell_service(quarantine, QUARANTINE_CLEAR, message,
+		send_to_service(quarantine, QUARANTINE_CLEAR, message,
 		    quarantine_clear_pack(&fingerprint, message));
 }
 
 static void
-hear_records(struct loom_quarantine *quarantine, const uint8_t *payload,
+merge_records(struct loom_quarantine *quarantine, const uint8_t *payload,
     size_t len, uint64_t now_us)
 {
-	struct quarantine_told told[QUARANTINE_RECORDS_MAX];
-	uint32_t i, count = quarantine_records_unpack(payload, len, told);
+	struct quarantine_told reports[QUARANTINE_RECORDS_MAX];
+	uint32_t i, count = quarantine_records_unpack(payload, len, reports);
 
 	g_mutex_lock(&quarantine->lock);
 	for (i = 0; i < count; i++)
-		suspect_records_told(&quarantine->suspects.records,
-		    &told[i].fingerprint, told[i].level, told[i].strikes,
-		    told[i].remaining_us, now_us);
+		suspect_records_merge(&quarantine->suspects.records,
+		    &reports[i].fingerprint, reports[i].level,
+		    reports[i].strikes, reports[i].remaining_us, now_us);
 	g_mutex_unlock(&quarantine->lock);
 }
 
@@ -262,11 +271,11 @@
 
 	(void)from;
 	if (type == QUARANTINE_RECORDS) {
-		hear_records(quarantine, payload, len, now_us);
+		merge_records(quarantine, payload, len, now_us);
 	} else if (type == QUARANTINE_CLEAR &&
 	    quarantine_clear_unpack(payload, len, &fingerprint)) {
 		g_mutex_lock(&quarantine->lock);
-		suspect_records_answered(
+		suspect_records_remove(
 		    &quarantine->suspects.records, &fingerprint);
 		g_mutex_unlock(&quarantine->lock);
 	}
--- a/src/control/replay.c
+++ b/src/control/replay.c
@@ -1,11 +1,11 @@
 /*
- * Call ids of peer contexts that have arrived.
+ * Replay protection: the call ids of received peer contexts.
  *
- * Each id is kept until check_age() of the context would refuse it anyway,
- * so that no moment lies between the two.  The set is bounded: when it is
- * full of ids that are still good, a new call is refused rather than an old
- * one forgotten.  Expired ids are swept out when a shard has doubled, which
- * costs each id about two visits.
+ * Each id is kept until check_age() would reject its context anyway, so that
+ * there is no gap between the two checks. The set is bounded. When it is full
+ * of valid ids, a new call is refused, because forgetting an old id would
+ * permit its replay. A shard removes expired ids when its size has doubled
+ * since the last sweep, so each id is visited about twice.
  */
 
 #include <talloc.h>
@@ -13,27 +13,29 @@
 #include "control/id_hash.h"
 #include "loom/clock.h"
 
-#define SHARDS 16
-#define SWEEP_MIN 64
-/* A full shard is swept at most this often, or each refusal would cost a
- * walk over all of it. */
-#define FULL_SWEEP_US (100 * LOOM_US_PER_MS)
+#define SHARD_COUNT 16
+#define SWEEP_MIN_ENTRIES 64
+/*
+ * Minimum interval between sweeps of a full shard; otherwise each refusal would
+ * scan the whole shard.
+ */
+#define FULL_SWEEP_INTERVAL_US (100 * LOOM_US_PER_MS)
 
 struct replay_entry {
-	struct loom_id128 id; /* the key: first */
+	struct loom_id128 id; /* the key, must be first */
 	uint64_t expires_us;
 };
 
 struct replay_shard {
-	GMutex lock; /* of the talloc hierarchy below as well */
+	GMutex lock; /* also protects the talloc hierarchy under ctx */
 	void *ctx; /* owns the entries */
 	GHashTable *entries; /* struct replay_entry, owned */
-	uint32_t sweep_at; /* entries */
-	uint64_t swept_us; /* 0 for never */
+	uint32_t sweep_threshold; /* number of entries */
+	uint64_t last_sweep_us; /* 0 for never */
 };
 
 struct loom_replay {
-	struct replay_shard shards[SHARDS];
+	struct replay_shard shards[SHARD_COUNT];
 	uint32_t shard_capacity;
 };
 
@@ -49,13 +51,13 @@
 	struct loom_replay *replay = talloc_zero(NULL, struct loom_replay);
 	size_t i;
 
-	replay->shard_capacity = MAX(capacity / SHARDS, 1);
-	for (i = 0; i < SHARDS; i++) {
+	replay->shard_capacity = MAX(capacity / SHARD_COUNT, 1);
+	for (i = 0; i < SHARD_COUNT; i++) {
 		g_mutex_init(&replay->shards[i].lock);
 		replay->shards[i].entries = g_hash_table_new_full(
 		    id128_hash, id128_equal, entry_free, NULL);
 		replay->shards[i].ctx = talloc_new(NULL);
-		replay->shards[i].sweep_at = SWEEP_MIN;
+		replay->shards[i].sweep_threshold = SWEEP_MIN_ENTRIES;
 	}
 	return replay;
 }
@@ -67,7 +69,7 @@
 
 	if (replay == NULL)
 		return;
-	for (i = 0; i < SHARDS; i++) {
+	for (i = 0; i < SHARD_COUNT; i++) {
 		g_hash_table_destroy(replay->shards[i].entries);
 		talloc_free(replay->shards[i].ctx);
 		g_mutex_clear(&replay->shards[i].lock);
@@ -90,14 +92,14 @@
 	uint32_t count = g_hash_table_size(shard->entries);
 	bool full = count >= capacity;
 
-	if (count < shard->sweep_at && !full)
+	if (count < shard->sweep_threshold && !full)
 		return true;
-	if (full && now_us < shard->swept_us + FULL_SWEEP_US)
+	if (full && now_us < shard->last_sweep_us + FULL_SWEEP_INTERVAL_US)
 		return false;
-	shard->swept_us = now_us;
+	shard->last_sweep_us = now_us;
 	g_hash_table_foreach_remove(shard->entries, entry_expired, &now_us);
 	count = g_hash_table_size(shard->entries);
-	shard->sweep_at = MAX(SWEEP_MIN, 2 * count);
+	shard->sweep_threshold = MAX(SWEEP_MIN_ENTRIES, 2 * count);
 	return count < capacity;
 }
 
@@ -124,7 +126,7 @@
     const struct loom_context *context, uint64_t now_us)
 {
 	struct replay_shard *shard =
-	    &replay->shards[id128_shard(&context->call, SHARDS)];
+	    &replay->shards[id128_shard(&context->call, SHARD_COUNT)];
 	enum loom_result code;
 
 	g_mutex_lock(&shard->lock);
--- a/src/decide/suspect_records.c
+++ b/src/decide/suspect_records.c
@@ -1,6 +1,6 @@
 /*
- * The records behind the suspicion: levels, how long they last, and how long
- * a strong suspect stays out.
+ * Records of suspects: their levels, how long these last, and how long a strong
+ * suspect has to wait.
  */
 
 #include <string.h>
@@ -8,11 +8,13 @@
 
 #include "decide/suspect_records.h"
 
-/* After each crash a strong suspect stays out twice as long as before, so
- * that one which cannot be caught alone still costs only a few crashes in an
- * hour. */
+/*
+ * A strong suspect waits this long after its first crash and twice as long
+ * after each further one. Even a culprit that never gets to run exclusively
+ * then causes only a few crashes per hour.
+ */
 #define BACKOFF_US UINT64_C(5000000)
-#define STRIKES_MAX 8
+#define BACKOFF_DOUBLINGS_MAX 8
 
 guint
 fingerprint_hash(gconstpointer key)
@@ -55,9 +57,9 @@
 }
 
 /*
- * The record as of now.  A quarantine that has run out leaves a strong
- * suspect: should the request still crash its upstream, that costs one idle
- * upstream and not three busy ones.
+ * An expired quarantine leaves a strong suspect. If the request still crashes
+ * its upstream, that costs one crash of an idle upstream instead of three of a
+ * busy one.
  */
 struct suspect_record *
 suspect_records_find(struct suspect_records *records,
@@ -66,20 +68,22 @@
 	struct suspect_record *record =
 	    g_hash_table_lookup(records->table, fingerprint);
 
-	if (record == NULL || now_us < record->until_us)
+	if (record == NULL || now_us < record->expires_us)
 		return record;
 	if (record->level == SUSPECT_QUARANTINED &&
-	    now_us < record->until_us + records->suspect_us) {
+	    now_us < record->expires_us + records->suspect_us) {
 		record->level = SUSPECT_STRONG;
-		record->until_us += records->suspect_us;
+		record->expires_us += records->suspect_us;
 		return record;
 	}
 	g_hash_table_remove(records->table, fingerprint);
 	return NULL;
 }
 
-/* Room for one more record: the weakest that ends first makes way, but no
- * quarantine does for a mere suspicion. */
+/*
+ * Makes room for one more record by removing the one with the lowest level that
+ * expires first. A quarantine is never removed for a suspicion.
+ */
 static bool
 make_room(struct suspect_records *records)
 {
@@ -96,7 +100,7 @@
 			continue;
 		if (victim == NULL || record->level < victim->level ||
 		    (record->level == victim->level &&
-			record->until_us < victim->until_us))
+			record->expires_us < victim->expires_us))
 			victim = record;
 	}
 	if (victim == NULL)
@@ -123,62 +127,62 @@
 }
 
 static uint64_t
-backoff_us(uint8_t strikes)
+backoff_us(uint8_t crash_count)
 {
-	return BACKOFF_US << MIN(strikes, STRIKES_MAX);
+	return BACKOFF_US << MIN(crash_count, BACKOFF_DOUBLINGS_MAX);
 }
 
 /*
- * A run that began before the word of another's crash is no strike of its
- * own: a caller that sends to four hosts in turn would else be out for 40 s
- * before it was ever run apart.
+ * A run that began before this host learned of a crash elsewhere does not count
+ * as a further crash. Otherwise a request that its caller sends to four hosts
+ * in turn would have to wait 40 s before it was ever run exclusively.
  */
 void
 suspect_records_raise(struct suspect_records *records,
     const struct loom_fingerprint *fingerprint, enum suspect_level level,
-    uint8_t strikes_known, uint64_t now_us)
+    uint8_t known_crashes, uint64_t now_us)
 {
 	struct suspect_record *record = find_or_add(records, fingerprint);
 
 	if (record == NULL)
 		return;
 	record->level = MAX(record->level, level);
-	record->until_us = now_us +
+	record->expires_us = now_us +
 	    (record->level == SUSPECT_QUARANTINED ? records->quarantine_us
 						  : records->suspect_us);
-	record->strikes =
-	    MAX(record->strikes, MIN(strikes_known, UINT8_MAX - 1) + 1);
-	record->not_before_us = now_us + backoff_us(record->strikes - 1);
-	record->ours = true;
-	record->untold = true;
+	record->crash_count =
+	    MAX(record->crash_count, MIN(known_crashes, UINT8_MAX - 1) + 1);
+	record->not_before_us = now_us + backoff_us(record->crash_count - 1);
+	record->local = true;
+	record->unannounced = true;
 }
 
 void
-suspect_records_told(struct suspect_records *records,
+suspect_records_merge(struct suspect_records *records,
     const struct loom_fingerprint *fingerprint, enum suspect_level level,
-    uint8_t strikes, uint64_t remaining_us, uint64_t now_us)
+    uint8_t crash_count, uint64_t remaining_us, uint64_t now_us)
 {
 	struct suspect_record *record;
 
-	/* Lowers what has run out here. */
+	/* Lowers the level first if the record has expired. */
 	suspect_records_find(records, fingerprint, now_us);
 	record = find_or_add(records, fingerprint);
 	if (record == NULL || level < record->level)
 		return;
 	if (level > record->level) {
 		record->level = level;
-		record->until_us = now_us;
-		record->ours = false;
+		record->expires_us = now_us;
+		record->local = false;
 	}
-	record->until_us = MAX(record->until_us, now_us + remaining_us);
-	if (strikes <= record->strikes)
+	record->expires_us = MAX(record->expires_us, now_us + remaining_us);
+	if (crash_count <= record->crash_count)
 		return;
-	record->strikes = strikes;
-	record->not_before_us = now_us + backoff_us(strikes - 1);
+	record->crash_count = crash_count;
+	record->not_before_us = now_us + backoff_us(crash_count - 1);
 }
 
 bool
-suspect_records_answered(
+suspect_records_remove(
     struct suspect_records *records, const struct loom_fingerprint *fingerprint)
 {
 	const struct suspect_record *record =
--- a/src/decide/suspect_records.h
+++ b/src/decide/suspect_records.h
@@ -2,8 +2,8 @@
 #define LOOM_DECIDE_SUSPECT_RECORDS_H
 
 /*
- * What is held against each fingerprint, by our own crashes and by the word
- * of other daemons.
+ * What is known about each fingerprint, from crashes on this host and from the
+ * reports of other daemons.
  */
 
 #include <glib.h>
@@ -13,23 +13,23 @@
 enum suspect_level {
 	SUSPECT_NONE,
 	SUSPECT_WEAK, /* in flight at a crash, with others */
-	SUSPECT_STRONG, /* in flight at a second, or alone at one */
+	SUSPECT_STRONG, /* in flight at a second crash, or alone at its first */
 	SUSPECT_QUARANTINED,
 };
 
 struct suspect_record {
-	struct loom_fingerprint fingerprint; /* the key: first */
+	struct loom_fingerprint fingerprint; /* the key, must be first */
 	enum suspect_level level;
-	uint64_t until_us;
-	uint64_t not_before_us; /* a strong suspect's next run */
-	uint8_t strikes; /* crashes since it was suspected */
-	bool ours; /* we saw the crash: we tell the others */
-	bool untold; /* they have not been told of this level */
+	uint64_t expires_us;
+	uint64_t not_before_us; /* earliest next run of a strong suspect */
+	uint8_t crash_count; /* since it became a suspect */
+	bool local; /* crashed here, so this host announces it */
+	bool unannounced; /* other hosts do not know this level yet */
 };
 
 struct suspect_records {
 	void *ctx; /* talloc; owns the records */
-	GHashTable *table; /* struct suspect_record by its fingerprint */
+	GHashTable *table; /* struct suspect_record by fingerprint */
 	uint64_t suspect_us;
 	uint64_t quarantine_us;
 	uint32_t capacity;
@@ -39,24 +39,28 @@
     uint64_t quarantine_us, uint32_t capacity);
 void suspect_records_clear(struct suspect_records *);
 
-/* The record as of now, or NULL; lowers what has run out. */
+/* Returns the record or NULL. Lowers or removes a record that has expired. */
 struct suspect_record *suspect_records_find(
     struct suspect_records *, const struct loom_fingerprint *, uint64_t now_us);
 
-/* A crash of our own upstream raises to level, and adds a strike to those
- * that were known when the run began. */
+/*
+ * Raises a record to the level after a crash on this host. The crash count
+ * becomes known_crashes, the count when the run began, plus one.
+ */
 void suspect_records_raise(struct suspect_records *,
-    const struct loom_fingerprint *, enum suspect_level, uint8_t strikes_known,
+    const struct loom_fingerprint *, enum suspect_level, uint8_t known_crashes,
     uint64_t now_us);
 
-/* A peer's word: raises, never lowers. */
-void suspect_records_told(struct suspect_records *,
-    const struct loom_fingerprint *, enum suspect_level, uint8_t strikes,
+/* Applies a peer's report. Never lowers a level. */
+void suspect_records_merge(struct suspect_records *,
+    const struct loom_fingerprint *, enum suspect_level, uint8_t crash_count,
     uint64_t remaining_us, uint64_t now_us);
 
-/* A whole answer came, here or at a peer.  Ends no quarantine.  True when
- * there was something to clear. */
-bool suspect_records_answered(
+/*
+ * Removes the record after a complete answer, here or at a peer. A quarantine
+ * is kept. Returns whether a record was removed.
+ */
+bool suspect_records_remove(
     struct suspect_records *, const struct loom_fingerprint *);
 
 guint fingerprint_hash(gconstpointer key);
--- a/src/decide/suspects.c
+++ b/src/decide/suspects.c
@@ -1,17 +1,18 @@
 /*
- * Who is to blame for a crash.
+ * Decides which requests to blame for a crash.
  *
- * Evidence is counted so that innocence is never a matter of luck: the only
- * step that quarantines is a crash with nothing else in flight, after an
- * earlier one.  The steps before it only narrow down which requests have to
- * run apart.  Clean requests wait only while the upstream is emptied for a
- * strong suspect, and while that runs.
+ * A request is quarantined only for a crash at which nothing else was in
+ * flight, and only after an earlier crash, so an innocent request can never be
+ * quarantined by coincidence. The earlier steps only narrow down which requests
+ * have to run separately. Requests that are not suspects wait only while the
+ * upstream is quiesced for a strong suspect and while that suspect runs.
  *
- * Weighed and left: quarantine whatever was in flight at two crashes.  With
- * two culprits about, or a lookup that every handset makes all the time, an
- * innocent request is in both.  Running each suspect quite alone from the
- * start would save one crash, but empties the upstream for each of the up to
- * 200 neighbours, and waits for the slowest upload each time.
+ * Rejected alternatives: quarantining whatever was in flight at two crashes
+ * would hit innocent requests if there are two culprits, or if the innocent
+ * request is a common one such as a lookup that every mobile client makes all
+ * the time. Running each suspect exclusively from the start would save one
+ * crash, but would quiesce the upstream for each of up to 200 suspects, each
+ * time waiting for the slowest upload.
  */
 
 #include <string.h>
@@ -19,25 +20,34 @@
 
 #include "decide/suspects.h"
 
-/* Upstreams accept cancellation and deadlines; this is for those that are
- * slow to.  Without ghosts, a culprit that its caller gives up on would leave
- * the blame to whoever runs when the upstream comes down. */
-#define GHOST_US UINT64_C(30000000)
-#define GHOSTS_MAX 256
-/* Several workers see one crash, and what went out on a kept connection breaks
- * after it. */
-#define CRASH_MERGE_US UINT64_C(500000)
 /*
- * A busy upstream is never idle by itself, and an innocent strong suspect
- * would be refused until its suspicion ends.  So new calls are held back for
- * it: half a second is as long as most calls take and far below their
- * deadlines, and one in five seconds costs a tenth of the upstream at most,
- * only while strong suspects come.
+ * How long an abandoned call counts as possibly still running. Upstreams accept
+ * cancellation and deadlines, but some react slowly. If abandoned calls were
+ * ignored, a culprit whose caller gave up would leave the blame to whatever
+ * runs when the upstream crashes.
  */
-#define GATE_US UINT64_C(500000)
-#define GATE_EVERY_US UINT64_C(5000000)
-/* How long an upstream counts as one that comes down by itself. */
-#define SPONTANEOUS_US UINT64_C(60000000)
+#define ABANDONED_US UINT64_C(30000000)
+#define ABANDONED_MAX 256
+/*
+ * Reports of a crash within this time of the first count as the same crash.
+ * Several workers detect one crash, and a request sent on a kept connection
+ * only fails after it.
+ */
+#define CRASH_DEDUP_US UINT64_C(500000)
+/*
+ * A busy upstream is never idle by itself, so an innocent strong suspect would
+ * be refused until its suspicion expires. Therefore new calls are held back for
+ * it. Half a second is as long as most calls take and far below their
+ * deadlines. At one such period in five seconds it takes at most a tenth of the
+ * upstream's capacity, and only while strong suspects arrive.
+ */
+#define QUIESCE_US UINT64_C(500000)
+#define QUIESCE_INTERVAL_US UINT64_C(5000000)
+/*
+ * How long an upstream that crashed without a call is assumed to crash
+ * spontaneously.
+ */
+#define SPONTANEOUS_CRASH_US UINT64_C(60000000)
 
 void
 suspects_init(struct suspects *suspects, uint64_t suspect_us,
@@ -48,7 +58,7 @@
 	    &suspects->records, suspect_us, quarantine_us, capacity);
 	suspects->ctx = talloc_new(NULL);
 	g_queue_init(&suspects->in_flight);
-	g_queue_init(&suspects->ghosts);
+	g_queue_init(&suspects->abandoned);
 }
 
 static void
@@ -64,7 +74,7 @@
 suspects_clear(struct suspects *suspects)
 {
 	free_entries(&suspects->in_flight);
-	free_entries(&suspects->ghosts);
+	free_entries(&suspects->abandoned);
 	suspect_records_clear(&suspects->records);
 	talloc_free(suspects->ctx);
 }
@@ -92,67 +102,69 @@
 }
 
 static void
-drop_ghosts(struct suspects *suspects, uint64_t now_us)
+expire_abandoned(struct suspects *suspects, uint64_t now_us)
 {
 	const struct loom_quarantine_entry *entry;
 	GList *link;
 
-	while ((link = suspects->ghosts.head) != NULL) {
+	while ((link = suspects->abandoned.head) != NULL) {
 		entry = link->data;
-		if (now_us < entry->ghost_until_us &&
-		    suspects->ghosts.length <= GHOSTS_MAX)
+		if (now_us < entry->abandoned_until_us &&
+		    suspects->abandoned.length <= ABANDONED_MAX)
 			return;
-		g_queue_unlink(&suspects->ghosts, link);
+		g_queue_unlink(&suspects->abandoned, link);
 		talloc_free(link->data);
 	}
 }
 
 static void
-open_gate(struct suspects *suspects, const struct loom_fingerprint *fingerprint,
-    uint64_t now_us)
+start_quiesce(struct suspects *suspects,
+    const struct loom_fingerprint *fingerprint, uint64_t now_us)
 {
-	suspects->gate_for = *fingerprint;
-	suspects->gate_until_us = now_us + GATE_US;
-	suspects->gate_next_us = now_us + GATE_EVERY_US;
+	suspects->quiesce_for = *fingerprint;
+	suspects->quiesce_until_us = now_us + QUIESCE_US;
+	suspects->next_quiesce_us = now_us + QUIESCE_INTERVAL_US;
 }
 
 static void
-close_gate(struct suspects *suspects)
+end_quiesce(struct suspects *suspects)
 {
-	memset(&suspects->gate_for, 0, sizeof(suspects->gate_for));
-	suspects->gate_until_us = 0;
+	memset(&suspects->quiesce_for, 0, sizeof(suspects->quiesce_for));
+	suspects->quiesce_until_us = 0;
 }
 
 /*
- * Ghosts do not count here, or a few callers that give up would keep every
- * strong suspect out; they count when it comes to the blame.  Where the
- * upstream could not be emptied in time, as with long uploads, the suspect
- * runs in company after all: it is cleared if it is innocent, and waits twice
- * as long if it is not.
+ * Abandoned calls do not count here, otherwise a few callers that give up would
+ * keep all strong suspects out; they do count when the blame is decided. If the
+ * upstream cannot be quiesced in time, for example because of long uploads, the
+ * suspect runs together with other calls after all. If it is innocent it is
+ * cleared; if not, it has to wait twice as long.
  */
 static enum loom_quarantine_verdict
-judge_strong(struct suspects *suspects, const struct suspect_record *record,
+decide_strong(struct suspects *suspects, const struct suspect_record *record,
     uint64_t now_us)
 {
-	bool ours =
-	    fingerprint_equal(&suspects->gate_for, &record->fingerprint);
+	bool quiescing_for_this =
+	    fingerprint_equal(&suspects->quiesce_for, &record->fingerprint);
 
 	if (now_us < record->not_before_us)
 		return LOOM_QUARANTINE_LATER;
 	if (suspects->in_flight.length == 0)
 		return LOOM_QUARANTINE_PASS;
-	if (now_us < suspects->gate_until_us)
-		return ours ? LOOM_QUARANTINE_HOLD : LOOM_QUARANTINE_LATER;
-	if (ours && suspects->suspects_in_flight == 0)
+	if (now_us < suspects->quiesce_until_us)
+		return quiescing_for_this ? LOOM_QUARANTINE_HOLD
+					  : LOOM_QUARANTINE_LATER;
+	if (quiescing_for_this && suspects->suspects_in_flight == 0)
 		return LOOM_QUARANTINE_PASS;
-	if (now_us < suspects->gate_next_us)
-		return ours ? LOOM_QUARANTINE_HOLD : LOOM_QUARANTINE_LATER;
-	open_gate(suspects, &record->fingerprint, now_us);
+	if (now_us < suspects->next_quiesce_us)
+		return quiescing_for_this ? LOOM_QUARANTINE_HOLD
+					  : LOOM_QUARANTINE_LATER;
+	start_quiesce(suspects, &record->fingerprint, now_us);
 	return LOOM_QUARANTINE_HOLD;
 }
 
 static enum loom_quarantine_verdict
-judge(struct suspects *suspects, const struct suspect_record *record,
+decide(struct suspects *suspects, const struct suspect_record *record,
     uint64_t now_us)
 {
 	enum suspect_level level =
@@ -160,17 +172,19 @@
 
 	if (level == SUSPECT_QUARANTINED)
 		return LOOM_QUARANTINE_REFUSE;
-	/* Whoever joined now would be in flight at its crash, and neither
-	 * could be told from the other. */
-	if (suspects->alone_in_flight != 0)
+	/*
+	 * A call that joined now would be in flight at a crash of the exclusive
+	 * call, and neither could be ruled out.
+	 */
+	if (suspects->exclusive_in_flight != 0)
 		return LOOM_QUARANTINE_HOLD;
 	if (level == SUSPECT_STRONG)
-		return judge_strong(suspects, record, now_us);
-	if (now_us < suspects->gate_until_us)
+		return decide_strong(suspects, record, now_us);
+	if (now_us < suspects->quiesce_until_us)
 		return LOOM_QUARANTINE_HOLD;
 	if (level == SUSPECT_WEAK &&
 	    (suspects->suspects_in_flight != 0 ||
-		now_us < suspects->blind_until_us))
+		now_us < suspects->fast_restart_until_us))
 		return LOOM_QUARANTINE_HOLD;
 	return LOOM_QUARANTINE_PASS;
 }
@@ -182,23 +196,23 @@
 {
 	const struct suspect_record *record =
 	    suspect_records_find(&suspects->records, fingerprint, now_us);
-	enum loom_quarantine_verdict verdict = judge(suspects, record, now_us);
+	enum loom_quarantine_verdict verdict = decide(suspects, record, now_us);
 	enum suspect_level level =
 	    record != NULL ? record->level : SUSPECT_NONE;
-	bool alone;
+	bool exclusive;
 
 	*entry = NULL;
 	if (verdict != LOOM_QUARANTINE_PASS)
 		return verdict;
 	if (level == SUSPECT_STRONG)
-		close_gate(suspects);
-	alone = level == SUSPECT_STRONG && suspects->in_flight.length == 0;
+		end_quiesce(suspects);
+	exclusive = level == SUSPECT_STRONG && suspects->in_flight.length == 0;
 	*entry = add_entry(suspects, fingerprint);
-	(*entry)->suspect = level != SUSPECT_NONE && !alone;
-	(*entry)->alone = alone;
-	(*entry)->strikes = record != NULL ? record->strikes : 0;
+	(*entry)->suspect = level != SUSPECT_NONE && !exclusive;
+	(*entry)->exclusive = exclusive;
+	(*entry)->crash_count = record != NULL ? record->crash_count : 0;
 	suspects->suspects_in_flight += (*entry)->suspect;
-	suspects->alone_in_flight += (*entry)->alone;
+	suspects->exclusive_in_flight += (*entry)->exclusive;
 	return verdict;
 }
 
@@ -212,7 +226,7 @@
 	if (record == NULL)
 		return 0;
 	if (record->level == SUSPECT_QUARANTINED)
-		return record->until_us - now_us;
+		return record->expires_us - now_us;
 	if (record->level == SUSPECT_STRONG && now_us < record->not_before_us)
 		return record->not_before_us - now_us;
 	return 0;
@@ -225,76 +239,91 @@
 	bool cleared = false;
 
 	suspects->suspects_in_flight -= entry->suspect;
-	suspects->alone_in_flight -= entry->alone;
+	suspects->exclusive_in_flight -= entry->exclusive;
 	g_queue_unlink(&suspects->in_flight, &entry->link);
 	if (end == LOOM_QUARANTINE_ANSWERED) {
-		cleared = suspect_records_answered(
+		cleared = suspect_records_remove(
 		    &suspects->records, &entry->fingerprint);
-		/* An answer from before the crash may come after its word. */
-		if (!entry->blamed)
+		/*
+		 * An answer sent before the crash may arrive after the report
+		 * of it.
+		 */
+		if (!entry->crash_counted)
 			suspects->down = false;
 	}
-	drop_ghosts(suspects, now_us);
-	if (end == LOOM_QUARANTINE_BROKEN && !entry->blamed) {
-		entry->ghost_until_us = now_us + GHOST_US;
-		g_queue_push_tail_link(&suspects->ghosts, &entry->link);
+	expire_abandoned(suspects, now_us);
+	if (end == LOOM_QUARANTINE_BROKEN && !entry->crash_counted) {
+		entry->abandoned_until_us = now_us + ABANDONED_US;
+		g_queue_push_tail_link(&suspects->abandoned, &entry->link);
 	} else {
 		talloc_free(entry);
 	}
 	return cleared;
 }
 
-/* What was in flight at a crash, each fingerprint once. */
-struct crash_scene {
-	GHashTable *runners; /* entries by fingerprint, borrowed */
-	bool alone; /* nothing else can have done it */
+/* The calls that may have caused a crash, each fingerprint once. */
+struct crash_candidates {
+	GHashTable *by_fingerprint; /* struct loom_quarantine_entry by
+				       fingerprint, borrowed */
+	bool exclusive; /* nothing else can have caused the crash */
 };
 
-/* Of several runs of one request the one that knew most counts. */
+/*
+ * Of several runs of one request, the one that started with the highest crash
+ * count is kept.
+ */
 static void
-note_runner(struct crash_scene *scene, struct loom_quarantine_entry *entry)
+add_candidate(
+    struct crash_candidates *candidates, struct loom_quarantine_entry *entry)
 {
-	const struct loom_quarantine_entry *other =
-	    g_hash_table_lookup(scene->runners, &entry->fingerprint);
+	const struct loom_quarantine_entry *other = g_hash_table_lookup(
+	    candidates->by_fingerprint, &entry->fingerprint);
 
-	if (other == NULL || other->strikes < entry->strikes)
+	if (other == NULL || other->crash_count < entry->crash_count)
 		g_hash_table_replace(
-		    scene->runners, &entry->fingerprint, entry);
+		    candidates->by_fingerprint, &entry->fingerprint, entry);
 }
 
 static void
-survey_list(const GQueue *list, struct crash_scene *scene)
+add_candidates(const GQueue *list, struct crash_candidates *candidates)
 {
 	struct loom_quarantine_entry *entry;
 	GList *link;
 
 	for (link = list->head; link != NULL; link = link->next) {
 		entry = link->data;
-		/* Left over from the crash before, if that was one. */
-		if (entry->blamed)
-			scene->alone = false;
+		/*
+		 * Counted at the previous crash; may still be running if that
+		 * was a false alarm.
+		 */
+		if (entry->crash_counted)
+			candidates->exclusive = false;
 		else
-			note_runner(scene, entry);
-		entry->blamed = true;
+			add_candidate(candidates, entry);
+		entry->crash_counted = true;
 	}
-	if (g_hash_table_size(scene->runners) > 1)
-		scene->alone = false;
+	if (g_hash_table_size(candidates->by_fingerprint) > 1)
+		candidates->exclusive = false;
 }
 
 static enum suspect_level
-verdict_on(const struct crash_scene *scene, enum suspect_level before)
+level_after_crash(
+    const struct crash_candidates *candidates, enum suspect_level before)
 {
 	if (before == SUSPECT_NONE)
-		return scene->alone ? SUSPECT_STRONG : SUSPECT_WEAK;
-	return scene->alone ? SUSPECT_QUARANTINED : SUSPECT_STRONG;
+		return candidates->exclusive ? SUSPECT_STRONG : SUSPECT_WEAK;
+	return candidates->exclusive ? SUSPECT_QUARANTINED : SUSPECT_STRONG;
 }
 
-/* Blames what was given up on, and all that are in flight or none of them. */
+/*
+ * Raises the level of the abandoned calls and, if in_flight is set, of the
+ * calls in flight.
+ */
 static void
-blame(struct suspects *suspects, bool in_flight, uint64_t now_us)
+record_crash(struct suspects *suspects, bool in_flight, uint64_t now_us)
 {
-	struct crash_scene scene = { .alone = true };
-	const struct loom_quarantine_entry *runner;
+	struct crash_candidates candidates = { .exclusive = true };
+	const struct loom_quarantine_entry *candidate;
 	enum suspect_level before;
 	GHashTableIter iter;
 	gpointer value;
@@ -302,56 +331,65 @@
 	suspects->down = true;
 	suspects->crashed = true;
 	suspects->crashed_us = now_us;
-	scene.runners = g_hash_table_new(fingerprint_hash, fingerprint_equal);
-	drop_ghosts(suspects, now_us);
+	candidates.by_fingerprint =
+	    g_hash_table_new(fingerprint_hash, fingerprint_equal);
+	expire_abandoned(suspects, now_us);
 	if (in_flight)
-		survey_list(&suspects->in_flight, &scene);
-	survey_list(&suspects->ghosts, &scene);
+		add_candidates(&suspects->in_flight, &candidates);
+	add_candidates(&suspects->abandoned, &candidates);
 	if (now_us < suspects->spontaneous_until_us)
-		scene.alone = false;
-	g_hash_table_iter_init(&iter, scene.runners);
+		candidates.exclusive = false;
+	g_hash_table_iter_init(&iter, candidates.by_fingerprint);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		runner = value;
-		before = suspects_level(suspects, &runner->fingerprint, now_us);
-		suspect_records_raise(&suspects->records, &runner->fingerprint,
-		    verdict_on(&scene, before), runner->strikes, now_us);
+		candidate = value;
+		before =
+		    suspects_level(suspects, &candidate->fingerprint, now_us);
+		suspect_records_raise(&suspects->records,
+		    &candidate->fingerprint,
+		    level_after_crash(&candidates, before),
+		    candidate->crash_count, now_us);
 	}
-	g_hash_table_destroy(scene.runners);
-	/* With the upstream's memory they are gone for good. */
-	free_entries(&suspects->ghosts);
+	g_hash_table_destroy(candidates.by_fingerprint);
+	/* The upstream's process is gone, and the abandoned calls with it. */
+	free_entries(&suspects->abandoned);
 }
 
 /*
- * Each broken connection of one crash is told, by several workers; those that
- * were in flight at it are marked.  What comes soon after went out on a kept
- * connection that nobody had found broken yet: it is marked too, or it would
- * count as still running for GHOST_US, in an upstream that is gone, and its
- * company would save the culprit from the next crash's blame.
+ * Each broken connection is reported, possibly by several workers; all calls in
+ * flight at the crash are marked as counted. A report that follows soon after
+ * belongs to a call that was sent on a kept connection not yet known to be
+ * broken. That call is marked as well. Otherwise it would count as still
+ * running for ABANDONED_US, in an upstream that is gone, and with it in flight
+ * the culprit would not be found to be alone at the next crash.
  */
 void
 suspects_crashed(struct suspects *suspects, struct loom_quarantine_entry *entry,
     uint64_t now_us)
 {
-	if (entry->blamed)
+	if (entry->crash_counted)
 		return;
-	/* A worker may have read its clock before the one that was first. */
+	/*
+	 * A worker may have read its clock earlier than the first one to
+	 * report.
+	 */
 	if (suspects->crashed &&
-	    now_us < suspects->crashed_us + CRASH_MERGE_US) {
-		entry->blamed = true;
+	    now_us < suspects->crashed_us + CRASH_DEDUP_US) {
+		entry->crash_counted = true;
 		return;
 	}
-	blame(suspects, true, now_us);
+	record_crash(suspects, true, now_us);
 }
 
 /*
- * Whoever cannot connect did not bring the upstream down.  Counting it as
- * another crash made strong suspects, and then quarantined ones, of requests
- * that came while a crashed upstream took its time to restart.
+ * A call that cannot connect did not crash the upstream. When this counted as
+ * another crash, requests that arrived while a crashed upstream was restarting
+ * became strong suspects and were then quarantined.
  *
- * With others in flight, their own broken connections tell.  With none, what
- * was given up on may have done it, which ran since the last crash; or else
- * the upstream comes down by itself, as after a bad rollout, and whoever
- * happens to be alone at its next crash is not to be quarantined for it.
+ * If other calls are in flight, their broken connections will report the crash.
+ * If there are none, abandoned calls that ran since the last crash may have
+ * caused it. Otherwise the upstream crashes spontaneously, as after a faulty
+ * rollout, and a request that happens to be alone at its next crash must not be
+ * quarantined for it.
  */
 void
 suspects_unreachable(struct suspects *suspects,
@@ -361,23 +399,23 @@
 
 	if (in_flight > (entry != NULL ? 1 : 0))
 		return;
-	drop_ghosts(suspects, now_us);
-	if (suspects->ghosts.length != 0)
-		blame(suspects, false, now_us);
+	expire_abandoned(suspects, now_us);
+	if (suspects->abandoned.length != 0)
+		record_crash(suspects, false, now_us);
 	else if (!suspects->down)
-		suspects->spontaneous_until_us = now_us + SPONTANEOUS_US;
+		suspects->spontaneous_until_us = now_us + SPONTANEOUS_CRASH_US;
 	suspects->down = true;
 }
 
 /*
- * The upstream crashed and is back at once.  Another crash now would be taken
- * for a part of that one, or not be noticed: a caller that repeats a culprit
- * without a pause would crash the upstream at each of its restarts, unseen.
- * One that refuses connections while it is down needs no such pause, and
- * would have innocent suspects wait for nothing.
+ * The upstream crashed and is already running again. Another crash now would be
+ * attributed to the first one or not be detected, so a caller that repeats a
+ * culprit without a pause could crash the upstream at each restart without
+ * being detected. An upstream that refuses connections while it is down does
+ * not need this pause, which would only delay innocent suspects.
  */
 void
-suspects_blind(struct suspects *suspects, uint64_t now_us)
+suspects_fast_restart(struct suspects *suspects, uint64_t now_us)
 {
-	suspects->blind_until_us = now_us + CRASH_MERGE_US;
+	suspects->fast_restart_until_us = now_us + CRASH_DEDUP_US;
 }
--- a/src/decide/suspects.h
+++ b/src/decide/suspects.h
@@ -2,40 +2,44 @@
 #define LOOM_DECIDE_SUSPECTS_H
 
 /*
- * Which request crashed the upstream: the decision behind loom/quarantine.h,
- * without lock, clock or messages.
+ * Decides which request crashed the upstream. This is the logic behind
+ * loom/quarantine.h, without its lock, clock and messages.
  */
 
 #include "decide/suspect_records.h"
 
 struct loom_quarantine_entry {
 	struct loom_fingerprint fingerprint;
-	bool suspect; /* let in as the one suspect */
-	bool alone; /* let in with nothing else in flight */
-	bool blamed; /* counted in a crash already */
-	uint8_t strikes; /* that were known when it began */
-	uint64_t ghost_until_us; /* see struct suspects */
+	bool suspect; /* admitted as the only suspect */
+	bool exclusive; /* admitted with nothing else in flight */
+	bool crash_counted; /* counted at a crash already */
+	uint8_t crash_count; /* of its record when the call began */
+	uint64_t abandoned_until_us; /* for calls in suspects.abandoned */
 	GList link;
 };
 
 struct suspects {
 	struct suspect_records records;
 	void *ctx; /* talloc; owns the entries */
-	GQueue in_flight; /* links of entries */
-	/* Calls that were given up on.  The upstream may still be at them, so
-	 * for a while they can be what crashes it. */
-	GQueue ghosts;
+	GQueue in_flight; /* links of struct loom_quarantine_entry */
+	/*
+	 * Calls whose callers gave up. The upstream may still be executing
+	 * them, so for some time they may be what crashes it.
+	 */
+	GQueue abandoned;
 	uint32_t suspects_in_flight;
-	uint32_t alone_in_flight;
-	/* The upstream is being emptied for a strong suspect. */
-	struct loom_fingerprint gate_for;
-	uint64_t gate_until_us;
-	uint64_t gate_next_us; /* no gate before */
-	bool down; /* seen gone, and no whole answer since */
-	bool crashed; /* ever; then crashed_us says when last */
+	uint32_t exclusive_in_flight;
+	/* The strong suspect for which new calls are held back. */
+	struct loom_fingerprint quiesce_for;
+	uint64_t quiesce_until_us;
+	uint64_t next_quiesce_us; /* no earlier start of another such period */
+	bool down; /* found down, and no complete answer since */
+	bool crashed; /* at least once; crashed_us is the last time */
 	uint64_t crashed_us;
-	uint64_t spontaneous_until_us; /* it comes down by itself */
-	uint64_t blind_until_us; /* suspects wait: see suspects_blind() */
+	uint64_t spontaneous_until_us; /* assumed to crash without a call until
+					  then */
+	uint64_t fast_restart_until_us; /* suspects wait; see
+					   suspects_fast_restart() */
 };
 
 void suspects_init(struct suspects *, uint64_t suspect_us,
@@ -46,28 +50,41 @@
     const struct loom_fingerprint *, uint64_t now_us,
     struct loom_quarantine_entry **entry);
 
-/* How long judging by its record alone gives the same verdict; see
- * loom_quarantine_wait_us(). */
+/*
+ * How long the record of the fingerprint alone keeps the verdict the same; see
+ * loom_quarantine_wait_us().
+ */
 uint64_t suspects_wait_us(
     struct suspects *, const struct loom_fingerprint *, uint64_t now_us);
 
-/* True when a record was dropped that others were told of. */
+/*
+ * Returns true if a record was removed that may have been announced to other
+ * hosts.
+ */
 bool suspects_leave(struct suspects *, struct loom_quarantine_entry *,
     enum loom_quarantine_end, uint64_t now_us);
 
-/* The connection of entry broke while it ran, and a new one is refused. */
+/*
+ * The connection of entry broke while it ran, and the upstream was found to
+ * have crashed.
+ */
 void suspects_crashed(
     struct suspects *, struct loom_quarantine_entry *, uint64_t now_us);
 
-/* entry could not connect, and nothing of it was sent; NULL where whoever
- * found the upstream gone is not in flight. */
+/*
+ * entry could not connect, and nothing of it was sent. entry is NULL if the
+ * upstream was found down other than by a call.
+ */
 void suspects_unreachable(
     struct suspects *, const struct loom_quarantine_entry *, uint64_t now_us);
 
-/* It is back already: for a moment no other crash would be told from it. */
-void suspects_blind(struct suspects *, uint64_t now_us);
+/*
+ * The upstream is running again already, so that for a short time another crash
+ * could not be told from the last one.
+ */
+void suspects_fast_restart(struct suspects *, uint64_t now_us);
 
-/* The level now; lowers what has run out. */
+/* Returns the current level of a fingerprint and applies expiry. */
 enum suspect_level suspects_level(
     struct suspects *, const struct loom_fingerprint *, uint64_t now_us);
 
--- a/tests/control/test_quarantine.c
+++ b/tests/control/test_quarantine.c
@@ -1,6 +1,4 @@
-/*
- * The word about crashing requests between the daemons of a service.
- */
+/* Reports about crashing requests between the daemons of a service. */
 
 #include <string.h>
 
@@ -11,40 +9,40 @@
 #define SERVICE 7
 #define NODES 3
 
-struct net;
+struct network;
 
 struct node {
-	struct net *net;
+	struct network *network;
 	struct loom_self self;
 	struct loom_sender sender;
 	struct loom_quarantine *quarantine;
 };
 
-/* Messages arrive at once, or never. */
-struct net {
+/* Messages are delivered immediately or dropped. */
+struct network {
 	struct node nodes[NODES];
 	struct loom_hosts *hosts;
 	uint64_t now_us;
-	bool cut;
+	bool drop_messages;
 	size_t bytes;
 };
 
 static void
-net_send(
+network_send(
     void *arg, uint64_t host_id, uint8_t type, const void *payload, size_t len)
 {
 	struct node *from = arg;
 	struct loom_from sender = { from->self.host_id, 1 };
 
-	from->net->bytes += len;
-	if (!from->net->cut)
+	from->network->bytes += len;
+	if (!from->network->drop_messages)
 		loom_quarantine_part.message(
-		    from->net->nodes[host_id - 1].quarantine, &sender, type,
-		    payload, len, from->net->now_us);
+		    from->network->nodes[host_id - 1].quarantine, &sender, type,
+		    payload, len, from->network->now_us);
 }
 
 static void
-net_init(struct net *net)
+network_init(struct network *network)
 {
 	GArray *list = g_array_new(FALSE, TRUE, sizeof(struct loom_host));
 	struct loom_quarantine_config config = { 0 };
@@ -52,48 +50,48 @@
 	struct node *node;
 	uint64_t i;
 
-	memset(net, 0, sizeof(*net));
-	net->now_us = 100 * LOOM_US_PER_S;
+	memset(network, 0, sizeof(*network));
+	network->now_us = 100 * LOOM_US_PER_S;
 	for (i = 1; i <= NODES; i++) {
 		host.id = i;
 		host.name[0] = (char)('0' + i);
 		g_array_append_val(list, host);
 	}
-	net->hosts = loom_hosts_build(list);
+	network->hosts = loom_hosts_build(list);
 	g_array_free(list, TRUE);
 	for (i = 0; i < NODES; i++) {
-		node = &net->nodes[i];
-		node->net = net;
+		node = &network->nodes[i];
+		node->network = network;
 		node->self.host_id = i + 1;
 		node->self.service_id = SERVICE;
-		node->sender = (struct loom_sender){ net_send, node };
+		node->sender = (struct loom_sender){ network_send, node };
 		config.self = &node->self;
 		config.sender = &node->sender;
 		node->quarantine = loom_quarantine_new(&config);
 		loom_quarantine_part.hosts_changed(
-		    node->quarantine, net->hosts, net->now_us);
+		    node->quarantine, network->hosts, network->now_us);
 	}
 }
 
 static void
-net_clear(struct net *net)
+network_clear(struct network *network)
 {
 	size_t i;
 
 	for (i = 0; i < NODES; i++)
-		loom_quarantine_free(net->nodes[i].quarantine);
-	loom_hosts_release(net->hosts);
+		loom_quarantine_free(network->nodes[i].quarantine);
+	loom_hosts_release(network->hosts);
 }
 
 static void
-net_pass(struct net *net, uint64_t us)
+network_advance(struct network *network, uint64_t us)
 {
 	size_t i;
 
-	net->now_us += us;
+	network->now_us += us;
 	for (i = 0; i < NODES; i++)
 		loom_quarantine_part.tick(
-		    net->nodes[i].quarantine, net->now_us);
+		    network->nodes[i].quarantine, network->now_us);
 }
 
 static enum loom_quarantine_verdict
@@ -101,7 +99,7 @@
     struct loom_quarantine_entry **entry)
 {
 	return loom_quarantine_enter(
-	    node->quarantine, fingerprint, node->net->now_us, entry);
+	    node->quarantine, fingerprint, node->network->now_us, entry);
 }
 
 static void
@@ -111,144 +109,151 @@
 
 	CU_ASSERT_EQUAL_FATAL(
 	    enter(node, fingerprint, &entry), LOOM_QUARANTINE_PASS);
-	loom_quarantine_crashed(node->quarantine, entry, node->net->now_us);
-	loom_quarantine_leave(
-	    node->quarantine, entry, LOOM_QUARANTINE_BROKEN, node->net->now_us);
+	loom_quarantine_crashed(node->quarantine, entry, node->network->now_us);
+	loom_quarantine_leave(node->quarantine, entry, LOOM_QUARANTINE_BROKEN,
+	    node->network->now_us);
 }
 
 /*
- * A request crashes one host, then another, where its caller sends it again.
- * The third host refuses it for good, without a crash of its own, also when
- * the first word of it was lost; after half an hour it may be tried again.
+ * A request crashes one host, then another to which its caller sends it again.
+ * The third host refuses it without a crash of its own, even if the first
+ * report was lost. After half an hour the request may be tried again.
  */
 static void
-test_word_spreads(void)
+test_reports_reach_peers(void)
 {
 	struct loom_fingerprint fingerprint;
 	struct loom_quarantine_entry *entry;
-	struct net net;
+	struct network network;
 
-	net_init(&net);
+	network_init(&network);
 	loom_fingerprint(&fingerprint, 1, 2, "/order", 5, "hello", 5);
-	run_and_crash(&net.nodes[0], &fingerprint);
-	net_pass(&net, LOOM_US_PER_S);
-	CU_ASSERT_EQUAL(
-	    enter(&net.nodes[1], &fingerprint, &entry), LOOM_QUARANTINE_LATER);
-	net_pass(&net, 10 * LOOM_US_PER_S);
-	net.cut = true;
-	run_and_crash(&net.nodes[1], &fingerprint);
-	net_pass(&net, LOOM_US_PER_S);
-	net.cut = false;
-	net_pass(&net, 10 * LOOM_US_PER_S);
-	CU_ASSERT_EQUAL_FATAL(
-	    enter(&net.nodes[2], &fingerprint, &entry), LOOM_QUARANTINE_REFUSE);
+	run_and_crash(&network.nodes[0], &fingerprint);
+	network_advance(&network, LOOM_US_PER_S);
+	CU_ASSERT_EQUAL(enter(&network.nodes[1], &fingerprint, &entry),
+	    LOOM_QUARANTINE_LATER);
+	network_advance(&network, 10 * LOOM_US_PER_S);
+	network.drop_messages = true;
+	run_and_crash(&network.nodes[1], &fingerprint);
+	network_advance(&network, LOOM_US_PER_S);
+	network.drop_messages = false;
+	network_advance(&network, 10 * LOOM_US_PER_S);
+	CU_ASSERT_EQUAL_FATAL(enter(&network.nodes[2], &fingerprint, &entry),
+	    LOOM_QUARANTINE_REFUSE);
 	CU_ASSERT_PTR_NULL(entry);
 	CU_ASSERT_EQUAL(
-	    loom_quarantine_count(net.nodes[2].quarantine, net.now_us), 1);
-	net_pass(&net, 1900 * LOOM_US_PER_S);
+	    loom_quarantine_count(network.nodes[2].quarantine, network.now_us),
+	    1);
+	network_advance(&network, 1900 * LOOM_US_PER_S);
 	CU_ASSERT_EQUAL(
-	    loom_quarantine_count(net.nodes[2].quarantine, net.now_us), 0);
-	CU_ASSERT_EQUAL_FATAL(
-	    enter(&net.nodes[2], &fingerprint, &entry), LOOM_QUARANTINE_PASS);
-	loom_quarantine_leave(net.nodes[2].quarantine, entry,
-	    LOOM_QUARANTINE_ANSWERED, net.now_us);
-	net_clear(&net);
+	    loom_quarantine_count(network.nodes[2].quarantine, network.now_us),
+	    0);
+	CU_ASSERT_EQUAL_FATAL(enter(&network.nodes[2], &fingerprint, &entry),
+	    LOOM_QUARANTINE_PASS);
+	loom_quarantine_leave(network.nodes[2].quarantine, entry,
+	    LOOM_QUARANTINE_ANSWERED, network.now_us);
+	network_clear(&network);
 }
 
 /*
- * A refused caller is told when to come back: a moment before, it meets the
- * same refusal, at every host; at the end it runs.
+ * A refused caller is told when to retry. Immediately before that time, it is
+ * refused at every host in the same way; at that time its request runs.
  */
 static void
-test_end_is_known(void)
+test_wait_time(void)
 {
 	struct loom_fingerprint fingerprint;
 	struct loom_quarantine_entry *entry;
-	struct net net;
+	struct network network;
 	uint64_t wait_us;
 
-	net_init(&net);
+	network_init(&network);
 	loom_fingerprint(&fingerprint, 1, 2, "/order", 5, "hello", 5);
-	run_and_crash(&net.nodes[0], &fingerprint);
-	net_pass(&net, LOOM_US_PER_S);
+	run_and_crash(&network.nodes[0], &fingerprint);
+	network_advance(&network, LOOM_US_PER_S);
 	wait_us = loom_quarantine_wait_us(
-	    net.nodes[1].quarantine, &fingerprint, net.now_us);
+	    network.nodes[1].quarantine, &fingerprint, network.now_us);
 	CU_ASSERT(wait_us > 0);
-	net_pass(&net, wait_us - 1);
-	CU_ASSERT_EQUAL(
-	    enter(&net.nodes[1], &fingerprint, &entry), LOOM_QUARANTINE_LATER);
-	net_pass(&net, 1);
-	run_and_crash(&net.nodes[1], &fingerprint);
-	net_pass(&net, LOOM_US_PER_S);
+	network_advance(&network, wait_us - 1);
+	CU_ASSERT_EQUAL(enter(&network.nodes[1], &fingerprint, &entry),
+	    LOOM_QUARANTINE_LATER);
+	network_advance(&network, 1);
+	run_and_crash(&network.nodes[1], &fingerprint);
+	network_advance(&network, LOOM_US_PER_S);
 	wait_us = loom_quarantine_wait_us(
-	    net.nodes[2].quarantine, &fingerprint, net.now_us);
+	    network.nodes[2].quarantine, &fingerprint, network.now_us);
 	CU_ASSERT(wait_us > 0);
-	net_pass(&net, wait_us - 1);
-	CU_ASSERT_EQUAL(
-	    enter(&net.nodes[2], &fingerprint, &entry), LOOM_QUARANTINE_REFUSE);
-	net_pass(&net, 1);
-	CU_ASSERT_EQUAL_FATAL(
-	    enter(&net.nodes[2], &fingerprint, &entry), LOOM_QUARANTINE_PASS);
-	CU_ASSERT_EQUAL(loom_quarantine_wait_us(
-			    net.nodes[2].quarantine, &fingerprint, net.now_us),
+	network_advance(&network, wait_us - 1);
+	CU_ASSERT_EQUAL(enter(&network.nodes[2], &fingerprint, &entry),
+	    LOOM_QUARANTINE_REFUSE);
+	network_advance(&network, 1);
+	CU_ASSERT_EQUAL_FATAL(enter(&network.nodes[2], &fingerprint, &entry),
+	    LOOM_QUARANTINE_PASS);
+	CU_ASSERT_EQUAL(loom_quarantine_wait_us(network.nodes[2].quarantine,
+			    &fingerprint, network.now_us),
 	    0);
-	loom_quarantine_leave(net.nodes[2].quarantine, entry,
-	    LOOM_QUARANTINE_ANSWERED, net.now_us);
-	net_clear(&net);
+	loom_quarantine_leave(network.nodes[2].quarantine, entry,
+	    LOOM_QUARANTINE_ANSWERED, network.now_us);
+	network_clear(&network);
 }
 
-/* One whole answer anywhere clears a suspect everywhere, or each host would
- * make innocent requests wait. */
+/*
+ * A complete answer at one host clears a suspect at all hosts; otherwise
+ * innocent requests would have to wait at each host.
+ */
 static void
-test_clearing_spreads(void)
+test_clearing_reaches_peers(void)
 {
 	struct loom_fingerprint fingerprint;
 	struct loom_quarantine_entry *entry, *other;
-	struct net net;
+	struct network network;
 
-	net_init(&net);
+	network_init(&network);
 	loom_fingerprint(&fingerprint, 1, 2, "/order", 5, "hello", 5);
-	run_and_crash(&net.nodes[0], &fingerprint);
-	net_pass(&net, LOOM_US_PER_S);
-	net_pass(&net, 10 * LOOM_US_PER_S);
-	CU_ASSERT_EQUAL_FATAL(
-	    enter(&net.nodes[1], &fingerprint, &entry), LOOM_QUARANTINE_PASS);
+	run_and_crash(&network.nodes[0], &fingerprint);
+	network_advance(&network, LOOM_US_PER_S);
+	network_advance(&network, 10 * LOOM_US_PER_S);
+	CU_ASSERT_EQUAL_FATAL(enter(&network.nodes[1], &fingerprint, &entry),
+	    LOOM_QUARANTINE_PASS);
+	CU_ASSERT_EQUAL(enter(&network.nodes[1], &fingerprint, &other),
+	    LOOM_QUARANTINE_HOLD);
+	loom_quarantine_leave(network.nodes[1].quarantine, entry,
+	    LOOM_QUARANTINE_ANSWERED, network.now_us);
+	network_advance(&network, LOOM_US_PER_S);
+	run_and_crash(&network.nodes[2], &fingerprint);
 	CU_ASSERT_EQUAL(
-	    enter(&net.nodes[1], &fingerprint, &other), LOOM_QUARANTINE_HOLD);
-	loom_quarantine_leave(net.nodes[1].quarantine, entry,
-	    LOOM_QUARANTINE_ANSWERED, net.now_us);
-	net_pass(&net, LOOM_US_PER_S);
-	run_and_crash(&net.nodes[2], &fingerprint);
-	CU_ASSERT_EQUAL(
-	    loom_quarantine_count(net.nodes[2].quarantine, net.now_us), 0);
-	net_clear(&net);
+	    loom_quarantine_count(network.nodes[2].quarantine, network.now_us),
+	    0);
+	network_clear(&network);
 }
 
-/* A crash with a full upstream keeps the word about it small. */
+/* After a crash with many calls in flight, the reports must stay small. */
 static void
-test_bytes(void)
+test_report_size(void)
 {
 	struct loom_quarantine_entry *entries[200];
 	struct loom_fingerprint fingerprint;
-	struct net net;
+	struct network network;
 	unsigned i;
 
-	net_init(&net);
+	network_init(&network);
 	for (i = 0; i < 200; i++) {
 		loom_fingerprint(&fingerprint, i, 2, "/order", 0, NULL, 0);
-		enter(&net.nodes[0], &fingerprint, &entries[i]);
+		enter(&network.nodes[0], &fingerprint, &entries[i]);
 	}
 	loom_quarantine_crashed(
-	    net.nodes[0].quarantine, entries[0], net.now_us);
+	    network.nodes[0].quarantine, entries[0], network.now_us);
 	for (i = 0; i < 200; i++)
-		loom_quarantine_leave(net.nodes[0].quarantine, entries[i],
-		    LOOM_QUARANTINE_BROKEN, net.now_us);
+		loom_quarantine_leave(network.nodes[0].quarantine, entries[i],
+		    LOOM_QUARANTINE_BROKEN, network.now_us);
 	for (i = 0; i < 50 * 60; i++)
-		net_pass(&net, 20 * LOOM_US_PER_MS);
-	/* To each of two peers, in a minute, of the 3 KB a second. */
-	TEST_CHECK(net.bytes / 2 < 60 * 1024, "%zu bytes", net.bytes / 2);
-	TEST_CHECK(net.bytes / 2 > 200 * 18, "%zu bytes", net.bytes / 2);
-	net_clear(&net);
+		network_advance(&network, 20 * LOOM_US_PER_MS);
+	/* Bytes to each of two peers in a minute, of the 3 KB per second. */
+	TEST_CHECK(
+	    network.bytes / 2 < 60 * 1024, "%zu bytes", network.bytes / 2);
+	TEST_CHECK(
+	    network.bytes / 2 > 200 * 18, "%zu bytes", network.bytes / 2);
+	network_clear(&network);
 }
 
 /* What distinguishes two requests, and what does not. */
@@ -276,31 +281,33 @@
 	CU_ASSERT_EQUAL(memcmp(&base, &same, sizeof(base)), 0);
 }
 
-/* Seeded random changes of a message: never read past, never a level that
- * does not exist. */
+/*
+ * Random changes of a message, from a fixed seed: the decoder must not read
+ * past the end or return an unknown level.
+ */
 static void
 test_mutated(void)
 {
-	struct quarantine_told told[QUARANTINE_RECORDS_MAX] = {
+	struct quarantine_told records[QUARANTINE_RECORDS_MAX] = {
 		{ .level = SUSPECT_WEAK, .remaining_us = 5 },
 		{ .level = SUSPECT_QUARANTINED, .remaining_us = 1 << 30 },
 	};
 	struct loom_random random = test_random_new(2);
 	uint8_t message[QUARANTINE_MESSAGE_MAX], *copy;
 	uint32_t i, j, n;
-	size_t len, cut;
+	size_t len, short_len;
 
-	len = quarantine_records_pack(told, 2, message);
-	CU_ASSERT_EQUAL(quarantine_records_unpack(message, len, told), 2);
+	len = quarantine_records_pack(records, 2, message);
+	CU_ASSERT_EQUAL(quarantine_records_unpack(message, len, records), 2);
 	for (i = 0; i < 20000; i++) {
-		cut = len - loom_random_below(&random, 3);
-		copy = g_memdup2(message, cut);
-		copy[loom_random_below(&random, cut)] =
+		short_len = len - loom_random_below(&random, 3);
+		copy = g_memdup2(message, short_len);
+		copy[loom_random_below(&random, short_len)] =
 		    (uint8_t)random.next(random.arg);
-		n = quarantine_records_unpack(copy, cut, told);
+		n = quarantine_records_unpack(copy, short_len, records);
 		for (j = 0; j < n; j++)
-			TEST_CHECK(told[j].level > SUSPECT_NONE &&
-				told[j].level <= SUSPECT_QUARANTINED,
+			TEST_CHECK(records[j].level > SUSPECT_NONE &&
+				records[j].level <= SUSPECT_QUARANTINED,
 			    "%u", i);
 		g_free(copy);
 	}
@@ -308,10 +315,10 @@
 }
 
 static const struct test_case tests[] = {
-	{ "word spreads", test_word_spreads },
-	{ "the end is known", test_end_is_known },
-	{ "clearing spreads", test_clearing_spreads },
-	{ "bytes", test_bytes },
+	{ "reports reach peers", test_reports_reach_peers },
+	{ "wait time", test_wait_time },
+	{ "clearing reaches peers", test_clearing_reaches_peers },
+	{ "report size", test_report_size },
 	{ "fingerprint", test_fingerprint },
 	{ "mutated messages", test_mutated },
 };
--- a/tests/decide/test_gone.c
+++ b/tests/decide/test_gone.c
@@ -88,7 +88,7 @@
 }
 
 static const struct test_case tests[] = {
-	{ "crash detected", test_crash_detected },
+	{ "gone", test_crash_detected },
 	{ "witness spacing", test_witness_spacing },
 };
 
--- a/tests/decide/test_suspects.c
+++ b/tests/decide/test_suspects.c
@@ -1,6 +1,6 @@
 /*
- * Who is blamed for a crash: scripts of what one upstream has in flight, and
- * a fleet under load with requests that crash it.
+ * Blame for crashes: scripted calls at one upstream, and simulated load on
+ * several hosts with requests that crash their upstreams.
  */
 
 #include <limits.h>
@@ -17,24 +17,35 @@
 #define QUARANTINE_US (1800 * SECOND)
 
 static struct loom_fingerprint
-print_of(unsigned n)
+fingerprint_of(unsigned n)
 {
 	struct loom_fingerprint fingerprint = { { 0 } };
 
-	n++; /* all zeros are nobody's fingerprint */
+	n++; /* all zeros stand for no fingerprint */
 	memcpy(fingerprint.bytes, &n, sizeof(n));
 	return fingerprint;
 }
 
 /*
- * A script is a run of steps: a lower-case letter enters, its capital gets a
- * whole answer, "-x" is given up on, "=x" could not connect, "!" is a crash
- * (all in flight break; with none the upstream is found gone), "?x" the word
- * of x alone, "@x" a peer's word of a strong x with two strikes, "%" says that
- * the upstream is back already, "~" sets the clock back a millisecond, "." lets
- * half a second pass, "+" a minute, "<" 31 minutes, ">" an hour.  The verdict
- * on the last letter's entry, and the levels of a, b and c at the end, are
- * checked.
+ * Each character of a script is one step:
+ *
+ * a        the call enters
+ * A        it gets a complete answer
+ * -a       its caller gives up
+ * =a       it could not connect
+ * !        the upstream crashes and all calls in flight break; if there
+ *          are none, the upstream is found down
+ * ?a       a reports a crash, alone
+ * @a       a peer reports a as a strong suspect with two crashes
+ * %        the upstream is running again already
+ * ~        the clock goes back by 1 ms
+ * .        500 ms pass
+ * +        a minute passes
+ * <        31 minutes pass
+ * >        an hour passes
+ *
+ * A test case checks the verdict for the last call that entered and the levels
+ * of a, b and c at the end.
  */
 struct script_state {
 	struct suspects suspects;
@@ -81,7 +92,7 @@
 }
 
 static void
-play(struct script_state *state, const char *script)
+run_script(struct script_state *state, const char *script)
 {
 	struct loom_fingerprint fingerprint;
 	int i;
@@ -93,14 +104,15 @@
 			suspects_crashed(&state->suspects,
 			    state->entries[*++script - 'a'], state->now_us);
 		} else if (*script == '@') {
-			fingerprint = print_of((unsigned)(*++script - 'a'));
-			suspect_records_told(&state->suspects.records,
+			fingerprint =
+			    fingerprint_of((unsigned)(*++script - 'a'));
+			suspect_records_merge(&state->suspects.records,
 			    &fingerprint, SUSPECT_STRONG, 2, SUSPECT_US,
 			    state->now_us);
 		} else if (*script == '=') {
 			cannot_connect(state, *++script - 'a');
 		} else if (*script == '%') {
-			suspects_blind(&state->suspects, state->now_us);
+			suspects_fast_restart(&state->suspects, state->now_us);
 		} else if (*script == '~') {
 			state->now_us -= LOOM_US_PER_MS;
 		} else if (*script == '.') {
@@ -115,7 +127,7 @@
 			leave(state, *++script - 'a', LOOM_QUARANTINE_BROKEN);
 		} else if (g_ascii_islower(*script)) {
 			i = *script - 'a';
-			fingerprint = print_of((unsigned)i);
+			fingerprint = fingerprint_of((unsigned)i);
 			state->last = suspects_enter(&state->suspects,
 			    &fingerprint, state->now_us, &state->entries[i]);
 		} else {
@@ -125,96 +137,103 @@
 }
 
 /*
- * A request crashes its upstream and its caller sends it again.  Those that
- * were in flight beside it must be served, and it must stop coming.
+ * A request crashes its upstream and its caller sends it again. The requests
+ * that were in flight with it must be served, and it must stop being run.
  */
 static void
-test_scripts(void)
+test_blame(void)
 {
 	static const struct {
 		const char *name;
 		const char *script;
 		enum loom_quarantine_verdict last;
-		const char *levels; /* of a, b, c: "-", weak, strong, quar. */
+		const char *levels; /* of a, b, c: - none, w weak, s strong, q
+				       quarantined */
 	} cases[] = {
-		{ "nothing happened", "abcABC", LOOM_QUARANTINE_PASS, "---" },
-		{ "all in flight are suspects", "ab!", LOOM_QUARANTINE_PASS,
-		    "ww-" },
+		{ "no crash", "abcABC", LOOM_QUARANTINE_PASS, "---" },
+		{ "all calls in flight become suspects", "ab!",
+		    LOOM_QUARANTINE_PASS, "ww-" },
 		{ "answered before the crash", "abA!", LOOM_QUARANTINE_PASS,
 		    "-s-" },
 		{ "suspects run one at a time", "ab!ab", LOOM_QUARANTINE_HOLD,
 		    "ww-" },
-		{ "and after each other", "ab!aAb", LOOM_QUARANTINE_PASS,
-		    "-w-" },
-		{ "clean ones run beside", "ab!acb", LOOM_QUARANTINE_HOLD,
-		    "ww-" },
-		{ "an answer clears", "ab!aAbB", LOOM_QUARANTINE_PASS, "---" },
-		{ "in flight at the second", "ab!bBac!", LOOM_QUARANTINE_PASS,
-		    "s-w" },
-		{ "strong stays out for a while", "ab!bBac!cCa",
+		{ "the next suspect runs after an answer", "ab!aAb",
+		    LOOM_QUARANTINE_PASS, "-w-" },
+		{ "requests without suspicion run concurrently", "ab!acb",
+		    LOOM_QUARANTINE_HOLD, "ww-" },
+		{ "an answer clears a suspect", "ab!aAbB", LOOM_QUARANTINE_PASS,
+		    "---" },
+		{ "in flight at a second crash", "ab!bBac!",
+		    LOOM_QUARANTINE_PASS, "s-w" },
+		{ "a strong suspect has to wait", "ab!bBac!cCa",
 		    LOOM_QUARANTINE_LATER, "s--" },
-		{ "the upstream is emptied for a strong one", "ab!bBac!+cCba",
-		    LOOM_QUARANTINE_HOLD, "s--" },
-		{ "which holds others back", "ab!bBac!+cCbac",
+		{ "the upstream is quiesced for a strong suspect",
+		    "ab!bBac!+cCba", LOOM_QUARANTINE_HOLD, "s--" },
+		{ "quiescing holds other calls back", "ab!bBac!+cCbac",
 		    LOOM_QUARANTINE_HOLD, "s--" },
-		{ "and not for long", "ab!bBac!+cCba.c", LOOM_QUARANTINE_PASS,
-		    "s--" },
-		{ "not emptied in time: in company", "ab!bBac!+cCba.a",
+		{ "quiescing ends after half a second", "ab!bBac!+cCba.c",
 		    LOOM_QUARANTINE_PASS, "s--" },
-		{ "and cleared", "ab!bBac!+cCba.aA", LOOM_QUARANTINE_PASS,
-		    "---" },
-		{ "or out for longer", "ab!bBac!+cCba.a!b",
-		    LOOM_QUARANTINE_PASS, "sw-" },
-		{ "the upstream comes down by itself", "!!a!+a!",
+		{ "not quiesced in time, runs with other calls",
+		    "ab!bBac!+cCba.a", LOOM_QUARANTINE_PASS, "s--" },
+		{ "runs with other calls and is cleared", "ab!bBac!+cCba.aA",
+		    LOOM_QUARANTINE_PASS, "---" },
+		{ "runs with other calls, crashes and waits longer",
+		    "ab!bBac!+cCba.a!b", LOOM_QUARANTINE_PASS, "sw-" },
+		{ "the upstream crashes spontaneously", "!!a!+a!",
 		    LOOM_QUARANTINE_PASS, "q--" },
-		{ "again and again", "!a!.!a!", LOOM_QUARANTINE_PASS, "s--" },
-		{ "nobody joins a strong one", "ab!bBac!+cCab",
+		{ "the upstream crashes spontaneously again", "!a!.!a!",
+		    LOOM_QUARANTINE_PASS, "s--" },
+		{ "no call joins a strong suspect", "ab!bBac!+cCab",
 		    LOOM_QUARANTINE_HOLD, "s--" },
 		{ "third crash, alone", "ab!bBac!+cCa!a",
 		    LOOM_QUARANTINE_REFUSE, "q--" },
 		{ "second crash, alone", "ab!a!a", LOOM_QUARANTINE_REFUSE,
 		    "qw-" },
-		{ "alone at its first, as in a restart by hand", "a!+a",
+		{ "alone at its first crash, as in a manual restart", "a!+a",
 		    LOOM_QUARANTINE_PASS, "s--" },
-		{ "strong and answered", "a!+aA", LOOM_QUARANTINE_PASS, "---" },
-		{ "two workers tell one crash", "ab?a!", LOOM_QUARANTINE_PASS,
+		{ "an answer clears a strong suspect", "a!+aA",
+		    LOOM_QUARANTINE_PASS, "---" },
+		{ "two workers report one crash", "ab?a!", LOOM_QUARANTINE_PASS,
 		    "ww-" },
-		{ "told again when b has begun", "a?ab!", LOOM_QUARANTINE_PASS,
-		    "s--" },
-		{ "told by a worker whose clock was read before", "a?a~b!",
+		{ "reported again after b has begun", "a?ab!",
+		    LOOM_QUARANTINE_PASS, "s--" },
+		{ "reported by a worker that read its clock earlier", "a?a~b!",
 		    LOOM_QUARANTINE_PASS, "s--" },
 		{ "two culprits: a's second run meets a new b", "ac!abC!",
 		    LOOM_QUARANTINE_PASS, "sww" },
-		{ "the one given up on may be it", "ac!a-ac!",
+		{ "an abandoned call may be the culprit", "ac!a-ac!",
 		    LOOM_QUARANTINE_PASS, "s-s" },
-		{ "alone but for what was given up on", "a!+c-ca!",
+		{ "alone except for an abandoned call", "a!+c-ca!",
 		    LOOM_QUARANTINE_PASS, "s-w" },
-		{ "given up on long before", "a!c-c+a!", LOOM_QUARANTINE_PASS,
+		{ "abandoned long before", "a!c-c+a!", LOOM_QUARANTINE_PASS,
 		    "q--" },
-		{ "down for long: who cannot connect did not do it",
+		{ "down for long, calls that cannot connect are not blamed",
 		    "ab!c=c+c=c+c=c+c", LOOM_QUARANTINE_PASS, "ww-" },
-		{ "nor does that add to a suspect's strikes",
+		{ "failed connections do not raise a suspect's level",
 		    "ab!a=a+a=a+a=a+a", LOOM_QUARANTINE_PASS, "ww-" },
-		{ "nor is it the upstream coming down by itself",
+		{ "failed connections are not a spontaneous crash",
 		    "ab!c=c+aA.a!+a!a", LOOM_QUARANTINE_REFUSE, "qw-" },
-		{ "cannot connect, first to see a crash of others", "abc=ca!",
-		    LOOM_QUARANTINE_PASS, "ww-" },
-		{ "on a kept connection, after the crash: no ghost",
+		{ "cannot connect, first to detect a crash of others",
+		    "abc=ca!", LOOM_QUARANTINE_PASS, "ww-" },
+		{ "broken kept connection after the crash is not an abandoned call",
 		    "a?a-ab?b-b...........a!a", LOOM_QUARANTINE_REFUSE, "q--" },
-		{ "found gone, and what was given up on may have done it",
-		    "a-ab=b", LOOM_QUARANTINE_PASS, "s--" },
-		{ "the wait is not doubled by a run begun before the word",
+		{ "found down, an abandoned call may be the culprit", "a-ab=b",
+		    LOOM_QUARANTINE_PASS, "s--" },
+		{ "a run begun before the report does not double the wait",
 		    "ab!bBac@a!...................a", LOOM_QUARANTINE_PASS,
 		    "s-w" },
-		{ "back at once: suspects wait", "ab!%a", LOOM_QUARANTINE_HOLD,
+		{ "fast restart, suspects wait", "ab!%a", LOOM_QUARANTINE_HOLD,
 		    "ww-" },
-		{ "and no longer than a crash counts as one", "ab!%.a",
+		{ "fast restart, suspects wait for half a second", "ab!%.a",
 		    LOOM_QUARANTINE_PASS, "ww-" },
-		{ "clean ones do not", "ab!%c", LOOM_QUARANTINE_PASS, "ww-" },
-		{ "suspicion ends", "ab!>ab", LOOM_QUARANTINE_PASS, "---" },
-		{ "quarantine ends as strong", "a!+a!<a", LOOM_QUARANTINE_PASS,
-		    "s--" },
-		{ "and that ends too", "a!+a!>a", LOOM_QUARANTINE_PASS, "---" },
+		{ "fast restart, other requests do not wait", "ab!%c",
+		    LOOM_QUARANTINE_PASS, "ww-" },
+		{ "a suspicion expires", "ab!>ab", LOOM_QUARANTINE_PASS,
+		    "---" },
+		{ "an expired quarantine leaves a strong suspect", "a!+a!<a",
+		    LOOM_QUARANTINE_PASS, "s--" },
+		{ "that suspicion expires too", "a!+a!>a", LOOM_QUARANTINE_PASS,
+		    "---" },
 	};
 	static const char letters[] = "-wsq";
 	struct script_state state;
@@ -227,11 +246,11 @@
 		memset(&state, 0, sizeof(state));
 		state.now_us = SECOND;
 		suspects_init(&state.suspects, SUSPECT_US, QUARANTINE_US, 64);
-		play(&state, cases[i].script);
+		run_script(&state, cases[i].script);
 		TEST_CHECK(state.last == cases[i].last, "%s: %d", cases[i].name,
 		    state.last);
 		for (n = 0; n < 3; n++) {
-			fingerprint = print_of(n);
+			fingerprint = fingerprint_of(n);
 			level = suspects_level(
 			    &state.suspects, &fingerprint, state.now_us);
 			TEST_CHECK(letters[level] == cases[i].levels[n],
@@ -246,167 +265,171 @@
 
 #define HOSTS 4
 #define SLOTS 12
-#define POISONS 2
+#define CULPRITS 2
 #define INNOCENTS 40
-#define PRINTS (POISONS + INNOCENTS)
-#define PLAY_US (180 * SECOND)
-/* What is served is counted in the last minute: about 240 times for each
- * innocent request, 9600 in all, were there no culprits. */
+#define FINGERPRINTS (CULPRITS + INNOCENTS)
+#define SIM_US (180 * SECOND)
+/*
+ * Served calls are counted in the last minute. Without culprits these would be
+ * about 240 for each innocent request, 9600 in total.
+ */
 #define SERVED_FROM_US (120 * SECOND)
 #define SERVED_MIN 20
 #define SERVED_TOTAL_MIN 5760
 
-/* A call in an upstream; it stays there when its caller gives up. */
+/* A call executed by an upstream. It continues if its caller gives up. */
 struct call {
 	struct loom_quarantine_entry *entry;
-	unsigned print; /* below POISONS: crashes its upstream at its end */
+	unsigned fingerprint_index; /* below CULPRITS: crashes its upstream when
+				       it ends */
 	uint64_t ends_us;
 	uint64_t given_up_us;
 };
 
-/* Word between hosts that has not arrived. */
-struct word {
+/* A report between hosts that has not arrived yet. */
+struct report {
 	uint64_t due_us;
 	unsigned to;
-	unsigned print;
+	unsigned fingerprint_index;
 	enum suspect_level level; /* SUSPECT_NONE: cleared */
-	uint8_t strikes;
+	uint8_t crash_count;
 	uint64_t remaining_us;
 };
 
-/* A call that was told to wait. */
-struct held {
-	unsigned print;
-	uint64_t until_us;
+/* A call with the verdict LOOM_QUARANTINE_HOLD. */
+struct waiting_call {
+	unsigned fingerprint_index;
+	uint64_t expires_us;
 };
 
 struct host {
 	struct suspects suspects;
-	GArray *held;
+	GArray *waiting_calls;
 	struct call calls[SLOTS];
 	unsigned ncalls;
 };
 
-struct play {
+struct sim {
 	struct host hosts[HOSTS];
 	struct loom_random random;
-	GArray *words;
+	GArray *reports;
 	uint64_t now_us;
-	uint64_t word_us; /* delay at most */
+	uint64_t report_delay_us; /* maximum delay */
 	double loss;
-	unsigned crashes[POISONS];
-	unsigned served[PRINTS];
-	unsigned quarantined; /* innocent ones: must stay 0 */
+	unsigned crashes[CULPRITS];
+	unsigned served[FINGERPRINTS];
+	unsigned quarantined; /* innocent requests; must stay 0 */
 };
 
 static void
-tell(struct play *play, unsigned from, unsigned print,
+send_reports(struct sim *sim, unsigned from, unsigned fingerprint_index,
     const struct suspect_record *record)
 {
-	struct word word = { .print = print };
+	struct report report = { .fingerprint_index = fingerprint_index };
 
 	if (record != NULL) {
-		word.level = record->level;
-		word.strikes = record->strikes;
-		word.remaining_us = record->until_us - play->now_us;
+		report.level = record->level;
+		report.crash_count = record->crash_count;
+		report.remaining_us = record->expires_us - sim->now_us;
 	}
 
-	for (word.to = 0; word.to < HOSTS; word.to++) {
-		if (word.to == from ||
-		    loom_random_unit(&play->random) < play->loss)
+	for (report.to = 0; report.to < HOSTS; report.to++) {
+		if (report.to == from ||
+		    loom_random_unit(&sim->random) < sim->loss)
 			continue;
-		word.due_us = play->now_us +
-		    loom_random_below(&play->random, play->word_us + 1);
-		g_array_append_val(play->words, word);
+		report.due_us = sim->now_us +
+		    loom_random_below(&sim->random, sim->report_delay_us + 1);
+		g_array_append_val(sim->reports, report);
 	}
 }
 
 static void
-hear(struct play *play)
+deliver_reports(struct sim *sim)
 {
 	struct loom_fingerprint fingerprint;
-	struct word word;
+	struct report report;
 	guint i = 0;
 
-	while (i < play->words->len) {
-		word = g_array_index(play->words, struct word, i);
-		if (word.due_us > play->now_us) {
+	while (i < sim->reports->len) {
+		report = g_array_index(sim->reports, struct report, i);
+		if (report.due_us > sim->now_us) {
 			i++;
 			continue;
 		}
-		g_array_remove_index_fast(play->words, i);
-		fingerprint = print_of(word.print);
-		if (word.level == SUSPECT_NONE)
-			suspect_records_answered(
-			    &play->hosts[word.to].suspects.records,
+		g_array_remove_index_fast(sim->reports, i);
+		fingerprint = fingerprint_of(report.fingerprint_index);
+		if (report.level == SUSPECT_NONE)
+			suspect_records_remove(
+			    &sim->hosts[report.to].suspects.records,
 			    &fingerprint);
 		else
-			suspect_records_told(
-			    &play->hosts[word.to].suspects.records,
-			    &fingerprint, word.level, word.strikes,
-			    word.remaining_us, play->now_us);
+			suspect_records_merge(
+			    &sim->hosts[report.to].suspects.records,
+			    &fingerprint, report.level, report.crash_count,
+			    report.remaining_us, sim->now_us);
 	}
 }
 
-/* True when the call has to wait. */
+/* Returns true if the call has to wait. */
 static bool
-arrive(struct play *play, unsigned h, unsigned print)
+arrive(struct sim *sim, unsigned h, unsigned fingerprint_index)
 {
-	struct loom_fingerprint fingerprint = print_of(print);
-	struct host *host = &play->hosts[h];
-	struct call call = { .print = print };
+	struct loom_fingerprint fingerprint = fingerprint_of(fingerprint_index);
+	struct host *host = &sim->hosts[h];
+	struct call call = { .fingerprint_index = fingerprint_index };
 	enum loom_quarantine_verdict verdict;
 	uint64_t length_us;
 
 	if (host->ncalls == SLOTS)
 		return false;
 	verdict = suspects_enter(
-	    &host->suspects, &fingerprint, play->now_us, &call.entry);
-	play->quarantined +=
-	    verdict == LOOM_QUARANTINE_REFUSE && print >= POISONS;
+	    &host->suspects, &fingerprint, sim->now_us, &call.entry);
+	sim->quarantined +=
+	    verdict == LOOM_QUARANTINE_REFUSE && fingerprint_index >= CULPRITS;
 	if (verdict != LOOM_QUARANTINE_PASS)
 		return verdict == LOOM_QUARANTINE_HOLD;
-	length_us = loom_random_below(&play->random, SECOND / 5) + STEP_US;
-	if (loom_random_unit(&play->random) < 0.02)
+	length_us = loom_random_below(&sim->random, SECOND / 5) + STEP_US;
+	if (loom_random_unit(&sim->random) < 0.02)
 		length_us *= 20;
-	call.ends_us = play->now_us + length_us;
+	call.ends_us = sim->now_us + length_us;
 	call.given_up_us = UINT64_MAX;
-	if (loom_random_unit(&play->random) < 0.1)
-		call.given_up_us = play->now_us + length_us / 2;
+	if (loom_random_unit(&sim->random) < 0.1)
+		call.given_up_us = sim->now_us + length_us / 2;
 	host->calls[host->ncalls++] = call;
 	return false;
 }
 
 static void
-arrive_or_wait(struct play *play, unsigned h, unsigned print)
+arrive_or_wait(struct sim *sim, unsigned h, unsigned fingerprint_index)
 {
-	struct held held = { print, play->now_us + 2 * SECOND };
+	struct waiting_call waiting_call = { fingerprint_index,
+		sim->now_us + 2 * SECOND };
 
-	if (arrive(play, h, print))
-		g_array_append_val(play->hosts[h].held, held);
+	if (arrive(sim, h, fingerprint_index))
+		g_array_append_val(sim->hosts[h].waiting_calls, waiting_call);
 }
 
 static void
-ask_again(struct play *play, unsigned h)
+retry_waiting(struct sim *sim, unsigned h)
 {
-	GArray *held = play->hosts[h].held;
-	const struct held *waiting;
+	GArray *waiting_calls = sim->hosts[h].waiting_calls;
+	const struct waiting_call *waiting;
 	guint i = 0;
 
-	while (i < held->len) {
-		waiting = &g_array_index(held, struct held, i);
-		if (waiting->until_us > play->now_us &&
-		    arrive(play, h, waiting->print))
+	while (i < waiting_calls->len) {
+		waiting = &g_array_index(waiting_calls, struct waiting_call, i);
+		if (waiting->expires_us > sim->now_us &&
+		    arrive(sim, h, waiting->fingerprint_index))
 			i++;
 		else
-			g_array_remove_index(held, i);
+			g_array_remove_index(waiting_calls, i);
 	}
 }
 
 static void
-host_crashes(struct play *play, unsigned h)
+host_crashes(struct sim *sim, unsigned h)
 {
-	struct host *host = &play->hosts[h];
+	struct host *host = &sim->hosts[h];
 	const struct suspect_record *record;
 	struct loom_fingerprint fingerprint;
 	bool any = false;
@@ -417,156 +440,160 @@
 			continue;
 		any = true;
 		suspects_crashed(
-		    &host->suspects, host->calls[i].entry, play->now_us);
+		    &host->suspects, host->calls[i].entry, sim->now_us);
 		suspects_leave(&host->suspects, host->calls[i].entry,
-		    LOOM_QUARANTINE_BROKEN, play->now_us);
+		    LOOM_QUARANTINE_BROKEN, sim->now_us);
 	}
 	if (!any)
-		suspects_unreachable(&host->suspects, NULL, play->now_us);
+		suspects_unreachable(&host->suspects, NULL, sim->now_us);
 	host->ncalls = 0;
-	for (i = 0; i < PRINTS; i++) {
-		fingerprint = print_of(i);
+	for (i = 0; i < FINGERPRINTS; i++) {
+		fingerprint = fingerprint_of(i);
 		record = g_hash_table_lookup(
 		    host->suspects.records.table, &fingerprint);
-		if (record != NULL && record->until_us > play->now_us)
-			tell(play, h, i, record);
+		if (record != NULL && record->expires_us > sim->now_us)
+			send_reports(sim, h, i, record);
 	}
 }
 
 static void
-advance(struct play *play, unsigned h)
+advance(struct sim *sim, unsigned h)
 {
-	struct host *host = &play->hosts[h];
+	struct host *host = &sim->hosts[h];
 	struct call *call;
 	unsigned i = 0;
 
 	while (i < host->ncalls) {
 		call = &host->calls[i];
-		if (call->entry != NULL && call->given_up_us <= play->now_us) {
+		if (call->entry != NULL && call->given_up_us <= sim->now_us) {
 			suspects_leave(&host->suspects, call->entry,
-			    LOOM_QUARANTINE_BROKEN, play->now_us);
+			    LOOM_QUARANTINE_BROKEN, sim->now_us);
 			call->entry = NULL;
 		}
-		if (call->ends_us > play->now_us) {
+		if (call->ends_us > sim->now_us) {
 			i++;
 			continue;
 		}
-		if (call->print < POISONS) {
-			play->crashes[call->print]++;
-			host_crashes(play, h);
+		if (call->fingerprint_index < CULPRITS) {
+			sim->crashes[call->fingerprint_index]++;
+			host_crashes(sim, h);
 			return;
 		}
-		play->served[call->print] += play->now_us > SERVED_FROM_US;
+		sim->served[call->fingerprint_index] +=
+		    sim->now_us > SERVED_FROM_US;
 		if (call->entry != NULL &&
 		    suspects_leave(&host->suspects, call->entry,
-			LOOM_QUARANTINE_ANSWERED, play->now_us))
-			tell(play, h, call->print, NULL);
+			LOOM_QUARANTINE_ANSWERED, sim->now_us))
+			send_reports(sim, h, call->fingerprint_index, NULL);
 		*call = host->calls[--host->ncalls];
 	}
 }
 
 static void
-play_step(struct play *play)
+sim_step(struct sim *sim)
 {
 	unsigned h;
 
-	play->now_us += STEP_US;
-	hear(play);
+	sim->now_us += STEP_US;
+	deliver_reports(sim);
 	for (h = 0; h < HOSTS; h++) {
-		advance(play, h);
-		ask_again(play, h);
-		if (loom_random_unit(&play->random) < 0.4)
-			arrive_or_wait(play, h,
-			    POISONS +
+		advance(sim, h);
+		retry_waiting(sim, h);
+		if (loom_random_unit(&sim->random) < 0.4)
+			arrive_or_wait(sim, h,
+			    CULPRITS +
 				(unsigned)loom_random_below(
-				    &play->random, INNOCENTS));
-		if (loom_random_unit(&play->random) < 0.01)
-			arrive_or_wait(play, h,
+				    &sim->random, INNOCENTS));
+		if (loom_random_unit(&sim->random) < 0.01)
+			arrive_or_wait(sim, h,
 			    (unsigned)loom_random_below(
-				&play->random, POISONS));
+				&sim->random, CULPRITS));
 	}
 }
 
 static void
-play_run(struct play *play, uint32_t seed, uint64_t word_us, double loss)
+sim_run(struct sim *sim, uint32_t seed, uint64_t report_delay_us, double loss)
 {
 	unsigned h;
 
-	memset(play, 0, sizeof(*play));
-	play->random = test_random_new(seed);
-	play->words = g_array_new(FALSE, FALSE, sizeof(struct word));
-	play->now_us = SECOND;
-	play->word_us = word_us;
-	play->loss = loss;
+	memset(sim, 0, sizeof(*sim));
+	sim->random = test_random_new(seed);
+	sim->reports = g_array_new(FALSE, FALSE, sizeof(struct report));
+	sim->now_us = SECOND;
+	sim->report_delay_us = report_delay_us;
+	sim->loss = loss;
 	for (h = 0; h < HOSTS; h++) {
 		suspects_init(
-		    &play->hosts[h].suspects, SUSPECT_US, QUARANTINE_US, 64);
-		play->hosts[h].held =
-		    g_array_new(FALSE, FALSE, sizeof(struct held));
+		    &sim->hosts[h].suspects, SUSPECT_US, QUARANTINE_US, 64);
+		sim->hosts[h].waiting_calls =
+		    g_array_new(FALSE, FALSE, sizeof(struct waiting_call));
 	}
-	while (play->now_us < PLAY_US)
-		play_step(play);
+	while (sim->now_us < SIM_US)
+		sim_step(sim);
 	for (h = 0; h < HOSTS; h++) {
-		suspects_clear(&play->hosts[h].suspects);
-		g_array_free(play->hosts[h].held, TRUE);
+		suspects_clear(&sim->hosts[h].suspects);
+		g_array_free(sim->hosts[h].waiting_calls, TRUE);
 	}
-	g_array_free(play->words, TRUE);
-	test_random_free(&play->random);
+	g_array_free(sim->reports, TRUE);
+	test_random_free(&sim->random);
 }
 
 /*
- * Two callers send requests that crash their upstreams, again and again, to
- * any of four busy hosts, for three minutes; one call in ten is given up on
- * while its upstream goes on with it.  No innocent request may be quarantined,
- * each must be served in the end, and the crashes must stop.
+ * Two callers repeatedly send requests that crash their upstreams, to any of
+ * four busy hosts, for three minutes. One caller in ten gives up while the
+ * upstream continues. No innocent request may be quarantined, each must
+ * eventually be served, and the crashes must stop.
  */
 static void
 test_fleet(void)
 {
 	static const struct {
 		const char *name;
-		uint64_t word_us;
+		uint64_t report_delay_us;
 		double loss;
-		unsigned bound; /* crashes by one request in that time */
+		unsigned max_crashes; /* crashes caused by one request in the
+					 simulated time */
 	} cases[] = {
-		{ "word at once", 0, 0, 10 },
-		{ "word within half a second", SECOND / 2, 0, 12 },
-		{ "half of the words lost", SECOND / 2, 0.5, 20 },
-		/* Each host has to find out by itself. */
-		{ "cut off from each other", 0, 1, 8 * HOSTS },
+		{ "reports at once", 0, 0, 10 },
+		{ "reports within half a second", SECOND / 2, 0, 12 },
+		{ "half of the reports lost", SECOND / 2, 0.5, 20 },
+		/* Each host has to find the culprits by itself. */
+		{ "all reports lost", 0, 1, 8 * HOSTS },
 	};
-	unsigned i, seed, most, n, total, least;
-	struct play play;
+	unsigned i, seed, worst_crashes, n, total, min_served;
+	struct sim sim;
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
-		most = 0;
-		least = UINT_MAX;
+		worst_crashes = 0;
+		min_served = UINT_MAX;
 		for (seed = 1; seed <= 30; seed++) {
-			play_run(&play, seed, cases[i].word_us, cases[i].loss);
-			TEST_CHECK(play.quarantined == 0, "%s, seed %u: %u",
-			    cases[i].name, seed, play.quarantined);
-			for (n = 0; n < POISONS; n++)
-				most = MAX(most, play.crashes[n]);
-			for (n = POISONS, total = 0; n < PRINTS; n++) {
-				total += play.served[n];
-				TEST_CHECK(play.served[n] > SERVED_MIN,
+			sim_run(&sim, seed, cases[i].report_delay_us,
+			    cases[i].loss);
+			TEST_CHECK(sim.quarantined == 0, "%s, seed %u: %u",
+			    cases[i].name, seed, sim.quarantined);
+			for (n = 0; n < CULPRITS; n++)
+				worst_crashes =
+				    MAX(worst_crashes, sim.crashes[n]);
+			for (n = CULPRITS, total = 0; n < FINGERPRINTS; n++) {
+				total += sim.served[n];
+				TEST_CHECK(sim.served[n] > SERVED_MIN,
 				    "%s, seed %u: %u served %u times",
-				    cases[i].name, seed, n, play.served[n]);
+				    cases[i].name, seed, n, sim.served[n]);
 			}
-			least = MIN(least, total);
+			min_served = MIN(min_served, total);
 		}
 		printf("\npoint quarantine, %s: at most %u crashes by one "
 		       "request, at least %u%% served in the last minute\n",
-		    cases[i].name, most, least / 96);
-		TEST_CHECK(most <= cases[i].bound, "%s: %u crashes",
-		    cases[i].name, most);
-		TEST_CHECK(least >= SERVED_TOTAL_MIN, "%s: %u served",
-		    cases[i].name, least);
+		    cases[i].name, worst_crashes, min_served / 96);
+		TEST_CHECK(worst_crashes <= cases[i].max_crashes,
+		    "%s: %u crashes", cases[i].name, worst_crashes);
+		TEST_CHECK(min_served >= SERVED_TOTAL_MIN, "%s: %u served",
+		    cases[i].name, min_served);
 	}
 }
 
 static const struct test_case tests[] = {
-	{ "scripts", test_scripts },
+	{ "scripts", test_blame },
 	{ "fleet", test_fleet },
 };
 
