--- a/include/loom/quarantine.h
+++ b/include/loom/quarantine.h
@@ -48,11 +48,8 @@
     const void *prefix, size_t prefix_bytes);
 
 enum loom_quarantine_verdict {
-	LOOM_QUARANTINE_PASS, /* run it and call loom_quarantine_leave()
-				 afterwards */
-	/*
-	 * Keep the call queued. Ask again when a call leaves, and every 100 ms.
-	 */
+	LOOM_QUARANTINE_PASS, /* run it, then loom_quarantine_leave() */
+	/* Keep the call queued; ask when a call leaves and after 100 ms. */
 	LOOM_QUARANTINE_HOLD,
 	LOOM_QUARANTINE_LATER, /* refuse with LOOM_SUSPECT */
 	LOOM_QUARANTINE_REFUSE, /* refuse with LOOM_QUARANTINED, final */
--- a/src/control/quarantine.c
+++ b/src/control/quarantine.c
@@ -36,8 +36,7 @@
 	GMutex lock;
 	struct suspects suspects;
 	GArray *cleared; /* struct loom_fingerprint */
-	struct loom_hosts
-	    *hosts; /* reference held; used only by the control thread */
+	struct loom_hosts *hosts; /* reference held; control thread only */
 	uint64_t last_repeat_us;
 };
 
--- a/src/decide/suspect_records.h
+++ b/src/decide/suspect_records.h
@@ -44,8 +44,9 @@
     struct suspect_records *, const struct loom_fingerprint *, uint64_t now_us);
 
 /*
- * Raises a record to the level after a crash on this host. The crash count
- * becomes known_crashes, the count when the run began, plus one.
+ * Raises a record to the level after a crash on this host. Its crash count
+ * becomes at least known_crashes + 1, where known_crashes is the count when the
+ * run began.
  */
 void suspect_records_raise(struct suspect_records *,
     const struct loom_fingerprint *, enum suspect_level, uint8_t known_crashes,
--- a/src/decide/suspects.c
+++ b/src/decide/suspects.c
@@ -263,8 +263,7 @@
 
 /* The calls that may have caused a crash, each fingerprint once. */
 struct crash_candidates {
-	GHashTable *by_fingerprint; /* struct loom_quarantine_entry by
-				       fingerprint, borrowed */
+	GHashTable *by_fingerprint; /* struct loom_quarantine_entry, borrowed */
 	bool exclusive; /* nothing else can have caused the crash */
 };
 
@@ -316,8 +315,8 @@
 }
 
 /*
- * Raises the level of the abandoned calls and, if in_flight is set, of the
- * calls in flight.
+ * Records a crash: raises the level of the abandoned calls and, if in_flight is
+ * set, of the calls in flight.
  */
 static void
 record_crash(struct suspects *suspects, bool in_flight, uint64_t now_us)
@@ -359,8 +358,8 @@
  * flight at the crash are marked as counted. A report that follows soon after
  * belongs to a call that was sent on a kept connection not yet known to be
  * broken. That call is marked as well. Otherwise it would count as still
- * running for ABANDONED_US, in an upstream that is gone, and with it in flight
- * the culprit would not be found to be alone at the next crash.
+ * running for ABANDONED_US, in an upstream that is gone, and because of it the
+ * culprit would not count as alone at the next crash.
  */
 void
 suspects_crashed(struct suspects *suspects, struct loom_quarantine_entry *entry,
--- a/src/decide/suspects.h
+++ b/src/decide/suspects.h
@@ -36,10 +36,8 @@
 	bool down; /* found down, and no complete answer since */
 	bool crashed; /* at least once; crashed_us is the last time */
 	uint64_t crashed_us;
-	uint64_t spontaneous_until_us; /* assumed to crash without a call until
-					  then */
-	uint64_t fast_restart_until_us; /* suspects wait; see
-					   suspects_fast_restart() */
+	uint64_t spontaneous_until_us; /* see suspects_unreachable() */
+	uint64_t fast_restart_until_us; /* weak suspects wait until then */
 };
 
 void suspects_init(struct suspects *, uint64_t suspect_us,
--- a/tests/control/test_quarantine.c
+++ b/tests/control/test_quarantine.c
@@ -248,7 +248,10 @@
 		    LOOM_QUARANTINE_BROKEN, network.now_us);
 	for (i = 0; i < 50 * 60; i++)
 		network_advance(&network, 20 * LOOM_US_PER_MS);
-	/* Bytes to each of two peers in a minute, of the 3 KB per second. */
+	/*
+	 * Bytes to each of two peers in one minute: at most a third of the 3 KB
+	 * per second that control messages may use.
+	 */
 	TEST_CHECK(
 	    network.bytes / 2 < 60 * 1024, "%zu bytes", network.bytes / 2);
 	TEST_CHECK(
--- a/tests/control/test_rejected_ways.c
+++ b/tests/control/test_rejected_ways.c
@@ -1,9 +1,10 @@
 /*
- * Ways to run a request at most once that were weighed and left: for each the
- * schedule that runs it twice, and the same schedule with a ticket.
+ * Rejected designs for running a request at most once. For each design there is
+ * a schedule that runs the request twice, and the same schedule with a ticket,
+ * which runs it once.
  *
- * The ways are modelled as small as they can be: three hosts that remember in
- * memory, and callers' daemons that choose among them.
+ * The designs are modelled in the simplest form: three hosts that remember
+ * requests in memory, and daemons of the callers that choose among them.
  */
 
 #include <string.h>
@@ -13,16 +14,16 @@
 #define REQUEST 41
 #define HOSTS 3
 
-/* What a host remembers until it is restarted. */
-struct memory {
+/* What a host remembers until it restarts. */
+struct host_memory {
 	bool ran;
 	bool claimed;
-	uint64_t lease_until;
+	uint64_t lease_expires;
 };
 
 struct model {
-	struct memory hosts[HOSTS];
-	unsigned runs; /* by the upstreams' own count */
+	struct host_memory hosts[HOSTS];
+	unsigned runs; /* number of runs at the upstreams */
 };
 
 static void
@@ -35,21 +36,21 @@
 }
 
 static void
-restart(struct model *model, size_t host)
+forget(struct model *model, size_t host)
 {
 	memset(&model->hosts[host], 0, sizeof(model->hosts[host]));
 }
 
-/* A ticket of node 0, and what happens to one copy of its request. */
+/* A ticket of node 0 and the run of its request. */
 struct ticket_case {
 	struct ticket_fleet fleet;
 	struct loom_ticket ticket;
-	struct loom_ticket_run *run; /* begun and not ended */
+	struct loom_ticket_run *run; /* begun but not completed */
 	unsigned runs;
 };
 
 static void
-ignore_done(void *arg, enum loom_result code, enum loom_outcome outcome,
+ignore_result(void *arg, enum loom_result code, enum loom_outcome outcome,
     struct loom_answer *answer)
 {
 	(void)arg;
@@ -59,9 +60,9 @@
 }
 
 static struct loom_ticket_begin
-copy_arrives(struct ticket_case *ticket_case, size_t node)
+deliver_request(struct ticket_case *ticket_case, size_t node)
 {
-	static const struct loom_ticket_waiter waiter = { ignore_done, NULL };
+	static const struct loom_ticket_waiter waiter = { ignore_result, NULL };
 	struct loom_ticket_begin begin;
 
 	begin = ticket_fleet_begin(
@@ -75,7 +76,7 @@
 }
 
 static void
-run_ends(struct ticket_case *ticket_case)
+complete_run(struct ticket_case *ticket_case)
 {
 	struct loom_answer *answer = loom_answer_new(200, "", 0, "ok", 2);
 
@@ -85,46 +86,47 @@
 }
 
 static size_t
-hash_onto(const size_t *list, size_t n)
+hash_to_host(const size_t *list, size_t n)
 {
 	return list[REQUEST % n];
 }
 
 /*
- * Way: the request's id is hashed onto the list of live hosts.
- * The answer is lost and the caller sends again, through a daemon whose list
- * is a moment newer: one host has left it, and the hash picks another.
+ * Design: the request id is hashed to a host of the list of live hosts. The
+ * answer is lost and the caller sends the request again, through a daemon whose
+ * list is slightly newer. One host has left that list, so the hash selects
+ * another.
  */
 static void
-hash_way(struct model *model)
+hash_design(struct model *model)
 {
 	static const size_t old_list[] = { 0, 1, 2 };
 	static const size_t new_list[] = { 0, 1 };
 
-	run_once(model, hash_onto(old_list, 3));
-	run_once(model, hash_onto(new_list, 2));
+	run_once(model, hash_to_host(old_list, 3));
+	run_once(model, hash_to_host(new_list, 2));
 }
 
-/* Both daemons send the ticket to the host that it names. */
+/* Both daemons send the request to the host named by the ticket. */
 static void
 hash_ticket(struct ticket_case *ticket_case)
 {
-	copy_arrives(ticket_case, 0);
-	run_ends(ticket_case);
-	CU_ASSERT_EQUAL(
-	    copy_arrives(ticket_case, 0).verdict, LOOM_TICKET_VERDICT_ANSWER);
-	/* And a daemon that is wrong about it runs nothing. */
-	CU_ASSERT_EQUAL(copy_arrives(ticket_case, 1).code, LOOM_TICKET_LOST);
+	deliver_request(ticket_case, 0);
+	complete_run(ticket_case);
+	CU_ASSERT_EQUAL(deliver_request(ticket_case, 0).verdict,
+	    LOOM_TICKET_VERDICT_ANSWER);
+	/* A daemon that gets it by mistake does not run it. */
+	CU_ASSERT_EQUAL(deliver_request(ticket_case, 1).code, LOOM_TICKET_LOST);
 }
 
 /*
- * Way: all hosts are asked whether they have seen the request, and a host
- * that says nothing within a time counts as no.
- * Host 0 has the request in its queue and is paused; it cannot answer.  The
- * repeated request runs on host 1, then host 0 wakes up and goes on.
+ * Design: all hosts are asked whether they have seen the request, and a host
+ * that does not answer in time counts as not having seen it. Host 0 has the
+ * request in its queue and is paused, so it cannot answer. The repeated request
+ * runs on host 1; then host 0 resumes and runs it too.
  */
 static void
-ask_all_way(struct model *model)
+ask_all_design(struct model *model)
 {
 	bool paused[HOSTS] = { true, false, false };
 	bool seen = false;
@@ -137,54 +139,56 @@
 	run_once(model, 0);
 }
 
-/* The repeated request waits for the paused host or is told unknown. */
+/*
+ * The repeated request waits for the paused host or gets the outcome unknown.
+ */
 static void
 ask_all_ticket(struct ticket_case *ticket_case)
 {
 	CU_ASSERT_EQUAL(
-	    copy_arrives(ticket_case, 1).outcome, LOOM_OUTCOME_UNKNOWN);
-	copy_arrives(ticket_case, 0);
-	CU_ASSERT_EQUAL(
-	    copy_arrives(ticket_case, 0).verdict, LOOM_TICKET_VERDICT_ATTACHED);
+	    deliver_request(ticket_case, 1).outcome, LOOM_OUTCOME_UNKNOWN);
+	deliver_request(ticket_case, 0);
+	CU_ASSERT_EQUAL(deliver_request(ticket_case, 0).verdict,
+	    LOOM_TICKET_VERDICT_ATTACHED);
 }
 
 /*
- * Way: a host may run what it holds a lease for, and checks the lease right
- * before it sends.
- * Host 0 checks at 9 and is paused before it sends; its lease ends at 10, host
- * 1 gets the next one and runs the repeated request; host 0 wakes up at 20
- * and sends.  No check can stand after the last one.
+ * Design: a host may run a request while it holds a lease, and checks the lease
+ * immediately before sending. Host 0 checks at time 9 and is paused before it
+ * sends. Its lease expires at time 10, host 1 gets the next lease and runs the
+ * repeated request, and host 0 resumes at time 20 and sends. There is always a
+ * moment after the last check in which the lease can expire.
  */
 static void
-lease_way(struct model *model)
+lease_design(struct model *model)
 {
 	bool checked;
 
-	model->hosts[0].lease_until = 10;
-	checked = 9 < model->hosts[0].lease_until;
-	model->hosts[1].lease_until = 30;
-	if (15 < model->hosts[1].lease_until)
+	model->hosts[0].lease_expires = 10;
+	checked = 9 < model->hosts[0].lease_expires;
+	model->hosts[1].lease_expires = 30;
+	if (15 < model->hosts[1].lease_expires)
 		run_once(model, 1);
 	if (checked)
 		run_once(model, 0);
 }
 
-/* Time plays no part: no other host ever gets the right to run it. */
+/* Time is irrelevant: no other host ever gets the right to run the request. */
 static void
 lease_ticket(struct ticket_case *ticket_case)
 {
-	copy_arrives(ticket_case, 0);
+	deliver_request(ticket_case, 0);
 	ticket_case->fleet.nodes[0].paused = true;
 	ticket_case->fleet.now_us += 3600 * LOOM_US_PER_S;
 	ticket_fleet_step(&ticket_case->fleet);
-	CU_ASSERT_EQUAL(copy_arrives(ticket_case, 1).code, LOOM_TICKET_LOST);
+	CU_ASSERT_EQUAL(deliver_request(ticket_case, 1).code, LOOM_TICKET_LOST);
 	ticket_case->fleet.nodes[0].paused = false;
-	run_ends(ticket_case);
-	CU_ASSERT_EQUAL(
-	    copy_arrives(ticket_case, 0).verdict, LOOM_TICKET_VERDICT_ANSWER);
+	complete_run(ticket_case);
+	CU_ASSERT_EQUAL(deliver_request(ticket_case, 0).verdict,
+	    LOOM_TICKET_VERDICT_ANSWER);
 }
 
-/* True when most hosts record the claim that they had not heard before. */
+/* Returns true if most hosts had not recorded the claim before. */
 static bool
 claim_majority(struct model *model)
 {
@@ -199,53 +203,55 @@
 }
 
 /*
- * Way: before it runs, a request is claimed on a majority of k hosts.
- * Hosts keep nothing over a restart, and are replaced at any time.  Two of
- * the three are, one after the other; the repeated request finds a majority
- * that has never heard of it.
+ * Design: a request is claimed on a majority of k hosts before it runs. Hosts
+ * keep nothing over a restart and are replaced at any time. Two of the three
+ * hosts are replaced, one after the other, and the repeated request finds a
+ * majority that does not know it.
  */
 static void
-majority_way(struct model *model)
+majority_design(struct model *model)
 {
 	if (claim_majority(model))
 		run_once(model, 0);
-	restart(model, 0);
-	restart(model, 1);
+	forget(model, 0);
+	forget(model, 1);
 	if (claim_majority(model))
 		run_once(model, 1);
 }
 
-/* The executor was replaced, and what it knew with it: unknown. */
+/*
+ * The executor was replaced and its state is lost, so the outcome is unknown.
+ */
 static void
 majority_ticket(struct ticket_case *ticket_case)
 {
 	struct loom_ticket_begin begin;
 	size_t node;
 
-	copy_arrives(ticket_case, 0);
+	deliver_request(ticket_case, 0);
 	for (node = 0; node < 2; node++) {
 		ticket_fleet_kill(&ticket_case->fleet.nodes[node]);
 		ticket_fleet_start(&ticket_case->fleet.nodes[node]);
 	}
 	for (node = 0; node < FLEET_NODES; node++) {
-		begin = copy_arrives(ticket_case, node);
+		begin = deliver_request(ticket_case, node);
 		CU_ASSERT_EQUAL(begin.code, LOOM_TICKET_LOST);
 		CU_ASSERT_EQUAL(begin.outcome, LOOM_OUTCOME_UNKNOWN);
 	}
 }
 
 static void
-test_ways(void)
+test_designs(void)
 {
 	static const struct {
 		const char *name;
-		void (*way)(struct model *);
+		void (*design)(struct model *);
 		void (*ticket)(struct ticket_case *);
 	} cases[] = {
-		{ "hash onto the live list", hash_way, hash_ticket },
-		{ "ask all candidates", ask_all_way, ask_all_ticket },
-		{ "lease", lease_way, lease_ticket },
-		{ "claims on a majority", majority_way, majority_ticket },
+		{ "hash to a host of the live list", hash_design, hash_ticket },
+		{ "ask all candidates", ask_all_design, ask_all_ticket },
+		{ "lease", lease_design, lease_ticket },
+		{ "claims at a majority", majority_design, majority_ticket },
 	};
 	struct ticket_case ticket_case;
 	struct model model;
@@ -253,7 +259,7 @@
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
 		memset(&model, 0, sizeof(model));
-		cases[i].way(&model);
+		cases[i].design(&model);
 		TEST_CHECK(model.runs == 2, "%s: %u runs without tickets",
 		    cases[i].name, model.runs);
 		memset(&ticket_case, 0, sizeof(ticket_case));
@@ -268,7 +274,7 @@
 }
 
 static const struct test_case tests[] = {
-	{ "rejected ways", test_ways },
+	{ "rejected designs", test_designs },
 };
 
-TEST_MAIN("rejected ways", tests)
+TEST_MAIN("rejected designs", tests)
--- a/tests/decide/test_suspects.c
+++ b/tests/decide/test_suspects.c
@@ -147,8 +147,8 @@
 		const char *name;
 		const char *script;
 		enum loom_quarantine_verdict last;
-		const char *levels; /* of a, b, c: - none, w weak, s strong, q
-				       quarantined */
+		/* of a, b and c: - none, w weak, s strong, q quarantined */
+		const char *levels;
 	} cases[] = {
 		{ "no crash", "abcABC", LOOM_QUARANTINE_PASS, "---" },
 		{ "all calls in flight become suspects", "ab!",
@@ -280,8 +280,8 @@
 /* A call executed by an upstream. It continues if its caller gives up. */
 struct call {
 	struct loom_quarantine_entry *entry;
-	unsigned fingerprint_index; /* below CULPRITS: crashes its upstream when
-				       it ends */
+	/* below CULPRITS: the call crashes its upstream when it ends */
+	unsigned fingerprint_index;
 	uint64_t ends_us;
 	uint64_t given_up_us;
 };
@@ -551,8 +551,7 @@
 		const char *name;
 		uint64_t report_delay_us;
 		double loss;
-		unsigned max_crashes; /* crashes caused by one request in the
-					 simulated time */
+		unsigned max_crashes; /* by one request */
 	} cases[] = {
 		{ "reports at once", 0, 0, 10 },
 		{ "reports within half a second", SECOND / 2, 0, 12 },
