--- a/tests/control/test_retry.c
+++ b/tests/control/test_retry.c
@@ -44,8 +44,7 @@
 };
 
 static void
-enqueue_message(
-    void *arg, uint64_t host_id, uint8_t type, const void *payload, size_t len)
+post(void *arg, uint64_t host_id, uint8_t type, const void *payload, size_t len)
 {
 	struct node *node = arg;
 	struct chain *chain = node->chain;
@@ -70,7 +69,7 @@
 start_node(struct chain *chain, unsigned i, uint64_t incarnation)
 {
 	struct node *node = &chain->nodes[i];
-	struct loom_sender sender = { .send = enqueue_message, .arg = node };
+	struct loom_sender sender = { .send = post, .arg = node };
 
 	node->chain = chain;
 	node->self.host_id = i + 1;
@@ -385,7 +384,7 @@
 			.body_kept = true,
 			.remaining_us = 100 },
 		    LOOM_RETRY_ASK_HOME },
-		{ "draining",
+		{ "leaving",
 		    { .code = LOOM_DRAINING,
 			.repeatable = true,
 			.body_kept = true,
