--- a/include/loom/retry.h
+++ b/include/loom/retry.h
@@ -125,7 +125,7 @@
  * done is called on the control thread, at most LOOM_RETRY_WAIT_US later.
  */
 bool loom_retry_ask(struct loom_retry *, const struct loom_retry_root *root,
-    uint64_t service_id, uint64_t now_us, struct loom_retry_ask *ask);
+    uint64_t service_id, uint64_t now_us, struct loom_retry_ask *query);
 bool loom_retry_cancel(struct loom_retry *, struct loom_retry_ask *);
 
 /*
--- a/src/control/retry.c
+++ b/src/control/retry.c
@@ -127,7 +127,7 @@
 
 bool
 loom_retry_ask(struct loom_retry *retry, const struct loom_retry_root *root,
-    uint64_t service_id, uint64_t now_us, struct loom_retry_ask *ask)
+    uint64_t service_id, uint64_t now_us, struct loom_retry_ask *query)
 {
 	struct retry_query_shard *shard;
 
@@ -136,15 +136,15 @@
 		loom_counter_add(retry->refused, 1);
 		return false;
 	}
-	ask->next = NULL;
-	ask->root = *root;
-	ask->number = atomic_fetch_add(&retry->number, 1) + 1;
-	ask->until_us = now_us + LOOM_RETRY_WAIT_US;
-	ask->service_id = service_id;
-	ask->sent = false;
-	shard = &retry->queries[ask->number % RETRY_SHARD_COUNT];
+	query->next = NULL;
+	query->root = *root;
+	query->number = atomic_fetch_add(&retry->last_query_id, 1) + 1;
+	query->until_us = now_us + LOOM_RETRY_WAIT_US;
+	query->service_id = service_id;
+	query->sent = false;
+	shard = &retry->queries[query->number % RETRY_SHARD_COUNT];
 	g_mutex_lock(&shard->lock);
-	g_hash_table_insert(shard->queries, &ask->number, ask);
+	g_hash_table_insert(shard->queries, &query->number, query);
 	g_mutex_unlock(&shard->lock);
 	if (retry->wake != NULL)
 		retry->wake(retry->wake_arg);
@@ -152,27 +152,27 @@
 }
 
 bool
-loom_retry_cancel(struct loom_retry *retry, struct loom_retry_ask *ask)
+loom_retry_cancel(struct loom_retry *retry, struct loom_retry_ask *query)
 {
 	struct retry_query_shard *shard =
-	    &retry->queries[ask->number % RETRY_SHARD_COUNT];
+	    &retry->queries[query->number % RETRY_SHARD_COUNT];
 	bool found;
 
 	g_mutex_lock(&shard->lock);
-	found = g_hash_table_remove(shard->queries, &ask->number);
+	found = g_hash_table_remove(shard->queries, &query->number);
 	g_mutex_unlock(&shard->lock);
 	return found;
 }
 
 /* Control thread; no lock is held. */
 static void
-complete_query(struct loom_retry *retry, struct loom_retry_ask *ask,
+complete_query(struct loom_retry *retry, struct loom_retry_ask *query,
     bool granted, uint64_t now_us)
 {
 	loom_counter_add(granted ? retry->granted : retry->refused, 1);
 	if (!granted)
-		refund_credit(retry, ask->service_id, now_us);
-	ask->done(ask, granted);
+		refund_credit(retry, query->service_id, now_us);
+	query->done(query, granted);
 }
 
 static bool
@@ -183,18 +183,18 @@
 }
 
 static void
-send_query(struct loom_retry *retry, const struct loom_retry_ask *ask)
+send_query(struct loom_retry *retry, const struct loom_retry_ask *query)
 {
-	const struct loom_retry_question query = {
-		.number = ask->number,
-		.home_incarnation = ask->root.home_incarnation,
-		.root_id = ask->root.id,
+	const struct loom_retry_question wire_query = {
+		.number = query->number,
+		.home_incarnation = query->root.home_incarnation,
+		.root_id = query->root.id,
 	};
 	uint8_t buf[LOOM_RETRY_MESSAGE_MAX];
 	size_t len;
 
-	len = loom_retry_question_pack(&query, buf, sizeof(buf));
-	retry->sender.send(retry->sender.arg, ask->root.home_host_id,
+	len = loom_retry_question_pack(&wire_query, buf, sizeof(buf));
+	retry->sender.send(retry->sender.arg, query->root.home_host_id,
 	    LOOM_RETRY_ASK, buf, len);
 }
 
@@ -206,20 +206,20 @@
 process_shard(
     struct loom_retry *retry, struct retry_query_shard *shard, uint64_t now_us)
 {
-	struct loom_retry_ask *ask, *completed = NULL;
+	struct loom_retry_ask *query, *completed = NULL;
 	GHashTableIter iter;
 
 	g_mutex_lock(&shard->lock);
 	g_hash_table_iter_init(&iter, shard->queries);
-	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&ask)) {
-		if (now_us >= ask->until_us ||
-		    home_is_here(retry, &ask->root)) {
-			ask->next = completed;
-			completed = ask;
+	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&query)) {
+		if (now_us >= query->until_us ||
+		    home_is_here(retry, &query->root)) {
+			query->next = completed;
+			completed = query;
 			g_hash_table_iter_remove(&iter);
-		} else if (!ask->sent) {
-			ask->sent = true;
-			send_query(retry, ask);
+		} else if (!query->sent) {
+			query->sent = true;
+			send_query(retry, query);
 		}
 	}
 	g_mutex_unlock(&shard->lock);
@@ -229,21 +229,21 @@
 void
 loom_retry_run(struct loom_retry *retry, uint64_t now_us)
 {
-	struct loom_retry_ask *ask, *next;
+	struct loom_retry_ask *query, *next;
 	bool granted;
 	unsigned i;
 
 	for (i = 0; i < RETRY_SHARD_COUNT; i++) {
-		ask = process_shard(retry, &retry->queries[i], now_us);
-		for (; ask != NULL; ask = next) {
-			next = ask->next;
+		query = process_shard(retry, &retry->queries[i], now_us);
+		for (; query != NULL; query = next) {
+			next = query->next;
 			granted = false;
-			if (now_us < ask->until_us)
+			if (now_us < query->until_us)
 				granted = retry_home_grant(
-				    retry, ask->root.id, now_us);
+				    retry, query->root.id, now_us);
 			else
 				loom_counter_add(retry->unanswered, 1);
-			complete_query(retry, ask, granted, now_us);
+			complete_query(retry, query, granted, now_us);
 		}
 	}
 }
@@ -252,23 +252,24 @@
 handle_query(struct loom_retry *retry, const struct loom_from *from,
     const uint8_t *payload, size_t len, uint64_t now_us)
 {
-	struct loom_retry_question query;
-	struct loom_retry_answer reply;
+	struct loom_retry_question wire_query;
+	struct loom_retry_answer wire_reply;
 	uint8_t buf[LOOM_RETRY_MESSAGE_MAX];
 
-	if (!loom_retry_question_unpack(&query, payload, len))
+	if (!loom_retry_question_unpack(&wire_query, payload, len))
 		return;
 	/*
 	 * A restarted home has lost its record of earlier grants, so it grants
 	 * nothing for requests that entered before the restart.
 	 */
-	reply = (struct loom_retry_answer){
-		.number = query.number,
+	wire_reply = (struct loom_retry_answer){
+		.number = wire_query.number,
 		.asker_incarnation = from->incarnation,
-		.granted = query.home_incarnation == retry->self.incarnation &&
-		    retry_home_grant(retry, query.root_id, now_us),
+		.granted =
+		    wire_query.home_incarnation == retry->self.incarnation &&
+		    retry_home_grant(retry, wire_query.root_id, now_us),
 	};
-	len = loom_retry_answer_pack(&reply, buf, sizeof(buf));
+	len = loom_retry_answer_pack(&wire_reply, buf, sizeof(buf));
 	retry->sender.send(
 	    retry->sender.arg, from->host_id, LOOM_RETRY_ANSWER, buf, len);
 }
@@ -277,28 +278,28 @@
 handle_reply(struct loom_retry *retry, const struct loom_from *from,
     const uint8_t *payload, size_t len, uint64_t now_us)
 {
-	struct loom_retry_answer reply;
+	struct loom_retry_answer wire_reply;
 	struct retry_query_shard *shard;
-	struct loom_retry_ask *ask;
+	struct loom_retry_ask *query;
 
-	if (!loom_retry_answer_unpack(&reply, payload, len) ||
-	    reply.asker_incarnation != retry->self.incarnation)
+	if (!loom_retry_answer_unpack(&wire_reply, payload, len) ||
+	    wire_reply.asker_incarnation != retry->self.incarnation)
 		return;
-	shard = &retry->queries[reply.number % RETRY_SHARD_COUNT];
+	shard = &retry->queries[wire_reply.number % RETRY_SHARD_COUNT];
 	g_mutex_lock(&shard->lock);
-	ask = g_hash_table_lookup(shard->queries, &reply.number);
-	if (ask != NULL && ask->root.home_host_id == from->host_id)
-		g_hash_table_remove(shard->queries, &reply.number);
+	query = g_hash_table_lookup(shard->queries, &wire_reply.number);
+	if (query != NULL && query->root.home_host_id == from->host_id)
+		g_hash_table_remove(shard->queries, &wire_reply.number);
 	else
-		ask = NULL;
+		query = NULL;
 	g_mutex_unlock(&shard->lock);
-	if (ask == NULL)
+	if (query == NULL)
 		return;
 	/*
 	 * The reply is too old if this process was stopped in the meantime.
 	 */
-	complete_query(
-	    retry, ask, reply.granted && now_us < ask->until_us, now_us);
+	complete_query(retry, query,
+	    wire_reply.granted && now_us < query->until_us, now_us);
 }
 
 static void
--- a/src/control/retry_internal.h
+++ b/src/control/retry_internal.h
@@ -36,7 +36,7 @@
 
 struct retry_query_shard {
 	GMutex lock;
-	GHashTable *queries; /* (lock) by number; owned by the callers */
+	GHashTable *queries; /* (lock) by query id; owned by the callers */
 };
 
 struct retry_service {
@@ -57,7 +57,7 @@
 	void *wake_arg;
 	atomic_uint budget; /* total retries of one request */
 	_Atomic(double) ratio;
-	atomic_uint_fast64_t number;
+	atomic_uint_fast64_t last_query_id;
 	struct retry_home_shard home_shards[RETRY_SHARD_COUNT];
 	struct retry_query_shard queries[RETRY_SHARD_COUNT];
 	struct retry_service_shard services[RETRY_SHARD_COUNT];
--- a/tests/control/test_retry.c
+++ b/tests/control/test_retry.c
@@ -135,22 +135,23 @@
 }
 
 static void
-answered(struct loom_retry_ask *ask, bool granted)
+answered(struct loom_retry_ask *query, bool granted)
 {
-	struct chain *chain = ask->arg;
+	struct chain *chain = query->arg;
 
 	chain->answered = true;
 	chain->last_granted = granted;
 }
 
 static bool
-ask_home(struct chain *chain, unsigned node, const struct loom_retry_root *root)
+request_grant(
+    struct chain *chain, unsigned node, const struct loom_retry_root *root)
 {
-	struct loom_retry_ask ask = { .done = answered, .arg = chain };
+	struct loom_retry_ask query = { .done = answered, .arg = chain };
 
 	chain->answered = false;
 	if (!loom_retry_ask(
-		chain->nodes[node].retry, root, SERVICE, chain->now_us, &ask))
+		chain->nodes[node].retry, root, SERVICE, chain->now_us, &query))
 		return false;
 	while (!chain->answered)
 		step(chain);
@@ -185,7 +186,7 @@
 		failure.final = run_failing_call(chain, depth + 1, root);
 		while (
 		    loom_retry_may(&failure, &final) == LOOM_RETRY_ASK_HOME &&
-		    ask_home(chain, node, root))
+		    request_grant(chain, node, root))
 			failure.final =
 			    run_failing_call(chain, depth + 1, root);
 	}
@@ -309,7 +310,7 @@
 	CU_ASSERT_TRUE(loom_retry_begin_root(chain.nodes[3].retry, 0,
 	    chain.now_us, chain.now_us + 10000, &root));
 	chain.now_us += 10000;
-	CU_ASSERT_FALSE(ask_home(&chain, 0, &root));
+	CU_ASSERT_FALSE(request_grant(&chain, 0, &root));
 	end_chain(&chain);
 }
 
@@ -331,7 +332,7 @@
 		    chain.now_us, chain.now_us + 10000, &root);
 	TEST_CHECK(refused >= 400000 - 262144, "%u", refused);
 	CU_ASSERT_EQUAL(root.home_host_id, 0);
-	CU_ASSERT_FALSE(ask_home(&chain, 1, &root));
+	CU_ASSERT_FALSE(request_grant(&chain, 1, &root));
 	chain.now_us += 2000000;
 	step(&chain);
 	CU_ASSERT_TRUE(loom_retry_begin_root(chain.nodes[0].retry, 0,
--- a/tests/decide/test_suspects.c
+++ b/tests/decide/test_suspects.c
@@ -283,7 +283,7 @@
 	/* below CULPRITS: the call crashes its upstream when it ends */
 	unsigned fingerprint_index;
 	uint64_t ends_us;
-	uint64_t given_up_us;
+	uint64_t abandoned_us;
 };
 
 /* A report between hosts that has not arrived yet. */
@@ -392,9 +392,9 @@
 	if (loom_random_unit(&sim->random) < 0.02)
 		length_us *= 20;
 	call.ends_us = sim->now_us + length_us;
-	call.given_up_us = UINT64_MAX;
+	call.abandoned_us = UINT64_MAX;
 	if (loom_random_unit(&sim->random) < 0.1)
-		call.given_up_us = sim->now_us + length_us / 2;
+		call.abandoned_us = sim->now_us + length_us / 2;
 	host->calls[host->ncalls++] = call;
 	return false;
 }
@@ -465,7 +465,7 @@
 
 	while (i < host->ncalls) {
 		call = &host->calls[i];
-		if (call->entry != NULL && call->given_up_us <= sim->now_us) {
+		if (call->entry != NULL && call->abandoned_us <= sim->now_us) {
 			suspects_leave(&host->suspects, call->entry,
 			    LOOM_QUARANTINE_BROKEN, sim->now_us);
 			call->entry = NULL;
