--- a/include/loom/balance.h
+++ b/include/loom/balance.h
@@ -26,10 +26,8 @@
 enum loom_target_end {
 	LOOM_TARGET_OK, /* the upstream answered, with any status */
 	LOOM_TARGET_REFUSED, /* the target's daemon shed the call */
-	LOOM_TARGET_FAILED, /* connection failed or broke, or no answer in time
-			     */
-	LOOM_TARGET_CANCELLED, /* given up by this daemon; not a failure of the
-				  target */
+	LOOM_TARGET_FAILED, /* no connection, broken, or no answer in time */
+	LOOM_TARGET_CANCELLED, /* given up here; not a failure of the target */
 };
 
 /* The balancer is owned by ctx; random is copied. */
--- a/src/decide/balance.c
+++ b/src/decide/balance.c
@@ -39,9 +39,9 @@
  * answer at all. Calls to it end at their deadline or when the caller
  * disconnects, long after the next calls were sent to it, and more than half of
  * a service may be unreachable at once. So the time for which a target has left
- * calls unanswered counts. If that is several times the usual latency, it
- * replaces the latency in the score; with a lower limit, the few long calls of
- * a busy service would move its calls from target to target. If it also exceeds
+ * calls unanswered counts. If it is several times the mean latency, it replaces
+ * the latency in the score. If it counted sooner, the few long calls of a busy
+ * service would move its calls from target to target. If it also exceeds
  * UNRESPONSIVE_MIN_US, the target gets no calls while any other is available,
  * and the owner probes it meanwhile, so that no call is spent on testing it. An
  * overloaded target refuses, which is an answer. When something behind all
--- a/tests/decide/test_balance.c
+++ b/tests/decide/test_balance.c
@@ -361,9 +361,9 @@
 
 /*
  * A far target is chosen when its score is better by the configured factor.
- * When the near target reports that it is nearly full, the factor no longer
- * applies: otherwise calls queued at the near target while the far one had
- * room, and requests were refused for lack of room.
+ * When the near target reports that it is nearly full, the factor is reduced.
+ * Otherwise calls queued at the near target while the far one had room, and
+ * requests were refused for lack of room.
  */
 static void
 test_far_cost(void)
