--- a/src/control/rights.c
+++ b/src/control/rights.c
@@ -7,9 +7,9 @@
 
 #define LIST_LAG_US UINT64_C(10000000)
 /* How often a pool looks for buckets that are nearly full. */
-#define SPILL_US (LOOM_LOAN_RENEW_US / 4)
+#define SURPLUS_CHECK_US (LOOM_LOAN_RENEW_US / 4)
 /* A tick that comes this late means that the process was stopped. */
-#define STOPPED_US (3 * LOOM_LOAN_RENEW_US)
+#define PAUSED_TICK_US (3 * LOOM_LOAN_RENEW_US)
 
 static guint
 from_hash(gconstpointer key)
@@ -32,8 +32,8 @@
 {
 	struct rights_team *team = data;
 
-	g_hash_table_destroy(team->outloans);
-	g_array_free(team->flashes, TRUE);
+	g_hash_table_destroy(team->child_loans);
+	g_array_free(team->transits, TRUE);
 	g_queue_clear(&team->waiting_children);
 	g_free(team);
 }
@@ -54,13 +54,13 @@
 	g_ptr_array_free(rights->watched, TRUE);
 	g_ptr_array_free(rights->teams, TRUE);
 	g_hash_table_destroy(rights->children);
-	g_hash_table_destroy(rights->silent);
+	g_hash_table_destroy(rights->silent_hosts);
 	loom_ownership_clear(&rights->own);
 	return 0;
 }
 
 static void
-name_counters(struct rights_counters *counters)
+register_counters(struct rights_counters *counters)
 {
 	counters->refused = loom_counter("loom_rights_refused_total", NULL,
 	    "Calls refused over their team's rate.");
@@ -91,7 +91,7 @@
 	}
 	rights->teams = g_ptr_array_new_with_free_func(free_team);
 	rights->watched = g_ptr_array_new();
-	rights->silent =
+	rights->silent_hosts =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
 	rights->children =
 	    g_hash_table_new_full(from_hash, from_equal, g_free, NULL);
@@ -125,7 +125,7 @@
 	rights->ticked_us = now_us;
 	rights->last_done = &rights->done;
 	init_tables(rights);
-	name_counters(&rights->counters);
+	register_counters(&rights->counters);
 	talloc_set_destructor(rights, destroy);
 	return rights;
 }
@@ -159,11 +159,12 @@
 
 	team->id = declared->id;
 	team->shard = &rights->shards[declared->id % RIGHTS_SHARDS];
-	team->holding.at_us = now_us;
+	team->bucket.at_us = now_us;
 	team->last_waiter = &team->first_waiter;
-	team->outloans =
+	team->child_loans =
 	    g_hash_table_new_full(g_int_hash, g_int_equal, NULL, g_free);
-	team->flashes = g_array_new(FALSE, FALSE, sizeof(struct rights_flash));
+	team->transits =
+	    g_array_new(FALSE, FALSE, sizeof(struct rights_transit));
 	g_queue_init(&team->waiting_children);
 	g_ptr_array_add(rights->teams, team);
 	rights_lock(team);
@@ -177,8 +178,8 @@
     uint64_t now_us)
 {
 	rights_lock(team);
-	loom_holding_limits(
-	    &team->holding, &team->shard->base, rate_per_s, burst, now_us);
+	loom_bucket_set_limits(
+	    &team->bucket, &team->shard->base, rate_per_s, burst, now_us);
 	rights_unlock(team);
 }
 
@@ -207,7 +208,7 @@
 			team = make_team(rights, declared, now_us);
 		set_limits(team, declared->rate_per_s, declared->burst, now_us);
 	}
-	loom_ownership_slots(&rights->own, manifest->fleet.slots, now_us);
+	loom_ownership_set_slots(&rights->own, manifest->fleet.slots, now_us);
 	if (rights->manifest != NULL)
 		loom_manifest_release(rights->manifest);
 	rights->manifest = loom_manifest_acquire(manifest);
@@ -222,13 +223,13 @@
 	if (rights->hosts != NULL)
 		loom_hosts_release(rights->hosts);
 	rights->hosts = loom_hosts_acquire(hosts);
-	loom_ownership_hosts(&rights->own, hosts, now_us);
+	loom_ownership_set_hosts(&rights->own, hosts, now_us);
 	rights_choose_parent(rights, now_us);
 	rights_refresh_base(rights, now_us);
 }
 
 static void
-take_dirty(struct loom_rights *rights)
+collect_dirty(struct loom_rights *rights)
 {
 	struct rights_team *team, *next;
 
@@ -255,17 +256,18 @@
 	rights_lock(team);
 	waiting =
 	    team->nwaiters > 0 || !g_queue_is_empty(&team->waiting_children);
-	asks = rights_may_ask(rights, team, now_us);
+	asks = rights_may_request(rights, team, now_us);
 	if (asks &&
 	    (waiting ||
-		(team->holding.level_utok < LOOM_TOKEN_UTOK && !team->scarce)))
-		rights_ask(rights, team, now_us);
+		(team->bucket.level_utok < LOOM_TOKEN_UTOK && !team->scarce)))
+		rights_add_request(rights, team, now_us);
 	/* a pool above is asked first: it sees more than this daemon's
 	 * children */
-	asks = rights->parent.host_id != 0 && now_us >= team->empty_until_us;
+	asks =
+	    rights->parent.host_id != 0 && now_us >= team->no_tokens_until_us;
 	rights_unlock(team);
-	if (((waiting && !asks) || team->recall_below) &&
-	    rights_may_recall(team, now_us))
+	if (((waiting && !asks) || team->recall_pending) &&
+	    rights_recall_allowed(team, now_us))
 		rights_recall(rights, team, now_us);
 	return waiting;
 }
@@ -277,7 +279,7 @@
 	struct rights_team *team;
 	unsigned i = 0;
 
-	take_dirty(rights);
+	collect_dirty(rights);
 	while (i < rights->watched->len) {
 		team = g_ptr_array_index(rights->watched, i);
 		if (run_team(rights, team, now_us)) {
@@ -300,29 +302,29 @@
 	struct loom_rights *rights = part;
 
 	/* a stopped process heard nobody: that says nothing of its pool */
-	if (now_us > rights->ticked_us + STOPPED_US &&
-	    rights->parent.silent_us != 0)
-		rights->parent.silent_us = now_us;
+	if (now_us > rights->ticked_us + PAUSED_TICK_US &&
+	    rights->parent.overdue_since_us != 0)
+		rights->parent.overdue_since_us = now_us;
 	rights->ticked_us = now_us;
 	atomic_store(&rights->clock_us, now_us);
 	atomic_store(&rights->pool_host_id, rights->parent.host_id);
-	atomic_store(&rights->pool_heard_us, rights->parent.heard_us);
+	atomic_store(&rights->pool_heard_us, rights->parent.received_us);
 	if (now_us >= rights->renewed_us + LOOM_LOAN_RENEW_US) {
 		rights->renewed_us = now_us;
-		rights_sweep_children(rights, now_us);
+		rights_expire_loans(rights, now_us);
 		rights_refresh_base(rights, now_us);
 		if (rights->teams->len > 0) {
 			rights_check_parent(rights, now_us);
-			atomic_store(&rights->stranded_until_us,
-			    rights_stranded_until_us(rights, now_us));
+			atomic_store(&rights->lent_elsewhere_until_us,
+			    rights_lent_elsewhere_until_us(rights, now_us));
 			rights_renew(rights, now_us);
 		}
 	}
 	if (rights->base_changed)
 		rights_refresh_base(rights, now_us);
-	if (now_us >= rights->spilled_us + SPILL_US) {
-		rights->spilled_us = now_us;
-		rights_spill(rights, now_us);
+	if (now_us >= rights->surplus_checked_us + SURPLUS_CHECK_US) {
+		rights->surplus_checked_us = now_us;
+		rights_push_surplus(rights, now_us);
 	}
 	loom_rights_run(rights, now_us);
 }
@@ -336,9 +338,9 @@
 	if (rights->settings.shares_only)
 		return;
 	if (type == rights_message_type(rights, LOOM_RIGHTS_UP))
-		rights_heard_up(rights, from, payload, len, now_us);
+		rights_receive_up(rights, from, payload, len, now_us);
 	else if (type == rights_message_type(rights, LOOM_RIGHTS_DOWN))
-		rights_heard_down(rights, from, payload, len, now_us);
+		rights_receive_down(rights, from, payload, len, now_us);
 	loom_rights_run(rights, now_us);
 }
 
@@ -383,26 +385,27 @@
 	struct rights_team *team = rights_team_locked(rights, team_id);
 	struct loom_share net;
 	uint64_t heard_us = atomic_load(&rights->pool_heard_us);
-	uint64_t back_us = atomic_load(&rights->stranded_until_us);
+	uint64_t back_us = atomic_load(&rights->lent_elsewhere_until_us);
 	uint64_t borrowed = 0;
 	unsigned i;
 
 	if (team == NULL)
 		return false;
-	loom_holding_advance(&team->holding, &team->shard->base, now_us);
-	net = loom_holding_net(&team->holding, &team->shard->base, now_us);
+	loom_bucket_advance(&team->bucket, &team->shard->base, now_us);
+	net =
+	    loom_bucket_usable_share(&team->bucket, &team->shard->base, now_us);
 	for (i = 0; i < LOOM_LENDERS_MAX; i++) {
-		if (now_us < team->holding.in[i].until_us)
-			borrowed += team->holding.in[i].share.capacity;
+		if (now_us < team->bucket.borrowed[i].until_us)
+			borrowed += team->bucket.borrowed[i].share.capacity;
 	}
 	*status = (struct loom_rights_status){
 		.refill_per_s =
-		    team->holding.rate_per_s * part_of_whole(net.refill),
-		.capacity = team->holding.burst * part_of_whole(net.capacity),
+		    team->bucket.rate_per_s * part_of_whole(net.refill),
+		.capacity = team->bucket.burst * part_of_whole(net.capacity),
 		.level =
-		    (double)team->holding.level_utok / (double)LOOM_TOKEN_UTOK,
+		    (double)team->bucket.level_utok / (double)LOOM_TOKEN_UTOK,
 		.borrowed = part_of_whole(borrowed),
-		.lent = part_of_whole(team->holding.out.capacity),
+		.lent = part_of_whole(team->bucket.lent.capacity),
 		.demand_per_s = loom_demand_per_s(&team->demand, now_us) +
 		    team->demand_below_per_s,
 		.waiting = team->nwaiters,
--- a/src/control/rights_child.c
+++ b/src/control/rights_child.c
@@ -1,20 +1,20 @@
 /*
  * Towards the pool above: lend it the base, borrow what callers here and
- * below need.
+ * below urgency.
  */
 
 #include "control/rights_internal.h"
 
 /* Calls per second below which a daemon keeps nothing of a team. */
 #define IDLE_PER_S 0.05
-#define MHZ 1000.0
+#define MHZ_PER_HZ 1000.0
 /* Asked for besides what is missing.  Parts and microtokens are whole numbers;
  * a call that lacked one microtoken would ask for it again and again. */
 #define ROUNDING_UTOK UINT64_C(100)
 /* A bucket this near its capacity is full. */
 #define FULL_MARGIN_UTOK (LOOM_TOKEN_UTOK / 20)
 /* Answers over which the pool's time to answer is averaged. */
-#define ANSWER_SMOOTHING 8
+#define RESPONSE_SMOOTHING 8
 
 /*
  * The least that the pool's clock can show now.  It has gone on since the pool
@@ -25,16 +25,17 @@
 pool_now_us(const struct rights_parent *parent, uint64_t now_us)
 {
 	return parent->now_us +
-	    loom_loan_borrower_us(now_us - MIN(now_us, parent->heard_us));
+	    loom_loan_borrower_duration_us(
+		now_us - MIN(now_us, parent->received_us));
 }
 
 static void
-expect_answer(struct rights_parent *parent, uint64_t now_us)
+expect_response(struct rights_parent *parent, uint64_t now_us)
 {
-	parent->asked_us = now_us;
-	if (parent->silent_us == 0)
-		parent->silent_us =
-		    MAX(parent->heard_us, now_us - LOOM_LOAN_RENEW_US);
+	parent->sent_us = now_us;
+	if (parent->overdue_since_us == 0)
+		parent->overdue_since_us =
+		    MAX(parent->received_us, now_us - LOOM_LOAN_RENEW_US);
 }
 
 void
@@ -43,7 +44,7 @@
 	size_t len;
 
 	if (host_id == rights->parent.host_id)
-		expect_answer(&rights->parent, now_us);
+		expect_response(&rights->parent, now_us);
 	rights->up.seq = ++rights->seq;
 	rights->up.now_us = now_us;
 	rights->up.stage = rights->choice.stage;
@@ -71,10 +72,11 @@
 
 /* What calls here and children wait for, before what is here. */
 static uint64_t
-wanted_utok(const struct loom_rights *rights, const struct rights_team *team,
+demanded_utok(const struct loom_rights *rights, const struct rights_team *team,
     uint64_t now_us)
 {
-	return rights_asking_waiters(rights, team, now_us) * LOOM_TOKEN_UTOK +
+	return rights_waiters_to_request_for(rights, team, now_us) *
+	    LOOM_TOKEN_UTOK +
 	    rights_children_need(team);
 }
 
@@ -82,46 +84,48 @@
 static uint64_t
 missing_utok(const struct rights_team *team, uint64_t wanted)
 {
-	if (wanted <= team->holding.level_utok)
+	if (wanted <= team->bucket.level_utok)
 		return 0;
-	return wanted - team->holding.level_utok + ROUNDING_UTOK;
+	return wanted - team->bucket.level_utok + ROUNDING_UTOK;
 }
 
 static uint64_t
 need_utok(const struct loom_rights *rights, const struct rights_team *team,
     uint64_t now_us)
 {
-	return missing_utok(team, wanted_utok(rights, team, now_us));
+	return missing_utok(team, demanded_utok(rights, team, now_us));
 }
 
 bool
-rights_may_ask(const struct loom_rights *rights, const struct rights_team *team,
-    uint64_t now_us)
+rights_may_request(const struct loom_rights *rights,
+    const struct rights_team *team, uint64_t now_us)
 {
 	uint64_t answer_us =
-	    MIN(rights->parent.answer_us, RIGHTS_ASK_AGAIN_MAX_US / 2);
+	    MIN(rights->parent.response_us, RIGHTS_REQUEST_RETRY_MAX_US / 2);
 
-	if (rights->parent.host_id == 0 || now_us < team->empty_until_us)
+	if (rights->parent.host_id == 0 || now_us < team->no_tokens_until_us)
 		return false;
 	/* the pool keeps the question until it can answer: to repeat it at
 	 * each answer that brings nothing would be a storm at overload */
-	if (now_us < team->asked_us + MAX(RIGHTS_ASK_AGAIN_US, 2 * answer_us) &&
-	    need_utok(rights, team, now_us) <= team->asked_utok)
+	if (now_us < team->requested_us +
+		    MAX(RIGHTS_REQUEST_RETRY_US, 2 * answer_us) &&
+	    need_utok(rights, team, now_us) <= team->requested_utok)
 		return false;
-	return now_us >= team->asked_us + MAX(RIGHTS_ASK_MORE_US, answer_us);
+	return now_us >=
+	    team->requested_us + MAX(RIGHTS_REQUEST_GAP_US, answer_us);
 }
 
 /* The loan from the present pool, while it runs. */
 static struct loom_borrowed *
-present_loan(
+current_loan(
     struct loom_rights *rights, struct rights_team *team, uint64_t now_us)
 {
 	struct loom_borrowed *in;
 
 	if (rights->parent.incarnation == 0)
 		return NULL;
-	in = loom_holding_lender(
-	    &team->holding, rights->parent.host_id, rights->parent.incarnation);
+	in = loom_bucket_find_loan(
+	    &team->bucket, rights->parent.host_id, rights->parent.incarnation);
 	return in != NULL && now_us < in->until_us ? in : NULL;
 }
 
@@ -131,26 +135,26 @@
 	uint64_t silent_us = now_us - MIN(now_us, team->called_us);
 
 	return team->demand_below_per_s +
-	    loom_loan_demand_per_s(
+	    loom_loan_reported_demand_per_s(
 		loom_demand_per_s(&team->demand, now_us), silent_us);
 }
 
 /* What is needed for calls that wait here and below, and ahead of calls. */
 static void
-fill_wants(struct loom_rights *rights, struct rights_team *team,
+fill_requested_tokens(struct loom_rights *rights, struct rights_team *team,
     uint64_t now_us, struct loom_rights_up_entry *entry)
 {
-	uint64_t level = team->holding.level_utok;
-	uint64_t waiting = wanted_utok(rights, team, now_us);
+	uint64_t level = team->bucket.level_utok;
+	uint64_t waiting = demanded_utok(rights, team, now_us);
 	uint64_t target, first = LOOM_TOKEN_UTOK;
-	struct rights_outloan *child;
+	struct rights_child_loan *child;
 
-	target = loom_loan_target_utok(
+	target = loom_loan_prefetch_target_utok(
 	    demand_per_s(team, now_us), rights->choice.stage > 0, team->plenty);
 	entry->need_utok = missing_utok(team, waiting);
 	if (team->nwaiters == 0 && waiting > 0) {
 		child = g_queue_peek_head(&team->waiting_children);
-		first = child->loan.first_utok;
+		first = child->lender_loan.first_utok;
 	}
 	if (entry->need_utok > 0)
 		entry->first_utok =
@@ -163,66 +167,66 @@
 fill_entry(struct loom_rights *rights, struct rights_team *team,
     uint64_t now_us, struct loom_rights_up_entry *entry)
 {
-	struct loom_borrowed *in = present_loan(rights, team, now_us);
+	struct loom_borrowed *in = current_loan(rights, team, now_us);
 
 	memset(entry, 0, sizeof(*entry));
 	entry->team_id = team->id;
-	entry->demand_mhz = (uint64_t)(demand_per_s(team, now_us) * MHZ);
-	entry->held_utok = team->holding.level_utok +
-	    loom_capacity_utok(&team->holding, team->holding.out.capacity);
+	entry->demand_mhz = (uint64_t)(demand_per_s(team, now_us) * MHZ_PER_HZ);
+	entry->held_utok = team->bucket.level_utok +
+	    loom_capacity_utok(&team->bucket, team->bucket.lent.capacity);
 	if (in == NULL)
 		return;
 	/* without refill, capacity beyond the tokens here serves nobody */
 	if (in->share.refill == 0)
 		in->share.capacity = MIN(in->share.capacity,
-		    loom_capacity_parts(&team->holding, entry->held_utok));
+		    loom_capacity_parts(&team->bucket, entry->held_utok));
 	entry->got_seq = in->seq;
 	entry->keep = in->share;
 }
 
 void
-rights_ask(
+rights_add_request(
     struct loom_rights *rights, struct rights_team *team, uint64_t now_us)
 {
 	struct loom_rights_up_entry *entry;
 
 	entry = &rights->up.entries[rights->up.nentries++];
 	fill_entry(rights, team, now_us, entry);
-	fill_wants(rights, team, now_us, entry);
-	team->asked_us = now_us;
-	team->asked_utok = entry->need_utok;
+	fill_requested_tokens(rights, team, now_us, entry);
+	team->requested_us = now_us;
+	team->requested_utok = entry->need_utok;
 }
 
 /* Hand back tokens, at most so many, with the capacity that holds them: the
  * pool might have no room for them in its own. */
 static void
-give_back(struct rights_team *team, struct loom_borrowed *in, uint64_t utok,
+return_tokens(struct rights_team *team, struct loom_borrowed *in, uint64_t utok,
     struct loom_rights_up_entry *entry)
 {
 	uint64_t parts, spare = 0;
 
-	utok = MIN(utok, team->holding.level_utok);
-	parts = loom_capacity_parts(&team->holding, utok);
+	utok = MIN(utok, team->bucket.level_utok);
+	parts = loom_capacity_parts(&team->bucket, utok);
 	if (in != NULL) {
 		spare = in->share.capacity -
-		    MIN(in->share.capacity, team->holding.out.capacity);
+		    MIN(in->share.capacity, team->bucket.lent.capacity);
 		in->share.capacity -= MIN(parts, spare);
 		entry->keep = in->share;
 	}
-	team->holding.level_utok -= utok;
+	team->bucket.level_utok -= utok;
 	entry->held_utok -= utok;
 	entry->give_utok = utok;
 }
 
 /* No call came for long: nothing of the team is kept here. */
 static void
-release_all(struct loom_rights *rights, struct rights_team *team,
+return_everything(struct loom_rights *rights, struct rights_team *team,
     uint64_t now_us, struct loom_rights_up_entry *entry)
 {
-	struct loom_borrowed *in = present_loan(rights, team, now_us);
+	struct loom_borrowed *in = current_loan(rights, team, now_us);
 
 	fill_entry(rights, team, now_us, entry);
-	give_back(team, in, team->holding.level_utok, entry);
+	return_tokens(team, in, team->bucket.level_utok, entry);
 	entry->keep = (struct loom_share){ 0 };
 	if (in != NULL)
 		in->share = entry->keep;
@@ -230,16 +234,16 @@
 
 /* Tokens to keep at a renewal; the rest serves others until the next. */
 static uint64_t
-kept_utok(struct loom_rights *rights, const struct rights_team *team,
+renewal_keep_utok(struct loom_rights *rights, const struct rights_team *team,
     const struct loom_borrowed *in, uint64_t now_us)
 {
 	uint64_t keep;
 
-	keep = loom_loan_target_utok(
+	keep = loom_loan_prefetch_target_utok(
 	    demand_per_s(team, now_us), rights->choice.stage > 0, team->plenty);
 	if (in != NULL && !team->scarce)
 		keep += (uint64_t)((double)in->share.refill /
-		    (double)LOOM_WHOLE * team->holding.rate_per_s *
+		    (double)LOOM_WHOLE * team->bucket.rate_per_s *
 		    (double)LOOM_LOAN_RENEW_US / 2);
 	return keep;
 }
@@ -248,15 +252,15 @@
 static bool
 is_used(const struct rights_team *team)
 {
-	return team->nwaiters > 0 || team->holding.out.capacity > 0 ||
-	    team->holding.out.refill > 0;
+	return team->nwaiters > 0 || team->bucket.lent.capacity > 0 ||
+	    team->bucket.lent.refill > 0;
 }
 
 /* Nothing of the team is borrowed, lent on, waited for or used up. */
 static bool
 is_idle(struct loom_rights *rights, struct rights_team *team, uint64_t now_us)
 {
-	struct loom_borrowed *in = present_loan(rights, team, now_us);
+	struct loom_borrowed *in = current_loan(rights, team, now_us);
 
 	return !is_used(team) && (in == NULL || in->share.capacity == 0) &&
 	    demand_per_s(team, now_us) < IDLE_PER_S;
@@ -266,66 +270,68 @@
 renew_locked(
     struct loom_rights *rights, struct rights_team *team, uint64_t now_us)
 {
-	struct loom_borrowed *in = present_loan(rights, team, now_us);
+	struct loom_borrowed *in = current_loan(rights, team, now_us);
 	bool used = is_used(team);
 	struct loom_rights_up_entry *entry;
 	uint64_t keep;
 	bool full, quiet;
 
-	loom_holding_advance(&team->holding, &team->shard->base, now_us);
+	loom_bucket_advance(&team->bucket, &team->shard->base, now_us);
 	if (is_idle(rights, team, now_us))
 		return;
 	if (!used &&
 	    (rights->leaving || demand_per_s(team, now_us) < IDLE_PER_S)) {
-		release_all(rights, team, now_us,
+		return_everything(rights, team, now_us,
 		    &rights->up.entries[rights->up.nentries++]);
 		return;
 	}
 	/* while a grant is on its way the pool cannot take the capacity back
 	 * yet, and would lose the tokens that come without it */
-	quiet = team->asked_us == 0;
-	keep = kept_utok(rights, team, in, now_us);
+	quiet = team->requested_us == 0;
+	keep = renewal_keep_utok(rights, team, in, now_us);
 	full = in != NULL && in->share.refill > 0 &&
-	    team->holding.level_utok + FULL_MARGIN_UTOK >=
-		loom_capacity_utok(&team->holding, in->share.capacity);
-	rights_ask(rights, team, now_us);
+	    team->bucket.level_utok + FULL_MARGIN_UTOK >=
+		loom_capacity_utok(&team->bucket, in->share.capacity);
+	rights_add_request(rights, team, now_us);
 	entry = &rights->up.entries[rights->up.nentries - 1];
-	if (quiet && (full || team->scarce) &&
-	    team->holding.level_utok > keep && entry->need_utok == 0)
-		give_back(team, in, team->holding.level_utok - keep, entry);
+	if (quiet && (full || team->scarce) && team->bucket.level_utok > keep &&
+	    entry->need_utok == 0)
+		return_tokens(team, in, team->bucket.level_utok - keep, entry);
 }
 
 /* How much a daemon has to say to its pool. */
-enum need {
-	NEED_IDLE, /* nothing of any team is in use */
-	NEED_CALM, /* what is in use, the pool has plenty of */
-	NEED_BUSY,
+enum urgency {
+	RENEWAL_IDLE, /* nothing of any team is in use */
+	RENEWAL_RELAXED, /* what is in use, the pool has plenty of */
+	RENEWAL_URGENT,
 };
 
-static enum need
-need_of(struct loom_rights *rights, struct rights_team *team, uint64_t now_us)
+static enum urgency
+urgency_of_team(
+    struct loom_rights *rights, struct rights_team *team, uint64_t now_us)
 {
 	if (is_idle(rights, team, now_us))
-		return NEED_IDLE;
-	return team->plenty && !is_used(team) ? NEED_CALM : NEED_BUSY;
+		return RENEWAL_IDLE;
+	return team->plenty && !is_used(team) ? RENEWAL_RELAXED
+					      : RENEWAL_URGENT;
 }
 
-static enum need
-need_of_all(struct loom_rights *rights, uint64_t now_us)
+static enum urgency
+urgency_of_all(struct loom_rights *rights, uint64_t now_us)
 {
-	enum need need = NEED_IDLE;
+	enum urgency urgency = RENEWAL_IDLE;
 	struct rights_team *team;
 	unsigned i;
 
 	if (rights->leaving)
-		return NEED_BUSY;
-	for (i = 0; need != NEED_BUSY && i < rights->teams->len; i++) {
+		return RENEWAL_URGENT;
+	for (i = 0; urgency != RENEWAL_URGENT && i < rights->teams->len; i++) {
 		team = g_ptr_array_index(rights->teams, i);
 		rights_lock(team);
-		need = MAX(need, need_of(rights, team, now_us));
+		urgency = MAX(urgency, urgency_of_team(rights, team, now_us));
 		rights_unlock(team);
 	}
-	return need;
+	return urgency;
 }
 
 static bool
@@ -339,9 +345,9 @@
  * is repeated; where tokens are few, demand that is known late costs refusals.
  */
 static bool
-calm_renewal_due(const struct loom_rights *rights, uint64_t now_us)
+relaxed_renewal_due(const struct loom_rights *rights, uint64_t now_us)
 {
-	return rights->parent.silent_us != 0 ||
+	return rights->parent.overdue_since_us != 0 ||
 	    now_us >= rights->parent.renewed_us + 2 * LOOM_LOAN_RENEW_US;
 }
 
@@ -349,8 +355,8 @@
 may_lend_up(const struct loom_rights *rights, uint64_t now_us)
 {
 	return rights->parent.incarnation != 0 &&
-	    rights_pool_answers(rights, now_us) &&
-	    rights->parent.leave_us == 0 && !rights->leaving;
+	    rights_pool_responds(rights, now_us) &&
+	    rights->parent.leave_at_us == 0 && !rights->leaving;
 }
 
 /*
@@ -362,13 +368,13 @@
     struct loom_rights *rights, uint64_t duration_us, uint64_t now_us)
 {
 	const struct rights_parent *parent = &rights->parent;
-	uint64_t gap_us =
-	    loom_loan_idle_us(rights->choice.stages, is_large_fleet(rights));
+	uint64_t gap_us = loom_loan_idle_renew_us(
+	    rights->choice.stages, is_large_fleet(rights));
 
-	if (parent->silent_us != 0 || now_us >= parent->asked_us + gap_us)
+	if (parent->overdue_since_us != 0 || now_us >= parent->sent_us + gap_us)
 		return true;
 	return may_lend_up(rights, now_us) &&
-	    (!parent->lent_idle ||
+	    (!parent->lent_for_idle ||
 		parent->lent_parts !=
 		    rights_lendable_up(rights, duration_us, now_us));
 }
@@ -380,7 +386,7 @@
 	struct rights_parent *parent = &rights->parent;
 
 	parent->lent_parts = rights_lend_up(rights, duration_us, now_us);
-	parent->lent_idle = idle;
+	parent->lent_for_idle = idle;
 	rights->up.lend_parts = parent->lent_parts;
 	rights->up.lend_us = duration_us;
 	/* what is lent must leave here before the message does */
@@ -393,24 +399,25 @@
 	const struct loom_pool_choice *choice = &rights->choice;
 	struct rights_team *team;
 	uint64_t duration_us;
-	enum need need;
+	enum urgency urgency;
 	unsigned i;
 
 	if (rights->parent.host_id == 0)
 		return;
 	rights_flush_up(rights, now_us);
-	need = need_of_all(rights, now_us);
-	duration_us = need == NEED_IDLE
-	    ? loom_loan_idle_up_us(
+	urgency = urgency_of_all(rights, now_us);
+	duration_us = urgency == RENEWAL_IDLE
+	    ? loom_loan_idle_to_parent_us(
 		  choice->stage, choice->stages, is_large_fleet(rights))
-	    : loom_loan_up_us(choice->stage, choice->stages);
-	if (need == NEED_IDLE && !idle_renewal_due(rights, duration_us, now_us))
+	    : loom_loan_to_parent_us(choice->stage, choice->stages);
+	if (urgency == RENEWAL_IDLE &&
+	    !idle_renewal_due(rights, duration_us, now_us))
 		return;
-	if (need == NEED_CALM && !calm_renewal_due(rights, now_us))
+	if (urgency == RENEWAL_RELAXED && !relaxed_renewal_due(rights, now_us))
 		return;
 	rights->parent.renewed_us = now_us;
 	if (may_lend_up(rights, now_us))
-		lend_base(rights, need == NEED_IDLE, duration_us, now_us);
+		lend_base(rights, urgency == RENEWAL_IDLE, duration_us, now_us);
 	for (i = 0; i < rights->teams->len; i++) {
 		if (rights->up.nentries == LOOM_RIGHTS_ENTRIES_MAX)
 			rights_flush_up(rights, now_us);
@@ -423,12 +430,12 @@
 }
 
 static void
-take_grant(struct loom_rights *rights, const struct loom_from *from,
+apply_grant(struct loom_rights *rights, const struct loom_from *from,
     struct rights_team *team, const struct loom_rights_down_entry *entry,
     uint64_t now_us)
 {
 	const struct loom_rights_down *down = &rights->down_read;
-	struct loom_grant_in grant = {
+	struct loom_grant grant = {
 		.lender_host_id = from->host_id,
 		.lender_incarnation = from->incarnation,
 		.seq = down->seq,
@@ -436,39 +443,40 @@
 		.tokens_utok = entry->tokens_utok -
 		    MIN(entry->tokens_utok, entry->flash_utok),
 		.until_us = down->child_now_us +
-		    loom_loan_borrower_us(entry->duration_us),
+		    loom_loan_borrower_duration_us(entry->duration_us),
 	};
 
-	if (!loom_holding_grant(
-		&team->holding, &team->shard->base, &grant, now_us))
+	if (!loom_bucket_apply_grant(
+		&team->bucket, &team->shard->base, &grant, now_us))
 		return;
 	/* the pool counts their capacity as lent for no longer */
 	if (entry->flash_utok > 0 &&
-	    now_us <
-		down->child_now_us + loom_loan_borrower_us(LOOM_LOAN_FLASH_US))
-		rights_serve_flash(
+	    now_us < down->child_now_us +
+		    loom_loan_borrower_duration_us(LOOM_LOAN_TRANSIT_US))
+		rights_serve_transit(
 		    team, entry->flash_utok, now_us, &rights->last_done);
 }
 
 static void
-recalled(struct loom_rights *rights, struct rights_team *team, uint64_t now_us)
+return_recalled(
+    struct loom_rights *rights, struct rights_team *team, uint64_t now_us)
 {
 	uint64_t waiting = team->nwaiters * LOOM_TOKEN_UTOK;
 	struct loom_rights_up_entry *entry;
 
-	team->recall_below = g_hash_table_size(team->outloans) > 0;
+	team->recall_pending = g_hash_table_size(team->child_loans) > 0;
 	rights_watch(rights, team);
-	loom_holding_advance(&team->holding, &team->shard->base, now_us);
-	if (team->holding.level_utok <= waiting)
+	loom_bucket_advance(&team->bucket, &team->shard->base, now_us);
+	if (team->bucket.level_utok <= waiting)
 		return;
 	entry = &rights->up.entries[rights->up.nentries++];
 	fill_entry(rights, team, now_us, entry);
-	give_back(team, present_loan(rights, team, now_us),
-	    team->holding.level_utok - waiting, entry);
+	return_tokens(team, current_loan(rights, team, now_us),
+	    team->bucket.level_utok - waiting, entry);
 }
 
 static void
-heard_entry(struct loom_rights *rights, const struct loom_from *from,
+receive_entry(struct loom_rights *rights, const struct loom_from *from,
     const struct loom_rights_down_entry *entry, uint64_t now_us)
 {
 	struct rights_team *team;
@@ -479,20 +487,21 @@
 	if (team == NULL)
 		return;
 	if ((entry->flags & LOOM_RIGHTS_GRANT) != 0)
-		take_grant(rights, from, team, entry, now_us);
+		apply_grant(rights, from, team, entry, now_us);
 	if (from->host_id == rights->parent.host_id) {
 		team->scarce = (entry->flags & LOOM_RIGHTS_SCARCE) != 0;
 		team->plenty = (entry->flags & LOOM_RIGHTS_PLENTY) != 0;
 		/* what came is no longer asked for: calls that joined the
 		 * wait meanwhile are */
-		team->asked_utok -= MIN(team->asked_utok, entry->tokens_utok);
+		team->requested_utok -=
+		    MIN(team->requested_utok, entry->tokens_utok);
 		if ((entry->flags & LOOM_RIGHTS_GRANT) != 0 &&
 		    need_utok(rights, team, now_us) == 0)
-			team->asked_us = 0;
+			team->requested_us = 0;
 		if (entry->retry_us > 0)
-			team->empty_until_us = now_us + entry->retry_us;
+			team->no_tokens_until_us = now_us + entry->retry_us;
 		if ((entry->flags & LOOM_RIGHTS_RECALL) != 0)
-			recalled(rights, team, now_us);
+			return_recalled(rights, team, now_us);
 	}
 	if (team->nwaiters > 0)
 		rights_watch(rights, team);
@@ -502,20 +511,20 @@
 /* The first message that echoes a time is the answer to that question; later
  * ones bring what the pool gives unasked. */
 static void
-note_answer_time(
+update_response_time(
     struct rights_parent *parent, uint64_t child_now_us, uint64_t now_us)
 {
-	if (child_now_us <= parent->echoed_us)
+	if (child_now_us <= parent->newest_echo_us)
 		return;
-	parent->echoed_us = child_now_us;
-	parent->answer_us = parent->answer_us * (ANSWER_SMOOTHING - 1) +
+	parent->newest_echo_us = child_now_us;
+	parent->response_us = parent->response_us * (RESPONSE_SMOOTHING - 1) +
 	    (now_us - child_now_us);
-	parent->answer_us /= ANSWER_SMOOTHING;
+	parent->response_us /= RESPONSE_SMOOTHING;
 }
 
 /* True when the message is the newest of its sender. */
 static bool
-heard_parent(
+note_parent_message(
     struct loom_rights *rights, const struct loom_from *from, uint64_t now_us)
 {
 	const struct loom_rights_down *down = &rights->down_read;
@@ -526,21 +535,22 @@
 	if (from->incarnation != parent->incarnation) {
 		parent->incarnation = from->incarnation;
 		parent->seq = 0;
-		parent->lent_idle = false;
+		parent->lent_for_idle = false;
 	}
 	if (down->seq <= parent->seq)
 		return false;
 	parent->seq = down->seq;
 	parent->now_us = down->now_us;
-	parent->heard_us = now_us;
-	note_answer_time(parent, down->child_now_us, now_us);
+	parent->received_us = now_us;
+	update_response_time(parent, down->child_now_us, now_us);
 	/* an answer to an older message leaves the last one open */
-	parent->silent_us = down->child_now_us >= parent->asked_us ? 0 : now_us;
+	parent->overdue_since_us =
+	    down->child_now_us >= parent->sent_us ? 0 : now_us;
 	return true;
 }
 
 void
-rights_heard_down(struct loom_rights *rights, const struct loom_from *from,
+rights_receive_down(struct loom_rights *rights, const struct loom_from *from,
     const uint8_t *payload, size_t len, uint64_t now_us)
 {
 	struct loom_rights_down *down = &rights->down_read;
@@ -554,15 +564,15 @@
 	if (down->child_incarnation != rights->self.incarnation ||
 	    down->child_now_us > now_us)
 		return;
-	if (!heard_parent(rights, from, now_us))
+	if (!note_parent_message(rights, from, now_us))
 		return;
 	for (i = 0; i < down->nentries; i++)
-		heard_entry(rights, from, &down->entries[i], now_us);
+		receive_entry(rights, from, &down->entries[i], now_us);
 	rights_flush_up(rights, now_us);
 	if (down->leaving) {
 		rights_set_silent(rights, from->host_id);
 		rights_choose_parent(rights, now_us);
-	} else if (g_hash_table_remove(rights->silent, &from->host_id)) {
+	} else if (g_hash_table_remove(rights->silent_hosts, &from->host_id)) {
 		rights_choose_parent(rights, now_us);
 	}
 }
--- a/src/control/rights_parent.c
+++ b/src/control/rights_parent.c
@@ -7,7 +7,7 @@
 /* Five renewals unanswered.  With a tenth of all messages lost this takes a
  * healthy pool for dead once in 4,000 tries, and a wrong guess only costs
  * balance. */
-#define SILENT_US (5 * LOOM_LOAN_RENEW_US)
+#define POOL_TIMEOUT_US (5 * LOOM_LOAN_RENEW_US)
 /* A silent pool of first choice is tried again. */
 #define PROBE_US UINT64_C(1000000)
 /* Longer than an idle daemon takes between two renewals. */
@@ -18,11 +18,11 @@
 {
 	struct loom_rights *rights = arg;
 
-	return !g_hash_table_contains(rights->silent, &host_id);
+	return !g_hash_table_contains(rights->silent_hosts, &host_id);
 }
 
 static void
-forget_answers(struct loom_rights *rights)
+reset_team_requests(struct loom_rights *rights)
 {
 	struct rights_team *team;
 	unsigned i;
@@ -30,8 +30,8 @@
 	for (i = 0; i < rights->teams->len; i++) {
 		team = g_ptr_array_index(rights->teams, i);
 		rights_lock(team);
-		team->asked_us = 0;
-		team->empty_until_us = 0;
+		team->requested_us = 0;
+		team->no_tokens_until_us = 0;
 		team->scarce = false;
 		team->plenty = false;
 		rights_unlock(team);
@@ -39,10 +39,10 @@
 }
 
 bool
-rights_pool_answers(const struct loom_rights *rights, uint64_t now_us)
+rights_pool_responds(const struct loom_rights *rights, uint64_t now_us)
 {
-	return rights->parent.silent_us == 0 ||
-	    now_us <= rights->parent.silent_us + SILENT_US;
+	return rights->parent.overdue_since_us == 0 ||
+	    now_us <= rights->parent.overdue_since_us + POOL_TIMEOUT_US;
 }
 
 /*
@@ -51,16 +51,16 @@
  * is lent nothing more, but asked, until the last of them has ended.
  */
 static bool
-still_leaving(struct loom_rights *rights, uint64_t now_us)
+must_delay_switch(struct loom_rights *rights, uint64_t now_us)
 {
 	struct rights_parent *parent = &rights->parent;
 
-	if (parent->incarnation == 0 || !rights_pool_answers(rights, now_us))
+	if (parent->incarnation == 0 || !rights_pool_responds(rights, now_us))
 		return false;
-	if (parent->leave_us == 0)
-		parent->leave_us =
+	if (parent->leave_at_us == 0)
+		parent->leave_at_us =
 		    MAX(now_us, rights_lent_until_us(rights, parent->host_id));
-	return now_us < parent->leave_us;
+	return now_us < parent->leave_at_us;
 }
 
 void
@@ -71,19 +71,20 @@
 	if (rights->hosts == NULL || rights->settings.shares_only)
 		return;
 	rights->choice = loom_pool_choose(rights->hosts, &rights->self,
-	    rights->settings.partition, &rights->below, is_usable, rights);
+	    rights->settings.partition, &rights->recent_children, is_usable,
+	    rights);
 	rights->grantable_until_us = 0;
 	if (rights->choice.parent_host_id == old)
-		rights->parent.leave_us = 0;
-	else if (old == 0 || !still_leaving(rights, now_us)) {
+		rights->parent.leave_at_us = 0;
+	else if (old == 0 || !must_delay_switch(rights, now_us)) {
 		rights->parent = (struct rights_parent){
 			.host_id = rights->choice.parent_host_id,
-			.heard_us = now_us,
-			.silent_us = now_us,
+			.received_us = now_us,
+			.overdue_since_us = now_us,
 		};
-		forget_answers(rights);
+		reset_team_requests(rights);
 	}
-	atomic_store(&rights->may_ask,
+	atomic_store(&rights->may_borrow,
 	    rights->parent.host_id != 0 ||
 		g_hash_table_size(rights->children) > 0);
 }
@@ -94,24 +95,25 @@
 	uint64_t *key = g_new(uint64_t, 1);
 
 	*key = host_id;
-	g_hash_table_add(rights->silent, key);
+	g_hash_table_add(rights->silent_hosts, key);
 }
 
 static void
-add_below(struct loom_pool_below *below, const struct rights_child *child)
+add_pool_child(
+    struct loom_pool_children *below, const struct rights_child *child)
 {
 	below->any = true;
-	below->stage = MAX(below->stage, child->stage);
+	below->highest_stage = MAX(below->highest_stage, child->stage);
 }
 
 static void
-set_below(struct loom_rights *rights, const struct loom_pool_below *below,
-    uint64_t now_us)
+set_pool_children(struct loom_rights *rights,
+    const struct loom_pool_children *below, uint64_t now_us)
 {
-	if (below->any == rights->below.any &&
-	    below->stage == rights->below.stage)
+	if (below->any == rights->recent_children.any &&
+	    below->highest_stage == rights->recent_children.highest_stage)
 		return;
-	rights->below = *below;
+	rights->recent_children = *below;
 	rights_choose_parent(rights, now_us);
 }
 
@@ -119,25 +121,25 @@
 rights_note_child(struct loom_rights *rights, const struct rights_child *child,
     uint64_t now_us)
 {
-	struct loom_pool_below below = rights->below;
+	struct loom_pool_children below = rights->recent_children;
 
-	add_below(&below, child);
-	set_below(rights, &below, now_us);
+	add_pool_child(&below, child);
+	set_pool_children(rights, &below, now_us);
 }
 
 static void
 check_children(struct loom_rights *rights, uint64_t now_us)
 {
-	struct loom_pool_below below = { 0 };
+	struct loom_pool_children below = { 0 };
 	struct rights_child *child;
 	GHashTableIter iter;
 
 	g_hash_table_iter_init(&iter, rights->children);
 	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&child)) {
-		if (now_us < child->heard_us + CHILD_RECENT_US)
-			add_below(&below, child);
+		if (now_us < child->received_us + CHILD_RECENT_US)
+			add_pool_child(&below, child);
 	}
-	set_below(rights, &below, now_us);
+	set_pool_children(rights, &below, now_us);
 }
 
 void
@@ -147,11 +149,11 @@
 
 	check_children(rights, now_us);
 	if (rights->parent.host_id != 0 &&
-	    !rights_pool_answers(rights, now_us)) {
+	    !rights_pool_responds(rights, now_us)) {
 		rights_set_silent(rights, rights->parent.host_id);
 		rights_choose_parent(rights, now_us);
-	} else if (rights->parent.leave_us != 0 &&
-	    now_us >= rights->parent.leave_us) {
+	} else if (rights->parent.leave_at_us != 0 &&
+	    now_us >= rights->parent.leave_at_us) {
 		rights_choose_parent(rights, now_us);
 	}
 	preferred = rights->choice.preferred_host_id;
--- a/src/control/rights_pool.c
+++ b/src/control/rights_pool.c
@@ -15,7 +15,7 @@
  * of each child once in that time, not once a call.
  */
 #define EMPTY_MAX_US UINT64_C(50000)
-#define MHZ 1000.0
+#define MHZ_PER_HZ 1000.0
 
 void
 rights_send_down(
@@ -39,7 +39,7 @@
 
 /* Begin a message; its number is also that of the grants in it. */
 void
-rights_begin_down(struct loom_rights *rights)
+rights_start_down(struct loom_rights *rights)
 {
 	rights->down.seq = ++rights->seq;
 	rights->down.nentries = 0;
@@ -68,51 +68,52 @@
 	child->from = *from;
 	child->number = ++rights->last_child;
 	g_hash_table_add(rights->children, child);
-	atomic_store(&rights->may_ask, true);
+	atomic_store(&rights->may_borrow, true);
 	return child;
 }
 
-static struct rights_outloan *
-find_outloan(struct rights_team *team, struct rights_child *child)
+static struct rights_child_loan *
+find_or_add_child_loan(struct rights_team *team, struct rights_child *child)
 {
-	struct rights_outloan *out;
+	struct rights_child_loan *out;
 
-	out = g_hash_table_lookup(team->outloans, &child->number);
+	out = g_hash_table_lookup(team->child_loans, &child->number);
 	if (out != NULL)
 		return out;
-	out = g_new0(struct rights_outloan, 1);
+	out = g_new0(struct rights_child_loan, 1);
 	out->child = child;
 	child->nloans++;
-	g_hash_table_insert(team->outloans, &child->number, out);
+	g_hash_table_insert(team->child_loans, &child->number, out);
 	return out;
 }
 
 void
-rights_count_out(struct rights_team *team, const struct loom_share *old,
+rights_update_lent(struct rights_team *team, const struct loom_share *old,
     const struct loom_share *new)
 {
-	struct loom_share *out = &team->holding.out;
+	struct loom_share *out = &team->bucket.lent;
 
 	out->refill = out->refill - old->refill + new->refill;
 	out->capacity = out->capacity - old->capacity + new->capacity;
 }
 
 static void
-set_demand(struct rights_team *team, struct rights_outloan *out, double per_s)
+set_demand(
+    struct rights_team *team, struct rights_child_loan *out, double per_s)
 {
-	team->demand_below_per_s += per_s - out->loan.demand_per_s;
+	team->demand_below_per_s += per_s - out->lender_loan.demand_per_s;
 	if (team->demand_below_per_s < 0)
 		team->demand_below_per_s = 0;
-	out->loan.demand_per_s = per_s;
+	out->lender_loan.demand_per_s = per_s;
 }
 
 void
-rights_stop_waiting(struct rights_team *team, struct rights_outloan *out)
+rights_stop_waiting(struct rights_team *team, struct rights_child_loan *out)
 {
 	if (out->waiting)
 		g_queue_remove(&team->waiting_children, out);
 	out->waiting = false;
-	out->loan.need_utok = 0;
+	out->lender_loan.need_utok = 0;
 }
 
 /* The loan's duration and what may be lent for all of it. */
@@ -127,39 +128,41 @@
 
 	share->refill = share->capacity = rights->grantable_parts;
 	for (i = 0; i < LOOM_LENDERS_MAX; i++) {
-		if (team->holding.in[i].until_us < now_us + least_us)
+		if (team->bucket.borrowed[i].until_us < now_us + least_us)
 			continue;
-		left_us = team->holding.in[i].until_us - now_us;
+		left_us = team->bucket.borrowed[i].until_us - now_us;
 		duration_us = MIN(duration_us, left_us);
-		share->refill += team->holding.in[i].share.refill;
-		share->capacity += team->holding.in[i].share.capacity;
+		share->refill += team->bucket.borrowed[i].share.refill;
+		share->capacity += team->bucket.borrowed[i].share.capacity;
 	}
 	return duration_us;
 }
 
 static struct loom_share
-lent_to_others(const struct rights_team *team, const struct rights_outloan *out)
+lent_to_others(
+    const struct rights_team *team, const struct rights_child_loan *out)
 {
 	return (struct loom_share){
-		.refill = team->holding.out.refill - out->loan.commit.refill,
-		.capacity =
-		    team->holding.out.capacity - out->loan.commit.capacity,
+		.refill = team->bucket.lent.refill -
+		    out->lender_loan.committed.refill,
+		.capacity = team->bucket.lent.capacity -
+		    out->lender_loan.committed.capacity,
 	};
 }
 
 static struct loom_share
 whole_share(const struct rights_team *team, uint64_t now_us)
 {
-	struct loom_holding all = team->holding;
+	struct loom_team_bucket all = team->bucket;
 
-	all.out = (struct loom_share){ 0 };
-	return loom_holding_net(&all, &team->shard->base, now_us);
+	all.lent = (struct loom_share){ 0 };
+	return loom_bucket_usable_share(&all, &team->shard->base, now_us);
 }
 
 static double
 refill_per_s(const struct rights_team *team, uint64_t now_us)
 {
-	return team->holding.rate_per_s *
+	return team->bucket.rate_per_s *
 	    (double)whole_share(team, now_us).refill / (double)LOOM_WHOLE;
 }
 
@@ -179,97 +182,101 @@
 bool
 rights_is_under_rate(struct rights_team *team, uint64_t now_us)
 {
-	if (!loom_loan_is_under_rate(&team->holding, whole_share(team, now_us),
+	if (!loom_loan_is_under_rate(&team->bucket, whole_share(team, now_us),
 		demand_all_per_s(team, now_us)))
 		team->near_rate_us = now_us;
 	return now_us >= team->near_rate_us + UNDER_RATE_US;
 }
 
 void
-rights_end_flashes(struct rights_team *team, uint64_t now_us)
+rights_end_transits(struct rights_team *team, uint64_t now_us)
 {
-	const struct rights_flash *flash;
+	const struct rights_transit *flash;
 	guint n = 0;
 
-	for (; n < team->flashes->len; n++) {
-		flash = &g_array_index(team->flashes, struct rights_flash, n);
+	for (; n < team->transits->len; n++) {
+		flash =
+		    &g_array_index(team->transits, struct rights_transit, n);
 		if (now_us < flash->until_us)
 			break;
-		team->holding.out.capacity -= flash->parts;
+		team->bucket.lent.capacity -= flash->parts;
 	}
 	if (n > 0)
-		g_array_remove_range(team->flashes, 0, n);
+		g_array_remove_range(team->transits, 0, n);
 }
 
 static void
-begin_flash(struct rights_team *team, uint64_t utok, uint64_t now_us)
+begin_transit(struct rights_team *team, uint64_t utok, uint64_t now_us)
 {
-	struct rights_flash flash = {
-		.parts = loom_capacity_parts(&team->holding, utok),
-		.until_us = now_us + LOOM_LOAN_FLASH_US,
+	struct rights_transit flash = {
+		.parts = loom_capacity_parts(&team->bucket, utok),
+		.until_us = now_us + LOOM_LOAN_TRANSIT_US,
 	};
 
-	team->holding.out.capacity += flash.parts;
-	g_array_append_val(team->flashes, flash);
+	team->bucket.lent.capacity += flash.parts;
+	g_array_append_val(team->transits, flash);
 }
 
 /* Decide a loan and put it on the message.  The shard is locked. */
 void
 rights_grant(struct loom_rights *rights, struct rights_team *team,
-    struct rights_outloan *out, uint64_t ahead_utok, uint64_t now_us)
+    struct rights_child_loan *out, uint64_t ahead_utok, uint64_t now_us)
 {
-	struct loom_holding *holding = &team->holding;
-	const struct loom_base *base = &team->shard->base;
-	struct loom_loan_question ask = {
-		.committed = out->loan.commit,
-		.demand_per_s = out->loan.demand_per_s,
+	struct loom_team_bucket *holding = &team->bucket;
+	const struct loom_base_share *base = &team->shard->base;
+	struct loom_loan_request ask = {
+		.committed = out->lender_loan.committed,
+		.demand_per_s = out->lender_loan.demand_per_s,
 		.held_utok = out->held_utok,
-		.need_utok = out->loan.need_utok,
-		.first_utok = out->loan.first_utok,
-		.ahead_utok = ahead_utok,
+		.need_utok = out->lender_loan.need_utok,
+		.first_utok = out->lender_loan.first_utok,
+		.prefetch_utok = ahead_utok,
 		.borrower_is_pool = out->child->stage > 0,
 		.first_in_line = g_queue_is_empty(&team->waiting_children),
 	};
 	struct loom_rights_down_entry *entry = rights_add_entry(rights, team);
-	struct loom_share before = out->loan.commit;
-	struct loom_loan_answer answer;
+	struct loom_share before = out->lender_loan.committed;
+	struct loom_loan_decision answer;
 	uint64_t duration_us;
 
-	loom_holding_advance(holding, base, now_us);
-	rights_end_flashes(team, now_us);
-	duration_us = lendable(rights, team, now_us, &ask.free);
-	ask.others = lent_to_others(team, out);
-	ask.free.refill -= MIN(ask.free.refill, ask.others.refill);
-	ask.free.capacity -= MIN(ask.free.capacity, ask.others.capacity);
-	ask.whole = whole_share(team, now_us);
+	loom_bucket_advance(holding, base, now_us);
+	rights_end_transits(team, now_us);
+	duration_us = lendable(rights, team, now_us, &ask.lendable);
+	ask.lent_to_others = lent_to_others(team, out);
+	ask.lendable.refill -=
+	    MIN(ask.lendable.refill, ask.lent_to_others.refill);
+	ask.lendable.capacity -=
+	    MIN(ask.lendable.capacity, ask.lent_to_others.capacity);
+	ask.team_share = whole_share(team, now_us);
 	ask.level_utok = holding->level_utok;
 	ask.spare_utok = loom_capacity_utok(
-	    holding, loom_holding_net(holding, base, now_us).capacity);
+	    holding, loom_bucket_usable_share(holding, base, now_us).capacity);
 	ask.demand_all_per_s =
 	    team->demand_below_per_s + loom_demand_per_s(&team->demand, now_us);
 	ask.plenty = rights->parent.host_id != 0
 	    ? team->plenty
 	    : rights_is_under_rate(team, now_us);
 	answer = loom_loan_decide(holding, &ask);
-	holding->level_utok -= answer.tokens_utok;
-	loom_outloan_sent(
-	    &out->loan, rights->down.seq, answer.share, now_us + duration_us);
-	rights_count_out(team, &before, &out->loan.commit);
-	if (answer.flash_utok > 0)
-		begin_flash(team, answer.flash_utok, now_us);
-	loom_holding_put(holding, base, 0, now_us);
-	out->held_utok += answer.tokens_utok - answer.flash_utok;
-	out->loan.need_utok = answer.unmet_utok;
-	if (answer.unmet_utok > 0 && answer.tokens_utok > 0)
-		out->loan.first_utok = MIN(LOOM_TOKEN_UTOK, answer.unmet_utok);
+	holding->level_utok -= answer.added_utok;
+	loom_lender_loan_sent(&out->lender_loan, rights->down.seq, answer.share,
+	    now_us + duration_us);
+	rights_update_lent(team, &before, &out->lender_loan.committed);
+	if (answer.transit_utok > 0)
+		begin_transit(team, answer.transit_utok, now_us);
+	loom_bucket_add(holding, base, 0, now_us);
+	out->held_utok += answer.added_utok - answer.transit_utok;
+	out->lender_loan.need_utok = answer.unmet_utok;
+	if (answer.unmet_utok > 0 && answer.added_utok > 0)
+		out->lender_loan.first_utok =
+		    MIN(LOOM_TOKEN_UTOK, answer.unmet_utok);
 	entry->flags = LOOM_RIGHTS_GRANT;
 	if (answer.scarce)
 		entry->flags |= LOOM_RIGHTS_SCARCE;
 	if (answer.plenty)
 		entry->flags |= LOOM_RIGHTS_PLENTY;
 	entry->share = answer.share;
-	entry->tokens_utok = answer.tokens_utok;
-	entry->flash_utok = answer.flash_utok;
+	entry->tokens_utok = answer.added_utok;
+	entry->flash_utok = answer.transit_utok;
 	entry->duration_us = duration_us;
 }
 
@@ -290,16 +297,17 @@
 /* At the topmost pool: how long nothing comes by refill or recall; 0 when
  * something may come in time. */
 static uint64_t
-empty_here_us(const struct rights_team *team, const struct rights_outloan *out,
-    uint64_t now_us)
+empty_here_us(const struct rights_team *team,
+    const struct rights_child_loan *out, uint64_t now_us)
 {
 	uint64_t wait_us;
 
 	if (rights_is_over_rate(team, now_us))
 		return EMPTY_MAX_US;
-	wait_us = loom_holding_wait_us(&team->holding, &team->shard->base,
-	    rights_children_need(team) + out->loan.first_utok, now_us);
-	if (wait_us <= LOOM_RIGHTS_WAIT_US || rights_may_recall(team, now_us))
+	wait_us = loom_bucket_wait_us(&team->bucket, &team->shard->base,
+	    rights_children_need(team) + out->lender_loan.first_utok, now_us);
+	if (wait_us <= LOOM_RIGHTS_WAIT_US ||
+	    rights_recall_allowed(team, now_us))
 		return 0;
 	/* tokens also come to the child itself meanwhile */
 	return MIN(wait_us / 2, EMPTY_MAX_US);
@@ -309,53 +317,54 @@
  * above or by a recall?  If not, its calls are refused at once. */
 static void
 wait_or_refuse(struct loom_rights *rights, struct rights_team *team,
-    struct rights_outloan *out, uint64_t now_us)
+    struct rights_child_loan *out, uint64_t now_us)
 {
 	struct loom_rights_down_entry *entry;
 
 	entry = &rights->down.entries[rights->down.nentries - 1];
 	if (rights->parent.host_id != 0)
-		entry->retry_us =
-		    team->empty_until_us - MIN(now_us, team->empty_until_us);
+		entry->retry_us = team->no_tokens_until_us -
+		    MIN(now_us, team->no_tokens_until_us);
 	else
 		entry->retry_us = empty_here_us(team, out, now_us);
 	if (entry->retry_us > 0) {
-		out->loan.need_utok = 0;
+		out->lender_loan.need_utok = 0;
 		return;
 	}
-	out->loan.need_until_us = now_us + LOOM_RIGHTS_WAIT_US;
+	out->lender_loan.need_until_us = now_us + LOOM_RIGHTS_WAIT_US;
 	out->waiting = true;
 	g_queue_push_tail(&team->waiting_children, out);
 	rights_watch(rights, team);
 }
 
 static void
-heard_entry(struct loom_rights *rights, struct rights_child *child,
+receive_entry(struct loom_rights *rights, struct rights_child *child,
     const struct loom_rights_up_entry *entry, uint64_t now_us)
 {
 	struct rights_team *team = rights_team_locked(rights, entry->team_id);
-	struct rights_outloan *out;
+	struct rights_child_loan *out;
 	struct loom_share before;
 
 	if (team == NULL)
 		return;
-	loom_holding_advance(&team->holding, &team->shard->base, now_us);
-	out = find_outloan(team, child);
+	loom_bucket_advance(&team->bucket, &team->shard->base, now_us);
+	out = find_or_add_child_loan(team, child);
 	rights_stop_waiting(team, out);
-	before = out->loan.commit;
-	if (now_us >= out->loan.until_us)
-		out->loan.commit = (struct loom_share){ 0 };
-	loom_outloan_confirm(&out->loan, entry->got_seq, entry->keep);
-	rights_count_out(team, &before, &out->loan.commit);
-	loom_holding_put(
-	    &team->holding, &team->shard->base, entry->give_utok, now_us);
-	team->regained_utok += entry->give_utok;
-	set_demand(team, out, (double)entry->demand_mhz / MHZ);
+	before = out->lender_loan.committed;
+	if (now_us >= out->lender_loan.until_us)
+		out->lender_loan.committed = (struct loom_share){ 0 };
+	loom_lender_loan_confirm(
+	    &out->lender_loan, entry->got_seq, entry->keep);
+	rights_update_lent(team, &before, &out->lender_loan.committed);
+	loom_bucket_add(
+	    &team->bucket, &team->shard->base, entry->give_utok, now_us);
+	team->returned_utok += entry->give_utok;
+	set_demand(team, out, (double)entry->demand_mhz / MHZ_PER_HZ);
 	out->held_utok = entry->held_utok;
-	out->loan.need_utok = entry->need_utok;
-	out->loan.first_utok = entry->first_utok;
+	out->lender_loan.need_utok = entry->need_utok;
+	out->lender_loan.first_utok = entry->first_utok;
 	rights_grant(rights, team, out, entry->ahead_utok, now_us);
-	if (out->loan.need_utok > 0)
+	if (out->lender_loan.need_utok > 0)
 		wait_or_refuse(rights, team, out, now_us);
 	if (!g_queue_is_empty(&team->waiting_children) || team->nwaiters > 0)
 		rights_watch(rights, team);
@@ -367,7 +376,7 @@
  * sent later than that, so its own end of the loan is later than this one.
  */
 static void
-heard_lend(struct loom_rights *rights, struct rights_child *child,
+receive_base_loan(struct loom_rights *rights, struct rights_child *child,
     const struct loom_rights_up *up, uint64_t now_us)
 {
 	uint64_t until_us;
@@ -376,7 +385,8 @@
 	    up->pool_incarnation != rights->self.incarnation ||
 	    up->pool_now_us > now_us)
 		return;
-	until_us = up->pool_now_us + loom_loan_borrower_us(up->lend_us);
+	until_us =
+	    up->pool_now_us + loom_loan_borrower_duration_us(up->lend_us);
 	if (until_us <= now_us)
 		return;
 	if (child->lend_parts != up->lend_parts)
@@ -386,7 +396,7 @@
 }
 
 void
-rights_heard_up(struct loom_rights *rights, const struct loom_from *from,
+rights_receive_up(struct loom_rights *rights, const struct loom_from *from,
     const uint8_t *payload, size_t len, uint64_t now_us)
 {
 	struct loom_rights_up *up = &rights->up_read;
@@ -397,19 +407,19 @@
 		loom_counter_add(rights->counters.malformed, 1);
 		return;
 	}
-	rights_keep_fresh(rights, now_us);
+	rights_refresh_if_stale(rights, now_us);
 	child = find_child(rights, from);
 	/* repeated or overtaken: its tokens may have been counted already */
 	if (up->seq <= child->seq)
 		return;
 	child->seq = up->seq;
 	child->child_now_us = up->now_us;
-	child->heard_us = now_us;
+	child->received_us = now_us;
 	child->stage = up->stage;
-	heard_lend(rights, child, up, now_us);
-	rights_begin_down(rights);
+	receive_base_loan(rights, child, up, now_us);
+	rights_start_down(rights);
 	for (i = 0; i < up->nentries; i++)
-		heard_entry(rights, child, &up->entries[i], now_us);
+		receive_entry(rights, child, &up->entries[i], now_us);
 	rights_send_down(rights, child, now_us);
 	rights_note_child(rights, child, now_us);
 }
@@ -417,31 +427,32 @@
 uint64_t
 rights_children_need(const struct rights_team *team)
 {
-	const struct rights_outloan *out;
+	const struct rights_child_loan *out;
 	uint64_t need_utok = 0;
 	GList *link;
 
 	for (link = team->waiting_children.head; link != NULL;
 	     link = link->next) {
 		out = link->data;
-		need_utok += out->loan.need_utok;
+		need_utok += out->lender_loan.need_utok;
 	}
 	return need_utok;
 }
 
 /* The first child that waits and can be helped now; NULL for none. */
-static struct rights_outloan *
+static struct rights_child_loan *
 next_to_serve(struct rights_team *team, uint64_t now_us)
 {
-	struct rights_outloan *out;
+	struct rights_child_loan *out;
 
-	loom_holding_advance(&team->holding, &team->shard->base, now_us);
+	loom_bucket_advance(&team->bucket, &team->shard->base, now_us);
 	while ((out = g_queue_peek_head(&team->waiting_children)) != NULL) {
-		if (now_us < out->loan.need_until_us)
+		if (now_us < out->lender_loan.need_until_us)
 			break;
 		rights_stop_waiting(team, out);
 	}
-	if (out == NULL || team->holding.level_utok < out->loan.first_utok)
+	if (out == NULL ||
+	    team->bucket.level_utok < out->lender_loan.first_utok)
 		return NULL;
 	return out;
 }
@@ -450,14 +461,14 @@
 rights_serve_children(
     struct loom_rights *rights, struct rights_team *team, uint64_t now_us)
 {
-	struct rights_outloan *out;
+	struct rights_child_loan *out;
 	unsigned i, n = team->waiting_children.length;
 
 	if (n == 0)
 		return;
-	rights_keep_fresh(rights, now_us);
+	rights_refresh_if_stale(rights, now_us);
 	for (i = 0; i < n; i++) {
-		rights_begin_down(rights);
+		rights_start_down(rights);
 		rights_lock(team);
 		out = next_to_serve(team, now_us);
 		if (out != NULL) {
@@ -465,7 +476,7 @@
 			out->waiting = false;
 			rights_grant(rights, team, out, 0, now_us);
 		}
-		if (out != NULL && out->loan.need_utok > 0) {
+		if (out != NULL && out->lender_loan.need_utok > 0) {
 			out->waiting = true;
 			g_queue_push_tail(&team->waiting_children, out);
 		}
--- a/src/control/rights_recall.c
+++ b/src/control/rights_recall.c
@@ -13,24 +13,24 @@
 /* Children asked in one recall: those that hold tokens. */
 #define RECALL_CHILDREN_MAX 16
 /* Less than this at a child is not worth a message. */
-#define RECALL_WORTH_UTOK (LOOM_TOKEN_UTOK / 20)
+#define RECALL_MIN_UTOK (LOOM_TOKEN_UTOK / 20)
 /* Of the capacity. */
-#define NEARLY_FULL 0.8
+#define SURPLUS_LEVEL_PART 0.8
 
 /* A borrower of refill that may have room; the shard is locked. */
-static struct rights_outloan *
+static struct rights_child_loan *
 borrower_with_room(struct rights_team *team)
 {
-	struct rights_outloan *out, *found = NULL;
+	struct rights_child_loan *out, *found = NULL;
 	GHashTableIter iter;
 	uint64_t room, most = 0;
 
-	g_hash_table_iter_init(&iter, team->outloans);
+	g_hash_table_iter_init(&iter, team->child_loans);
 	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&out)) {
-		if (out->loan.commit.refill == 0 || out->waiting)
+		if (out->lender_loan.committed.refill == 0 || out->waiting)
 			continue;
 		room = loom_capacity_utok(
-		    &team->holding, out->loan.commit.capacity);
+		    &team->bucket, out->lender_loan.committed.capacity);
 		room -= MIN(room, out->held_utok);
 		if (room > most) {
 			most = room;
@@ -43,33 +43,33 @@
 /* The pool's bucket is nearly full: between two renewals it would overflow
  * while a borrower, whose calls come faster than its refill, has room. */
 static bool
-is_nearly_full(struct rights_team *team, uint64_t now_us)
+has_surplus(struct rights_team *team, uint64_t now_us)
 {
-	const struct loom_base *base = &team->shard->base;
+	const struct loom_base_share *base = &team->shard->base;
 	struct loom_share net;
 
-	if (team->holding.out.refill == 0 || rights_is_under_rate(team, now_us))
+	if (team->bucket.lent.refill == 0 || rights_is_under_rate(team, now_us))
 		return false;
-	loom_holding_advance(&team->holding, base, now_us);
-	net = loom_holding_net(&team->holding, base, now_us);
-	return (double)team->holding.level_utok > NEARLY_FULL *
-	    (double)loom_capacity_utok(&team->holding, net.capacity);
+	loom_bucket_advance(&team->bucket, base, now_us);
+	net = loom_bucket_usable_share(&team->bucket, base, now_us);
+	return (double)team->bucket.level_utok > SURPLUS_LEVEL_PART *
+	    (double)loom_capacity_utok(&team->bucket, net.capacity);
 }
 
 void
-rights_spill(struct loom_rights *rights, uint64_t now_us)
+rights_push_surplus(struct loom_rights *rights, uint64_t now_us)
 {
-	struct rights_outloan *out;
+	struct rights_child_loan *out;
 	struct rights_team *team;
 	unsigned i;
 
-	rights_keep_fresh(rights, now_us);
+	rights_refresh_if_stale(rights, now_us);
 	for (i = 0; i < rights->teams->len; i++) {
 		team = g_ptr_array_index(rights->teams, i);
-		rights_begin_down(rights);
+		rights_start_down(rights);
 		rights_lock(team);
 		out = NULL;
-		if (is_nearly_full(team, now_us))
+		if (has_surplus(team, now_us))
 			out = borrower_with_room(team);
 		if (out != NULL)
 			rights_grant(rights, team, out, 0, now_us);
@@ -80,9 +80,9 @@
 }
 
 bool
-rights_may_recall(const struct rights_team *team, uint64_t now_us)
+rights_recall_allowed(const struct rights_team *team, uint64_t now_us)
 {
-	return g_hash_table_size(team->outloans) > 0 &&
+	return g_hash_table_size(team->child_loans) > 0 &&
 	    now_us >= team->recalled_us + team->recall_gap_us;
 }
 
@@ -90,39 +90,39 @@
  * and not scattered.  Ask less often, so that a team over its rate does not
  * cost a message to each daemon for each refused call. */
 static void
-pace_recalls(struct rights_team *team)
+update_recall_gap(struct rights_team *team)
 {
-	if (team->regained_utok >= LOOM_TOKEN_UTOK)
+	if (team->returned_utok >= LOOM_TOKEN_UTOK)
 		team->recall_gap_us = RECALL_GAP_MIN_US;
 	else
 		team->recall_gap_us =
 		    MIN(2 * team->recall_gap_us, RECALL_GAP_MAX_US);
 	if (team->recall_gap_us == 0)
 		team->recall_gap_us = RECALL_GAP_MIN_US;
-	team->regained_utok = 0;
+	team->returned_utok = 0;
 }
 
 void
 rights_recall(
     struct loom_rights *rights, struct rights_team *team, uint64_t now_us)
 {
-	struct rights_outloan *out;
+	struct rights_child_loan *out;
 	GHashTableIter iter;
 	unsigned n = 0;
 
-	team->recall_below = false;
+	team->recall_pending = false;
 	/* over the rate, what daemons below hold is their refill, soon used
 	 * up there: to call it back would only move it around */
 	if (rights->parent.host_id == 0 && rights_is_over_rate(team, now_us))
 		return;
-	pace_recalls(team);
+	update_recall_gap(team);
 	team->recalled_us = now_us;
-	g_hash_table_iter_init(&iter, team->outloans);
+	g_hash_table_iter_init(&iter, team->child_loans);
 	while (n < RECALL_CHILDREN_MAX &&
 	    g_hash_table_iter_next(&iter, NULL, (gpointer *)&out)) {
-		if (out->waiting || out->held_utok < RECALL_WORTH_UTOK)
+		if (out->waiting || out->held_utok < RECALL_MIN_UTOK)
 			continue;
-		rights_begin_down(rights);
+		rights_start_down(rights);
 		rights_add_entry(rights, team)->flags =
 		    LOOM_RIGHTS_RECALL | LOOM_RIGHTS_SCARCE;
 		out->held_utok = 0;
@@ -132,24 +132,24 @@
 }
 
 static void
-sweep_team(struct rights_team *team, uint64_t now_us)
+expire_team_loans(struct rights_team *team, uint64_t now_us)
 {
 	const struct loom_share none = { 0 };
-	struct rights_outloan *out;
+	struct rights_child_loan *out;
 	GHashTableIter iter;
 	double demand = 0;
 
 	rights_lock(team);
-	loom_holding_advance(&team->holding, &team->shard->base, now_us);
-	rights_end_flashes(team, now_us);
-	g_hash_table_iter_init(&iter, team->outloans);
+	loom_bucket_advance(&team->bucket, &team->shard->base, now_us);
+	rights_end_transits(team, now_us);
+	g_hash_table_iter_init(&iter, team->child_loans);
 	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&out)) {
-		if (now_us < out->loan.until_us) {
-			demand += out->loan.demand_per_s;
+		if (now_us < out->lender_loan.until_us) {
+			demand += out->lender_loan.demand_per_s;
 			continue;
 		}
 		rights_stop_waiting(team, out);
-		rights_count_out(team, &out->loan.commit, &none);
+		rights_update_lent(team, &out->lender_loan.committed, &none);
 		out->child->nloans--;
 		g_hash_table_iter_remove(&iter);
 	}
@@ -158,18 +158,18 @@
 }
 
 void
-rights_sweep_children(struct loom_rights *rights, uint64_t now_us)
+rights_expire_loans(struct loom_rights *rights, uint64_t now_us)
 {
 	struct rights_child *child;
 	GHashTableIter iter;
 	unsigned i;
 
 	for (i = 0; i < rights->teams->len; i++)
-		sweep_team(g_ptr_array_index(rights->teams, i), now_us);
+		expire_team_loans(g_ptr_array_index(rights->teams, i), now_us);
 	g_hash_table_iter_init(&iter, rights->children);
 	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&child)) {
 		if (child->nloans == 0 && now_us >= child->lend_until_us &&
-		    now_us >= child->heard_us + CHILD_FORGET_US)
+		    now_us >= child->received_us + CHILD_FORGET_US)
 			g_hash_table_iter_remove(&iter);
 	}
 }
@@ -182,7 +182,7 @@
 
 	g_hash_table_iter_init(&iter, rights->children);
 	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&child)) {
-		rights_begin_down(rights);
+		rights_start_down(rights);
 		rights_send_down(rights, child, now_us);
 	}
 }
--- a/src/control/rights_take.c
+++ b/src/control/rights_take.c
@@ -72,21 +72,22 @@
 retry_after(
     struct loom_rights *rights, struct rights_team *team, uint64_t now_us)
 {
-	const struct loom_base *base = &team->shard->base;
-	struct loom_share net = loom_holding_net(&team->holding, base, now_us);
+	const struct loom_base_share *base = &team->shard->base;
+	struct loom_share net =
+	    loom_bucket_usable_share(&team->bucket, base, now_us);
 	unsigned shares = atomic_load(&rights->shares);
 	uint64_t wait_us, least = LOOM_WHOLE;
 	double per_s;
 
 	wait_us =
-	    loom_holding_wait_us(&team->holding, base, LOOM_TOKEN_UTOK, now_us);
+	    loom_bucket_wait_us(&team->bucket, base, LOOM_TOKEN_UTOK, now_us);
 	if (wait_us == UINT64_MAX)
 		wait_us = 0;
-	if (team->empty_until_us > now_us)
-		wait_us = MAX(wait_us, team->empty_until_us - now_us);
+	if (team->no_tokens_until_us > now_us)
+		wait_us = MAX(wait_us, team->no_tokens_until_us - now_us);
 	if (shares > 0)
 		least = LOOM_WHOLE / shares;
-	per_s = team->holding.rate_per_s * (double)MAX(net.refill, least) /
+	per_s = team->bucket.rate_per_s * (double)MAX(net.refill, least) /
 	    (double)LOOM_WHOLE;
 	return loom_loan_retry_after_us(per_s,
 	    loom_demand_per_s(&team->refused, now_us), wait_us,
@@ -96,9 +97,9 @@
 /* What this daemon owns is lent to a pool that cannot lend it back: that the
  * team is over its rate is then more than anybody knows. */
 static bool
-is_stranded(struct loom_rights *rights, uint64_t now_us)
+is_lent_elsewhere(struct loom_rights *rights, uint64_t now_us)
 {
-	return now_us < atomic_load(&rights->stranded_until_us);
+	return now_us < atomic_load(&rights->lent_elsewhere_until_us);
 }
 
 /* Within the wait, can a token come by refill here or by a loan? */
@@ -107,22 +108,23 @@
 {
 	uint64_t wait_us;
 
-	if (team->nwaiters >= WAITERS_MAX || team->holding.burst == 0)
+	if (team->nwaiters >= WAITERS_MAX || team->bucket.burst == 0)
 		return false;
-	wait_us = loom_holding_wait_us(&team->holding, &team->shard->base,
+	wait_us = loom_bucket_wait_us(&team->bucket, &team->shard->base,
 	    (team->nwaiters + 1) * LOOM_TOKEN_UTOK, now_us);
-	if (wait_us <= LOOM_RIGHTS_WAIT_US || is_stranded(rights, now_us))
+	if (wait_us <= LOOM_RIGHTS_WAIT_US || is_lent_elsewhere(rights, now_us))
 		return true;
-	return atomic_load(&rights->may_ask) && now_us >= team->empty_until_us;
+	return atomic_load(&rights->may_borrow) &&
+	    now_us >= team->no_tokens_until_us;
 }
 
 /* Less than a token left: ask before the next call comes. */
 static bool
 wants_ahead(const struct rights_team *team, uint64_t now_us)
 {
-	return team->holding.level_utok < LOOM_TOKEN_UTOK && !team->scarce &&
-	    now_us >= team->empty_until_us &&
-	    now_us >= team->asked_us + RIGHTS_ASK_AGAIN_US;
+	return team->bucket.level_utok < LOOM_TOKEN_UTOK && !team->scarce &&
+	    now_us >= team->no_tokens_until_us &&
+	    now_us >= team->requested_us + RIGHTS_REQUEST_RETRY_US;
 }
 
 static enum loom_result
@@ -136,8 +138,9 @@
 	team->called_us = now_us;
 	/* calls that wait already come first */
 	if (team->nwaiters == 0 &&
-	    loom_holding_take(&team->holding, &team->shard->base, now_us)) {
-		if (atomic_load(&rights->may_ask) && wants_ahead(team, now_us))
+	    loom_bucket_take(&team->bucket, &team->shard->base, now_us)) {
+		if (atomic_load(&rights->may_borrow) &&
+		    wants_ahead(team, now_us))
 			mark_dirty(rights, team);
 		return LOOM_OK;
 	}
@@ -169,7 +172,7 @@
 
 /* Half of the time that is left: the call has to run yet. */
 static uint64_t
-latest_us(const struct loom_rights_waiter *waiter, uint64_t now_us)
+wait_limit_us(const struct loom_rights_waiter *waiter, uint64_t now_us)
 {
 	uint64_t left_us =
 	    waiter->deadline_us - MIN(waiter->deadline_us, now_us);
@@ -192,7 +195,7 @@
 	waiter->team_id = team_id;
 	waiter->since_us = now_us;
 	waiter->until_us = now_us + rights->settings.wait_us;
-	waiter->latest_us = latest_us(waiter, now_us);
+	waiter->latest_us = wait_limit_us(waiter, now_us);
 	waiter->retry_after_us = 0;
 	waiter->state = RIGHTS_WAITER_QUEUED;
 	*team->last_waiter = waiter;
@@ -251,10 +254,10 @@
     const struct loom_rights_waiter *waiter, uint64_t now_us)
 {
 	uint64_t late_us =
-	    MIN(RIGHTS_LATE_ANSWERS * parent->answer_us, RIGHTS_SILENT_US);
+	    MIN(RIGHTS_LATE_RESPONSES * parent->response_us, RIGHTS_SILENT_US);
 
-	return parent->host_id != 0 && parent->heard_us < waiter->since_us &&
-	    now_us >= parent->heard_us + late_us;
+	return parent->host_id != 0 && parent->received_us < waiter->since_us &&
+	    now_us >= parent->received_us + late_us;
 }
 
 /* Nobody can say whether the team is over its rate. */
@@ -262,28 +265,28 @@
 is_unknown(struct loom_rights *rights, const struct loom_rights_waiter *waiter,
     uint64_t now_us)
 {
-	return is_stranded(rights, now_us) ||
+	return is_lent_elsewhere(rights, now_us) ||
 	    is_silent(&rights->parent, waiter, now_us);
 }
 
 /* The pool said that nothing comes in time, and nothing grows here. */
 static bool
-hopeless(const struct rights_team *team, uint64_t now_us)
+is_wait_futile(const struct rights_team *team, uint64_t now_us)
 {
 	uint64_t until_us = team->first_waiter->until_us;
 
 	if (now_us >= until_us)
 		return true;
-	if (team->empty_until_us < until_us)
+	if (team->no_tokens_until_us < until_us)
 		return false;
-	return loom_holding_wait_us(&team->holding, &team->shard->base,
+	return loom_bucket_wait_us(&team->bucket, &team->shard->base,
 		   LOOM_TOKEN_UTOK, now_us) > until_us - now_us;
 }
 
 /* Of the call that waits first and finds no token: what it is refused by, or
  * LOOM_RIGHTS_PENDING. */
 static enum loom_result
-verdict_on_first(
+result_of_first(
     struct loom_rights *rights, const struct rights_team *team, uint64_t now_us)
 {
 	const struct loom_rights_waiter *waiter = team->first_waiter;
@@ -291,7 +294,8 @@
 	if (is_unknown(rights, waiter, now_us))
 		return now_us < waiter->latest_us ? LOOM_RIGHTS_PENDING
 						  : LOOM_RATE_UNKNOWN;
-	return hopeless(team, now_us) ? LOOM_TEAM_RATE : LOOM_RIGHTS_PENDING;
+	return is_wait_futile(team, now_us) ? LOOM_TEAM_RATE
+					    : LOOM_RIGHTS_PENDING;
 }
 
 static void
@@ -315,10 +319,10 @@
 	enum loom_result result;
 
 	while (team->first_waiter != NULL &&
-	    loom_holding_take(&team->holding, &team->shard->base, now_us))
+	    loom_bucket_take(&team->bucket, &team->shard->base, now_us))
 		finish_first(team, LOOM_OK, 0, done);
 	while (team->first_waiter != NULL) {
-		result = verdict_on_first(rights, team, now_us);
+		result = result_of_first(rights, team, now_us);
 		if (result == LOOM_RIGHTS_PENDING)
 			break;
 		refuse_first(rights, team, result, now_us, done);
@@ -328,13 +332,13 @@
 /* A pool that is behind is not asked for calls that have waited their time: the
  * more it is asked for, the further it falls behind. */
 uint32_t
-rights_asking_waiters(const struct loom_rights *rights,
+rights_waiters_to_request_for(const struct loom_rights *rights,
     const struct rights_team *team, uint64_t now_us)
 {
 	const struct loom_rights_waiter *waiter = team->first_waiter;
 	uint32_t n = team->nwaiters;
 
-	if (rights->parent.silent_us == 0)
+	if (rights->parent.overdue_since_us == 0)
 		return n;
 	for (; waiter != NULL && waiter->until_us <= now_us;
 	     waiter = waiter->next)
@@ -343,12 +347,12 @@
 }
 
 void
-rights_serve_flash(struct rights_team *team, uint64_t utok, uint64_t now_us,
+rights_serve_transit(struct rights_team *team, uint64_t utok, uint64_t now_us,
     struct loom_rights_waiter ***done)
 {
-	struct loom_holding *holding = &team->holding;
+	struct loom_team_bucket *holding = &team->bucket;
 
-	loom_holding_advance(holding, &team->shard->base, now_us);
+	loom_bucket_advance(holding, &team->shard->base, now_us);
 	holding->level_utok += utok;
 	while (team->first_waiter != NULL &&
 	    holding->level_utok >= LOOM_TOKEN_UTOK) {
@@ -356,7 +360,7 @@
 		finish_first(team, LOOM_OK, 0, done);
 	}
 	/* what no call took has no capacity here and is lost */
-	loom_holding_put(holding, &team->shard->base, 0, now_us);
+	loom_bucket_add(holding, &team->shard->base, 0, now_us);
 }
 
 void
--- a/src/decide/holding.c
+++ b/src/decide/holding.c
@@ -20,27 +20,27 @@
 #include "decide/integer.h"
 
 uint64_t
-loom_capacity_utok(const struct loom_holding *holding, uint64_t parts)
+loom_capacity_utok(const struct loom_team_bucket *bucket, uint64_t parts)
 {
-	double tokens = (double)parts * holding->burst / (double)LOOM_WHOLE;
+	double tokens = (double)parts * bucket->burst / (double)LOOM_WHOLE;
 
 	return (uint64_t)(tokens * (double)LOOM_TOKEN_UTOK);
 }
 
 uint64_t
-loom_capacity_parts(const struct loom_holding *holding, uint64_t utok)
+loom_capacity_parts(const struct loom_team_bucket *bucket, uint64_t utok)
 {
 	double tokens = (double)utok / (double)LOOM_TOKEN_UTOK;
 
-	if (holding->burst == 0 || tokens >= holding->burst)
+	if (bucket->burst == 0 || tokens >= bucket->burst)
 		return LOOM_WHOLE;
 	return min_u64(LOOM_WHOLE,
-	    (uint64_t)(tokens * (double)LOOM_WHOLE / holding->burst) + 1);
+	    (uint64_t)(tokens * (double)LOOM_WHOLE / bucket->burst) + 1);
 }
 
 struct loom_share
-loom_holding_net(const struct loom_holding *holding,
-    const struct loom_base *base, uint64_t at_us)
+loom_bucket_usable_share(const struct loom_team_bucket *bucket,
+    const struct loom_base_share *base, uint64_t at_us)
 {
 	struct loom_share net = { 0 };
 	unsigned i;
@@ -48,129 +48,133 @@
 	if (at_us < base->until_us)
 		net = (struct loom_share){ base->parts, base->parts };
 	for (i = 0; i < LOOM_LENDERS_MAX; i++) {
-		if (at_us >= holding->in[i].until_us)
+		if (at_us >= bucket->borrowed[i].until_us)
 			continue;
-		net.refill += holding->in[i].share.refill;
-		net.capacity += holding->in[i].share.capacity;
+		net.refill += bucket->borrowed[i].share.refill;
+		net.capacity += bucket->borrowed[i].share.capacity;
 	}
-	net.refill = less(net.refill, holding->out.refill);
-	net.capacity = less(net.capacity, holding->out.capacity);
+	net.refill = less(net.refill, bucket->lent.refill);
+	net.capacity = less(net.capacity, bucket->lent.capacity);
 	return net;
 }
 
 static void
-clip(struct loom_holding *holding, const struct loom_base *base)
+clamp_level(struct loom_team_bucket *bucket, const struct loom_base_share *base)
 {
-	struct loom_share net = loom_holding_net(holding, base, holding->at_us);
+	struct loom_share net =
+	    loom_bucket_usable_share(bucket, base, bucket->at_us);
 
-	holding->level_utok = min_u64(
-	    holding->level_utok, loom_capacity_utok(holding, net.capacity));
+	bucket->level_utok = min_u64(
+	    bucket->level_utok, loom_capacity_utok(bucket, net.capacity));
 }
 
-/* The first end after the holding's time; UINT64_MAX for none. */
+/* The first end after the bucket's time; UINT64_MAX for none. */
 static uint64_t
-next_end(const struct loom_holding *holding, const struct loom_base *base)
+next_expiry_us(
+    const struct loom_team_bucket *bucket, const struct loom_base_share *base)
 {
 	uint64_t end = UINT64_MAX;
 	unsigned i;
 
-	if (base->until_us > holding->at_us)
+	if (base->until_us > bucket->at_us)
 		end = base->until_us;
 	for (i = 0; i < LOOM_LENDERS_MAX; i++) {
-		if (holding->in[i].until_us > holding->at_us)
-			end = min_u64(end, holding->in[i].until_us);
+		if (bucket->borrowed[i].until_us > bucket->at_us)
+			end = min_u64(end, bucket->borrowed[i].until_us);
 	}
 	return end;
 }
 
 static void
-refill_to(
-    struct loom_holding *holding, const struct loom_base *base, uint64_t to_us)
+refill_to(struct loom_team_bucket *bucket, const struct loom_base_share *base,
+    uint64_t to_us)
 {
-	struct loom_share net = loom_holding_net(holding, base, holding->at_us);
-	double elapsed_us = (double)(to_us - holding->at_us);
+	struct loom_share net =
+	    loom_bucket_usable_share(bucket, base, bucket->at_us);
+	double elapsed_us = (double)(to_us - bucket->at_us);
 	double part = (double)net.refill / (double)LOOM_WHOLE;
 
 	/* tokens per second are microtokens per microsecond */
-	holding->level_utok +=
-	    (uint64_t)(part * holding->rate_per_s * elapsed_us);
-	holding->level_utok = min_u64(
-	    holding->level_utok, loom_capacity_utok(holding, net.capacity));
-	holding->at_us = to_us;
+	bucket->level_utok +=
+	    (uint64_t)(part * bucket->rate_per_s * elapsed_us);
+	bucket->level_utok = min_u64(
+	    bucket->level_utok, loom_capacity_utok(bucket, net.capacity));
+	bucket->at_us = to_us;
 }
 
 void
-loom_holding_advance(
-    struct loom_holding *holding, const struct loom_base *base, uint64_t now_us)
+loom_bucket_advance(struct loom_team_bucket *bucket,
+    const struct loom_base_share *base, uint64_t now_us)
 {
 	uint64_t end;
 
-	while ((end = next_end(holding, base)) <= now_us) {
-		refill_to(holding, base, end);
-		clip(holding, base);
+	while ((end = next_expiry_us(bucket, base)) <= now_us) {
+		refill_to(bucket, base, end);
+		clamp_level(bucket, base);
 	}
-	if (now_us > holding->at_us)
-		refill_to(holding, base, now_us);
+	if (now_us > bucket->at_us)
+		refill_to(bucket, base, now_us);
 }
 
 bool
-loom_holding_take(
-    struct loom_holding *holding, const struct loom_base *base, uint64_t now_us)
+loom_bucket_take(struct loom_team_bucket *bucket,
+    const struct loom_base_share *base, uint64_t now_us)
 {
-	loom_holding_advance(holding, base, now_us);
-	if (holding->level_utok < LOOM_TOKEN_UTOK)
+	loom_bucket_advance(bucket, base, now_us);
+	if (bucket->level_utok < LOOM_TOKEN_UTOK)
 		return false;
-	holding->level_utok -= LOOM_TOKEN_UTOK;
+	bucket->level_utok -= LOOM_TOKEN_UTOK;
 	return true;
 }
 
 void
-loom_holding_put(struct loom_holding *holding, const struct loom_base *base,
-    uint64_t utok, uint64_t now_us)
+loom_bucket_add(struct loom_team_bucket *bucket,
+    const struct loom_base_share *base, uint64_t utok, uint64_t now_us)
 {
-	loom_holding_advance(holding, base, now_us);
-	holding->level_utok += utok;
-	clip(holding, base);
+	loom_bucket_advance(bucket, base, now_us);
+	bucket->level_utok += utok;
+	clamp_level(bucket, base);
 }
 
 void
-loom_holding_limits(struct loom_holding *holding, const struct loom_base *base,
-    double rate_per_s, uint32_t burst, uint64_t now_us)
+loom_bucket_set_limits(struct loom_team_bucket *bucket,
+    const struct loom_base_share *base, double rate_per_s, uint32_t burst,
+    uint64_t now_us)
 {
-	loom_holding_advance(holding, base, now_us);
-	holding->rate_per_s = rate_per_s;
-	holding->burst = burst;
-	clip(holding, base);
+	loom_bucket_advance(bucket, base, now_us);
+	bucket->rate_per_s = rate_per_s;
+	bucket->burst = burst;
+	clamp_level(bucket, base);
 }
 
 struct loom_borrowed *
-loom_holding_lender(
-    struct loom_holding *holding, uint64_t host_id, uint64_t incarnation)
+loom_bucket_find_loan(
+    struct loom_team_bucket *bucket, uint64_t host_id, uint64_t incarnation)
 {
 	unsigned i;
 
 	for (i = 0; i < LOOM_LENDERS_MAX; i++) {
-		if (holding->in[i].lender_host_id == host_id &&
-		    holding->in[i].lender_incarnation == incarnation)
-			return &holding->in[i];
+		if (bucket->borrowed[i].lender_host_id == host_id &&
+		    bucket->borrowed[i].lender_incarnation == incarnation)
+			return &bucket->borrowed[i];
 	}
 	return NULL;
 }
 
 /* An entry of a lender whose loan is over may be used anew. */
 static struct loom_borrowed *
-lender_or_new(struct loom_holding *holding, const struct loom_grant_in *grant,
-    uint64_t now_us)
+find_or_add_loan(struct loom_team_bucket *bucket,
+    const struct loom_grant *grant, uint64_t now_us)
 {
 	struct loom_borrowed *in;
 	unsigned i;
 
-	in = loom_holding_lender(
-	    holding, grant->lender_host_id, grant->lender_incarnation);
+	in = loom_bucket_find_loan(
+	    bucket, grant->lender_host_id, grant->lender_incarnation);
 	if (in != NULL)
 		return in;
 	for (i = 0; i < LOOM_LENDERS_MAX; i++) {
-		in = &holding->in[i];
+		in = &bucket->borrowed[i];
 		if (in->until_us > now_us)
 			continue;
 		memset(in, 0, sizeof(*in));
@@ -182,14 +186,15 @@
 }
 
 bool
-loom_holding_grant(struct loom_holding *holding, const struct loom_base *base,
-    const struct loom_grant_in *grant, uint64_t now_us)
+loom_bucket_apply_grant(struct loom_team_bucket *bucket,
+    const struct loom_base_share *base, const struct loom_grant *grant,
+    uint64_t now_us)
 {
 	struct loom_share old = { 0 };
 	struct loom_borrowed *in;
 
-	loom_holding_advance(holding, base, now_us);
-	in = lender_or_new(holding, grant, now_us);
+	loom_bucket_advance(bucket, base, now_us);
+	in = find_or_add_loan(bucket, grant, now_us);
 	if (in == NULL || grant->seq <= in->seq)
 		return false;
 	/* it counts as received also when it is too late to use: the lender
@@ -210,25 +215,25 @@
 	    grant->share.capacity > old.capacity)
 		in->until_us = grant->until_us;
 	in->share.refill = max_u64(
-	    grant->share.refill, min_u64(old.refill, holding->out.refill));
+	    grant->share.refill, min_u64(old.refill, bucket->lent.refill));
 	in->share.capacity = max_u64(grant->share.capacity,
-	    min_u64(old.capacity, holding->out.capacity));
-	holding->level_utok += grant->tokens_utok;
-	clip(holding, base);
+	    min_u64(old.capacity, bucket->lent.capacity));
+	bucket->level_utok += grant->tokens_utok;
+	clamp_level(bucket, base);
 	return true;
 }
 
 uint64_t
-loom_holding_wait_us(const struct loom_holding *holding,
-    const struct loom_base *base, uint64_t utok, uint64_t now_us)
+loom_bucket_wait_us(const struct loom_team_bucket *bucket,
+    const struct loom_base_share *base, uint64_t utok, uint64_t now_us)
 {
-	struct loom_share net = loom_holding_net(holding, base, now_us);
+	struct loom_share net = loom_bucket_usable_share(bucket, base, now_us);
 	double per_us =
-	    (double)net.refill / (double)LOOM_WHOLE * holding->rate_per_s;
+	    (double)net.refill / (double)LOOM_WHOLE * bucket->rate_per_s;
 
-	if (holding->level_utok >= utok)
+	if (bucket->level_utok >= utok)
 		return 0;
-	if (per_us <= 0 || loom_capacity_utok(holding, net.capacity) < utok)
+	if (per_us <= 0 || loom_capacity_utok(bucket, net.capacity) < utok)
 		return UINT64_MAX;
-	return (uint64_t)((double)(utok - holding->level_utok) / per_us) + 1;
+	return (uint64_t)((double)(utok - bucket->level_utok) / per_us) + 1;
 }
--- a/src/decide/holding.h
+++ b/src/decide/holding.h
@@ -29,7 +29,7 @@
 
 /* What the daemon holds of every team alike: its own part, and what the
  * daemons below lent it, less what it lent upward. */
-struct loom_base {
+struct loom_base_share {
 	uint64_t parts;
 	uint64_t until_us; /* the earliest end of what is in it */
 };
@@ -46,17 +46,17 @@
 	uint64_t until_us; /* by this daemon's clock, from its ask time */
 };
 
-struct loom_holding {
+struct loom_team_bucket {
 	double rate_per_s; /* of the whole team */
 	uint32_t burst; /* of the whole team, calls */
 	uint64_t at_us; /* the level is of this time */
 	uint64_t level_utok;
-	struct loom_borrowed in[LOOM_LENDERS_MAX];
-	struct loom_share out; /* what daemons below may still be using */
+	struct loom_borrowed borrowed[LOOM_LENDERS_MAX];
+	struct loom_share lent; /* what daemons below may still be using */
 };
 
 /* A grant as it arrives. */
-struct loom_grant_in {
+struct loom_grant {
 	uint64_t lender_host_id;
 	uint64_t lender_incarnation;
 	uint64_t seq;
@@ -66,42 +66,43 @@
 };
 
 /* Tokens of a part of the team's capacity, in microtokens. */
-uint64_t loom_capacity_utok(const struct loom_holding *, uint64_t parts);
+uint64_t loom_capacity_utok(const struct loom_team_bucket *, uint64_t parts);
 
 /* The smallest part of the capacity that holds so many microtokens. */
-uint64_t loom_capacity_parts(const struct loom_holding *, uint64_t utok);
+uint64_t loom_capacity_parts(const struct loom_team_bucket *, uint64_t utok);
 
 /* Usable here at a time: base and loans, less what was lent. */
-struct loom_share loom_holding_net(
-    const struct loom_holding *, const struct loom_base *, uint64_t at_us);
+struct loom_share loom_bucket_usable_share(const struct loom_team_bucket *,
+    const struct loom_base_share *, uint64_t at_us);
 
 /* Refill up to now, ending on the way what ends before. */
-void loom_holding_advance(
-    struct loom_holding *, const struct loom_base *, uint64_t now_us);
+void loom_bucket_advance(
+    struct loom_team_bucket *, const struct loom_base_share *, uint64_t now_us);
 
 /* Take one token. */
-bool loom_holding_take(
-    struct loom_holding *, const struct loom_base *, uint64_t now_us);
+bool loom_bucket_take(
+    struct loom_team_bucket *, const struct loom_base_share *, uint64_t now_us);
 
 /* Put tokens in; what the capacity does not hold is lost. */
-void loom_holding_put(struct loom_holding *, const struct loom_base *,
+void loom_bucket_add(struct loom_team_bucket *, const struct loom_base_share *,
     uint64_t utok, uint64_t now_us);
 
 /* A new rate and burst are in force here. */
-void loom_holding_limits(struct loom_holding *, const struct loom_base *,
-    double rate_per_s, uint32_t burst, uint64_t now_us);
+void loom_bucket_set_limits(struct loom_team_bucket *,
+    const struct loom_base_share *, double rate_per_s, uint32_t burst,
+    uint64_t now_us);
 
 /* The entry of a lender's incarnation; NULL when there is none. */
-struct loom_borrowed *loom_holding_lender(
-    struct loom_holding *, uint64_t host_id, uint64_t incarnation);
+struct loom_borrowed *loom_bucket_find_loan(
+    struct loom_team_bucket *, uint64_t host_id, uint64_t incarnation);
 
 /* Take a grant in.  False when it is late, repeated, overtaken by a later
  * one, or from a third lender at once: its tokens are lost. */
-bool loom_holding_grant(struct loom_holding *, const struct loom_base *,
-    const struct loom_grant_in *, uint64_t now_us);
+bool loom_bucket_apply_grant(struct loom_team_bucket *,
+    const struct loom_base_share *, const struct loom_grant *, uint64_t now_us);
 
 /* Microseconds until there are so many tokens; UINT64_MAX for never. */
-uint64_t loom_holding_wait_us(const struct loom_holding *,
-    const struct loom_base *, uint64_t utok, uint64_t now_us);
+uint64_t loom_bucket_wait_us(const struct loom_team_bucket *,
+    const struct loom_base_share *, uint64_t utok, uint64_t now_us);
 
 #endif
--- a/src/decide/loan.c
+++ b/src/decide/loan.c
@@ -14,24 +14,24 @@
 
 /* Part of its demand that a daemon is lent as refill.  At 1 or more, random
  * quiet moments fill its small bucket and the overflow is lost to the team. */
-#define REFILL_PART 0.9
+#define REFILL_LENT_PER_DEMAND 0.9
 /* Refill needs room for the calls' random gaps: none is lent to a borrower
  * of fewer tokens, and all of the part above to one of so many more. */
-#define REFILL_ROOM_MIN 1.5
-#define REFILL_ROOM_FULL 4.0
+#define REFILL_CAPACITY_MIN_TOKENS 1.5
+#define REFILL_CAPACITY_RAMP_TOKENS 4.0
 /* Of all refill; the rest serves daemons that ask for single tokens. */
-#define REFILL_LENT_MAX 0.9
+#define REFILL_LENT_MAX_PART 0.9
 /* Calls per second.  Slower daemons get tokens only: their refill would
  * mostly end as overflow. */
-#define REFILL_DEMAND_MIN 20.0
+#define REFILL_DEMAND_MIN_PER_S 20.0
 /* Of the capacity that goes out ahead of need.  The rest stays with the pool:
  * refill of the pool that finds no capacity is lost. */
-#define CAPACITY_LENT_MAX 0.7
+#define CAPACITY_LENT_MAX_PART 0.7
 /* Below this part of the pool's capacity nothing is given ahead. */
 #define SCARCE_PART 0.15
 /* Tokens held ahead: what comes during a round trip and its delays. */
-#define AHEAD_S 0.010
-#define AHEAD_POOL_S 0.040
+#define PREFETCH_S 0.010
+#define PREFETCH_POOL_S 0.040
 /*
  * Pattern: teams far from their rate, at every daemon.  With one token ahead
  * each call costs a question and its answer, and eight such teams cost a
@@ -40,7 +40,7 @@
  * next renewal.  Nearer to the rate those tokens lie where no call comes.
  */
 #define PLENTY_PART 0.5
-#define AHEAD_PLENTY_S 0.25
+#define PREFETCH_PLENTY_S 0.25
 /* A borrower's part of the lendable capacity, by demand, below which it is
  * given no more ahead.  Many borrowers of few calls each would leave nothing
  * for one another: 42% of the calls of 64 daemons at half of a rate of 500/s
@@ -48,68 +48,70 @@
 #define PLENTY_TOKENS_MIN 2.0
 /* Calls this far below the rate would find the one bucket of the whole fleet
  * full now and then too: what overflows then is nobody's loss. */
-#define UNDER_RATE 0.7
+#define UNDER_RATE_PART 0.7
 /* Silence, in calls that should have come, after which they went away, and
  * what is still believed of the average then. */
 #define SILENT_CALLS 4.0
 #define SILENT_DIVISOR 4.0
 #define RETRY_AFTER_MAX_US 60e6
-#define DRIFT_DIVISOR 256
+#define CLOCK_DRIFT_DIVISOR 256
 
 uint64_t
-loom_loan_down_us(uint32_t stage)
+loom_loan_to_child_us(uint32_t stage)
 {
 	return (stage == 0 ? 1 : stage) * LOOM_LOAN_STEP_US;
 }
 
 uint64_t
-loom_loan_up_us(uint32_t stage, uint32_t stages)
+loom_loan_to_parent_us(uint32_t stage, uint32_t stages)
 {
 	return (2 * (uint64_t)stages - stage) * LOOM_LOAN_STEP_US;
 }
 
 uint64_t
-loom_loan_idle_us(uint32_t stages, bool large_fleet)
+loom_loan_idle_renew_us(uint32_t stages, bool large_fleet)
 {
-	uint64_t steps_us = loom_loan_up_us(0, stages);
+	uint64_t steps_us = loom_loan_to_parent_us(0, stages);
 
 	if (large_fleet)
-		return LOOM_LOAN_IDLE_LARGE_US;
-	return min_u64(LOOM_LOAN_IDLE_US,
+		return LOOM_LOAN_IDLE_RENEW_LARGE_US;
+	return min_u64(LOOM_LOAN_IDLE_RENEW_US,
 	    less(LOOM_LOAN_LONGEST_US, steps_us) / (stages > 0 ? stages : 1));
 }
 
 uint64_t
-loom_loan_idle_up_us(uint32_t stage, uint32_t stages, bool large_fleet)
+loom_loan_idle_to_parent_us(uint32_t stage, uint32_t stages, bool large_fleet)
 {
-	return loom_loan_up_us(stage, stages) +
-	    (stages - stage) * loom_loan_idle_us(stages, large_fleet);
+	return loom_loan_to_parent_us(stage, stages) +
+	    (stages - stage) * loom_loan_idle_renew_us(stages, large_fleet);
 }
 
 uint64_t
-loom_loan_borrower_us(uint64_t duration_us)
+loom_loan_borrower_duration_us(uint64_t duration_us)
 {
-	return duration_us - duration_us / DRIFT_DIVISOR;
+	return duration_us - duration_us / CLOCK_DRIFT_DIVISOR;
 }
 
 void
-loom_outloan_confirm(
-    struct loom_outloan *loan, uint64_t got_seq, struct loom_share keep)
+loom_lender_loan_confirm(
+    struct loom_lender_loan *loan, uint64_t got_seq, struct loom_share keep)
 {
 	if (got_seq != loan->sent_seq)
 		return;
-	loan->commit.refill = min_u64(loan->commit.refill, keep.refill);
-	loan->commit.capacity = min_u64(loan->commit.capacity, keep.capacity);
+	loan->committed.refill = min_u64(loan->committed.refill, keep.refill);
+	loan->committed.capacity =
+	    min_u64(loan->committed.capacity, keep.capacity);
 }
 
 void
-loom_outloan_sent(struct loom_outloan *loan, uint64_t seq,
+loom_lender_loan_sent(struct loom_lender_loan *loan, uint64_t seq,
     struct loom_share share, uint64_t until_us)
 {
 	/* the grant may be lost, and then the older one is still in use */
 	loan->sent_seq = seq;
-	loan->commit.refill = max_u64(loan->commit.refill, share.refill);
-	loan->commit.capacity = max_u64(loan->commit.capacity, share.capacity);
+	loan->committed.refill = max_u64(loan->committed.refill, share.refill);
+	loan->committed.capacity =
+	    max_u64(loan->committed.capacity, share.capacity);
 	loan->until_us = max_u64(loan->until_us, until_us);
 }
 
@@ -117,34 +119,37 @@
 refill_part(bool is_pool, uint64_t capacity_utok)
 {
 	double tokens = (double)capacity_utok / (double)LOOM_TOKEN_UTOK;
-	double room = (tokens - REFILL_ROOM_MIN) / REFILL_ROOM_FULL;
+	double room =
+	    (tokens - REFILL_CAPACITY_MIN_TOKENS) / REFILL_CAPACITY_RAMP_TOKENS;
 
 	if (is_pool)
-		return REFILL_PART;
+		return REFILL_LENT_PER_DEMAND;
 	if (room <= 0)
 		return 0;
-	return room < 1 ? REFILL_PART * room : REFILL_PART;
+	return room < 1 ? REFILL_LENT_PER_DEMAND * room
+			: REFILL_LENT_PER_DEMAND;
 }
 
 static uint64_t
-refill_share(const struct loom_holding *team,
-    const struct loom_loan_question *ask, double part)
+refill_share(const struct loom_team_bucket *team,
+    const struct loom_loan_request *ask, double part)
 {
 	double all = ask->demand_all_per_s > ask->demand_per_s
 	    ? ask->demand_all_per_s
 	    : ask->demand_per_s;
 	double lendable, want;
 
-	if (ask->demand_per_s < REFILL_DEMAND_MIN || team->rate_per_s <= 0)
+	if (ask->demand_per_s < REFILL_DEMAND_MIN_PER_S ||
+	    team->rate_per_s <= 0)
 		return 0;
-	lendable = REFILL_LENT_MAX * team->rate_per_s *
-	    (double)ask->whole.refill / (double)LOOM_WHOLE;
+	lendable = REFILL_LENT_MAX_PART * team->rate_per_s *
+	    (double)ask->team_share.refill / (double)LOOM_WHOLE;
 	want = part * ask->demand_per_s;
 	if (part * all > lendable)
 		want = lendable * ask->demand_per_s / all;
 	if (want > team->rate_per_s)
 		want = team->rate_per_s;
-	return min_u64(ask->free.refill,
+	return min_u64(ask->lendable.refill,
 	    (uint64_t)(want / team->rate_per_s * (double)LOOM_WHOLE));
 }
 
@@ -155,20 +160,20 @@
  * at a borrower is missing at the pool, whose refill then overflows.
  */
 static uint64_t
-refill_room(
-    const struct loom_holding *team, const struct loom_loan_question *ask)
+refill_capacity_utok(
+    const struct loom_team_bucket *team, const struct loom_loan_request *ask)
 {
 	double all = ask->demand_all_per_s > ask->demand_per_s
 	    ? ask->demand_all_per_s
 	    : ask->demand_per_s;
 	double room;
 
-	if (ask->demand_per_s < REFILL_DEMAND_MIN)
+	if (ask->demand_per_s < REFILL_DEMAND_MIN_PER_S)
 		return 0;
-	room = CAPACITY_LENT_MAX *
-	    (double)loom_capacity_utok(team, ask->whole.capacity) *
+	room = CAPACITY_LENT_MAX_PART *
+	    (double)loom_capacity_utok(team, ask->team_share.capacity) *
 	    ask->demand_per_s / all;
-	if (room < REFILL_ROOM_MIN * (double)LOOM_TOKEN_UTOK)
+	if (room < REFILL_CAPACITY_MIN_TOKENS * (double)LOOM_TOKEN_UTOK)
 		return 0;
 	return (uint64_t)room;
 }
@@ -179,7 +184,8 @@
  * may complete it.
  */
 static uint64_t
-tokens_for_need(const struct loom_loan_question *ask, uint64_t usable_utok)
+tokens_for_waiting_calls(
+    const struct loom_loan_request *ask, uint64_t usable_utok)
 {
 	uint64_t calls;
 
@@ -198,21 +204,22 @@
  * comes from above the mark of plenty.
  */
 static uint64_t
-tokens_ahead(const struct loom_loan_question *ask, uint64_t level_utok,
-    uint64_t mark_utok, uint64_t plenty_utok, uint64_t more_utok,
-    uint64_t left_utok)
+tokens_to_prefetch(const struct loom_loan_request *ask, uint64_t level_utok,
+    uint64_t low_level_utok, uint64_t plenty_level_utok,
+    uint64_t plenty_max_utok, uint64_t left_utok)
 {
-	uint64_t modest = less(loom_loan_target_utok(ask->demand_per_s,
+	uint64_t modest = less(loom_loan_prefetch_target_utok(ask->demand_per_s,
 				   ask->borrower_is_pool, false),
 	    ask->held_utok);
 	uint64_t ahead;
 
-	modest = min_u64(ask->ahead_utok, modest);
-	ahead = min_u64(modest, less(level_utok, mark_utok));
+	modest = min_u64(ask->prefetch_utok, modest);
+	ahead = min_u64(modest, less(level_utok, low_level_utok));
 	if (ask->plenty)
-		ahead += min_u64(min_u64(ask->ahead_utok - modest,
-				     less(more_utok, ask->held_utok + ahead)),
-		    less(less(level_utok, plenty_utok), ahead));
+		ahead +=
+		    min_u64(min_u64(ask->prefetch_utok - modest,
+				less(plenty_max_utok, ask->held_utok + ahead)),
+			less(less(level_utok, plenty_level_utok), ahead));
 	return min_u64(ahead, left_utok);
 }
 
@@ -235,17 +242,17 @@
 }
 
 bool
-loom_loan_is_under_rate(const struct loom_holding *team,
+loom_loan_is_under_rate(const struct loom_team_bucket *team,
     struct loom_share whole, double demand_per_s)
 {
 	double part = (double)whole.refill / (double)LOOM_WHOLE;
 
-	return demand_per_s < UNDER_RATE * part * team->rate_per_s;
+	return demand_per_s < UNDER_RATE_PART * part * team->rate_per_s;
 }
 
 /* The pool's level above which it gives more ahead. */
 static uint64_t
-plenty_mark(const struct loom_loan_question *ask, uint64_t scarce_utok)
+plenty_threshold(const struct loom_loan_request *ask, uint64_t scarce_utok)
 {
 	return max_u64(
 	    scarce_utok, (uint64_t)(PLENTY_PART * (double)ask->spare_utok));
@@ -253,7 +260,8 @@
 
 /* The most that a borrower holds ahead in plenty. */
 static uint64_t
-plenty_room(const struct loom_loan_question *ask, uint64_t whole_utok)
+plenty_prefetch_max_utok(
+    const struct loom_loan_request *ask, uint64_t team_capacity_utok)
 {
 	double all = ask->demand_all_per_s > ask->demand_per_s
 	    ? ask->demand_all_per_s
@@ -262,46 +270,48 @@
 
 	if (all <= 0)
 		return 0;
-	room = CAPACITY_LENT_MAX * (double)whole_utok * ask->demand_per_s / all;
+	room = CAPACITY_LENT_MAX_PART * (double)team_capacity_utok *
+	    ask->demand_per_s / all;
 	if (room < PLENTY_TOKENS_MIN * (double)LOOM_TOKEN_UTOK)
 		return 0;
 	return (uint64_t)room;
 }
 
-struct loom_loan_answer
+struct loom_loan_decision
 loom_loan_decide(
-    const struct loom_holding *team, const struct loom_loan_question *ask)
+    const struct loom_team_bucket *team, const struct loom_loan_request *ask)
 {
-	struct loom_loan_answer answer = { 0 };
-	uint64_t whole = loom_capacity_utok(team, ask->whole.capacity);
+	struct loom_loan_decision answer = { 0 };
+	uint64_t whole = loom_capacity_utok(team, ask->team_share.capacity);
 	uint64_t mark = (uint64_t)(SCARCE_PART * (double)whole);
-	uint64_t plenty = plenty_mark(ask, mark);
-	uint64_t lent = loom_capacity_utok(team, ask->others.capacity);
+	uint64_t plenty = plenty_threshold(ask, mark);
+	uint64_t lent = loom_capacity_utok(team, ask->lent_to_others.capacity);
 	uint64_t need, ahead, more, held, free, left, level, room;
 
 	held = ask->held_utok;
-	free = less(loom_capacity_utok(team, ask->free.capacity), held);
-	need = tokens_for_need(ask, min_u64(ask->level_utok, free));
+	free = less(loom_capacity_utok(team, ask->lendable.capacity), held);
+	need = tokens_for_waiting_calls(ask, min_u64(ask->level_utok, free));
 	answer.unmet_utok = ask->need_utok - need;
 	if (ask->borrower_is_pool || need < ask->first_utok)
 		held += need;
 	else
-		answer.flash_utok = need;
-	left = less(
-	    less((uint64_t)(CAPACITY_LENT_MAX * (double)whole), lent), held);
+		answer.transit_utok = need;
+	left =
+	    less(less((uint64_t)(CAPACITY_LENT_MAX_PART * (double)whole), lent),
+		held);
 	level = ask->level_utok - need;
 	answer.scarce = level <= mark;
 	answer.plenty = ask->plenty && level > plenty;
-	more = plenty_room(ask, whole);
-	ahead = tokens_ahead(ask, level, mark, plenty, more, left);
+	more = plenty_prefetch_max_utok(ask, whole);
+	ahead = tokens_to_prefetch(ask, level, mark, plenty, more, left);
 	held += ahead;
-	room = min_u64(left - ahead, refill_room(team, ask));
+	room = min_u64(left - ahead, refill_capacity_utok(team, ask));
 	answer.share.refill = refill_share(
 	    team, ask, refill_part(ask->borrower_is_pool, held + room));
 	if (answer.share.refill == 0)
 		room = 0;
-	answer.share.capacity =
-	    min_u64(ask->free.capacity, loom_capacity_parts(team, held + room));
+	answer.share.capacity = min_u64(
+	    ask->lendable.capacity, loom_capacity_parts(team, held + room));
 	/* lent capacity goes with the tokens that it holds, or a full pool
 	 * would lose them at each loan */
 	left = less(ask->spare_utok,
@@ -312,22 +322,22 @@
 	room = min_u64(room,
 	    max_u64(less(level, left),
 		tokens_to_balance(level, left, held, held + room)));
-	answer.tokens_utok = need + ahead + min_u64(room, level);
+	answer.added_utok = need + ahead + min_u64(room, level);
 	return answer;
 }
 
 uint64_t
-loom_loan_target_utok(double demand_per_s, bool is_pool, bool plenty)
+loom_loan_prefetch_target_utok(double demand_per_s, bool is_pool, bool plenty)
 {
-	double ahead = is_pool ? AHEAD_POOL_S : AHEAD_S;
+	double ahead = is_pool ? PREFETCH_POOL_S : PREFETCH_S;
 
 	if (plenty)
-		ahead = AHEAD_PLENTY_S;
+		ahead = PREFETCH_PLENTY_S;
 	return (uint64_t)((1 + demand_per_s * ahead) * (double)LOOM_TOKEN_UTOK);
 }
 
 double
-loom_loan_demand_per_s(double average_per_s, uint64_t silent_us)
+loom_loan_reported_demand_per_s(double average_per_s, uint64_t silent_us)
 {
 	if (average_per_s * (double)silent_us > SILENT_CALLS * 1e6)
 		return average_per_s / SILENT_DIVISOR;
--- a/src/decide/ownership.c
+++ b/src/decide/ownership.c
@@ -5,7 +5,7 @@
 #include "decide/ownership.h"
 #include "decide/holding.h"
 
-struct seen_host {
+struct known_host {
 	uint64_t host_id;
 	uint64_t listed_us; /* when it was last listed, once it is not */
 	bool listed; /* it is on the newest list */
@@ -20,34 +20,36 @@
 		.list_lag_us = list_lag_us,
 		.withheld_us = LOOM_OWN_WITHHELD_US,
 		.newcomer_us = list_lag_us,
-		.holding = true,
-		.seen = g_array_new(FALSE, FALSE, sizeof(struct seen_host)),
+		.withheld = true,
+		.known_hosts =
+		    g_array_new(FALSE, FALSE, sizeof(struct known_host)),
 	};
 }
 
 void
 loom_ownership_clear(struct loom_ownership *own)
 {
-	g_array_free(own->seen, TRUE);
-	own->seen = NULL;
+	g_array_free(own->known_hosts, TRUE);
+	own->known_hosts = NULL;
 }
 
 static uint64_t
-seen_us(const struct loom_ownership *own)
+removed_host_us(const struct loom_ownership *own)
 {
-	return own->list_lag_us * LOOM_SEEN_LAGS;
+	return own->list_lag_us * LOOM_OWN_REMOVED_HOST_LAGS;
 }
 
 static void
-forget_old(struct loom_ownership *own, uint64_t now_us)
+drop_removed_hosts(struct loom_ownership *own, uint64_t now_us)
 {
-	struct seen_host *host;
+	struct known_host *host;
 	guint i = 0;
 
-	while (i < own->seen->len) {
-		host = &g_array_index(own->seen, struct seen_host, i);
-		if (!host->listed && now_us > host->listed_us + seen_us(own))
-			g_array_remove_index_fast(own->seen, i);
+	while (i < own->known_hosts->len) {
+		host = &g_array_index(own->known_hosts, struct known_host, i);
+		if (!host->listed &&
+		    now_us > host->listed_us + removed_host_us(own))
+			g_array_remove_index_fast(own->known_hosts, i);
 		else
 			i++;
 	}
@@ -56,20 +58,20 @@
 static void
 count_shares(struct loom_ownership *own, uint64_t now_us)
 {
-	if (own->slots > own->declared && now_us >= own->slots_until_us)
+	if (own->slots > own->declared && now_us >= own->lower_slots_at_us)
 		own->slots = own->declared;
-	forget_old(own, now_us);
-	own->shares = MAX(own->slots, own->seen->len);
+	drop_removed_hosts(own, now_us);
+	own->shares = MAX(own->slots, own->known_hosts->len);
 }
 
 void
-loom_ownership_slots(
+loom_ownership_set_slots(
     struct loom_ownership *own, uint32_t declared, uint64_t now_us)
 {
 	/* a daemon that has the old declaration still holds the old part:
 	 * fewer slots mean larger parts, so they count late */
 	if (declared < own->slots && declared != own->declared)
-		own->slots_until_us = now_us + seen_us(own);
+		own->lower_slots_at_us = now_us + removed_host_us(own);
 	if (declared > own->slots)
 		own->slots = declared;
 	own->declared = declared;
@@ -77,19 +79,19 @@
 }
 
 static void
-see_all(
+update_known_hosts(
     struct loom_ownership *own, const struct loom_hosts *hosts, uint64_t now_us)
 {
 	GHashTable *known = g_hash_table_new(g_int64_hash, g_int64_equal);
-	struct seen_host added = { .listed_us = now_us, .listed = true };
-	guint i, n = own->seen->len;
-	struct seen_host *host;
+	struct known_host added = { .listed_us = now_us, .listed = true };
+	guint i, n = own->known_hosts->len;
+	struct known_host *host;
 
 	/* the entries must not move while the table points at them */
-	g_array_set_size(own->seen, n + hosts->nhosts);
-	g_array_set_size(own->seen, n);
+	g_array_set_size(own->known_hosts, n + hosts->nhosts);
+	g_array_set_size(own->known_hosts, n);
 	for (i = 0; i < n; i++) {
-		host = &g_array_index(own->seen, struct seen_host, i);
+		host = &g_array_index(own->known_hosts, struct known_host, i);
 		if (host->listed)
 			host->listed_us = now_us;
 		host->listed = false;
@@ -101,7 +103,7 @@
 		if (host != NULL)
 			host->listed = true;
 		else
-			g_array_append_val(own->seen, added);
+			g_array_append_val(own->known_hosts, added);
 	}
 	g_hash_table_destroy(known);
 }
@@ -122,39 +124,39 @@
  * and by the time it owns again it has the list.
  */
 static uint64_t
-hold_us(const struct loom_ownership *own)
+withhold_us(const struct loom_ownership *own)
 {
 	bool large = own->shares > LOOM_OWN_LARGE_HOSTS;
 	uint64_t withheld_us =
 	    large ? LOOM_OWN_WITHHELD_LARGE_US : own->withheld_us;
 
-	if (own->stopped)
+	if (own->paused)
 		return withheld_us + own->list_lag_us;
 	return (own->was_listed ? 0 : withheld_us) +
-	    (own->seen->len > own->slots ? own->newcomer_us : 0);
+	    (own->known_hosts->len > own->slots ? own->newcomer_us : 0);
 }
 
 static void
-hold_from(struct loom_ownership *own, uint64_t now_us, bool stopped)
+start_withholding(struct loom_ownership *own, uint64_t now_us, bool stopped)
 {
 	own->listed_us = now_us;
-	own->holding = true;
-	own->stopped = stopped;
+	own->withheld = true;
+	own->paused = stopped;
 }
 
 void
-loom_ownership_hosts(
+loom_ownership_set_hosts(
     struct loom_ownership *own, const struct loom_hosts *hosts, uint64_t now_us)
 {
 	bool listed = loom_hosts_find(hosts, own->host_id) != NULL;
 
-	forget_old(own, now_us);
-	see_all(own, hosts, now_us);
+	drop_removed_hosts(own, now_us);
+	update_known_hosts(own, hosts, now_us);
 	count_shares(own, now_us);
 	if (listed && !own->listed)
-		hold_from(own, now_us, false);
+		start_withholding(own, now_us, false);
 	if (own->listed && !listed)
-		own->was_listed = !own->holding;
+		own->was_listed = !own->withheld;
 	own->listed = listed;
 }
 
@@ -162,13 +164,13 @@
 loom_ownership_parts(struct loom_ownership *own, uint64_t now_us)
 {
 	if (own->checked_us != 0 && now_us > own->checked_us + own->list_lag_us)
-		hold_from(own, now_us, true);
+		start_withholding(own, now_us, true);
 	own->checked_us = now_us;
 	count_shares(own, now_us);
 	if (!own->listed ||
-	    (own->holding && now_us < own->listed_us + hold_us(own)))
+	    (own->withheld && now_us < own->listed_us + withhold_us(own)))
 		return 0;
-	own->holding = false;
+	own->withheld = false;
 	/* a listed host counts itself, so there is one share at least */
 	return LOOM_WHOLE / MAX(1, own->shares);
 }
--- a/src/decide/ownership.h
+++ b/src/decide/ownership.h
@@ -36,7 +36,7 @@
 
 /* A host that is off the list may still run and count on its part: it stays
  * counted for so many list lags. */
-#define LOOM_SEEN_LAGS 6
+#define LOOM_OWN_REMOVED_HOST_LAGS 6
 
 struct loom_ownership {
 	uint64_t host_id;
@@ -46,23 +46,23 @@
 	uint64_t listed_us; /* since when the list shows this host */
 	uint64_t checked_us; /* last call of loom_ownership_parts() */
 	uint32_t slots; /* declared, the largest seen lately */
-	uint64_t slots_until_us; /* a smaller declaration counts after */
+	uint64_t lower_slots_at_us; /* a smaller declaration counts after */
 	uint32_t declared;
 	uint32_t shares; /* n */
 	bool listed;
 	bool was_listed; /* by an earlier list, in this process */
-	bool stopped; /* the process was stopped for longer than lists lag */
-	bool holding; /* owns nothing yet */
-	GArray *seen; /* owned: hosts and when they were last listed */
+	bool paused; /* the process was stopped for longer than lists lag */
+	bool withheld; /* owns nothing yet */
+	GArray *known_hosts; /* owned: hosts and when they were last listed */
 };
 
 void loom_ownership_init(
     struct loom_ownership *, uint64_t host_id, uint64_t list_lag_us);
 void loom_ownership_clear(struct loom_ownership *);
 
-void loom_ownership_slots(
+void loom_ownership_set_slots(
     struct loom_ownership *, uint32_t declared, uint64_t now_us);
-void loom_ownership_hosts(
+void loom_ownership_set_hosts(
     struct loom_ownership *, const struct loom_hosts *hosts, uint64_t now_us);
 
 /* The part owned now, of LOOM_WHOLE.  To be called often: a long gap between
--- a/src/decide/pool_choice.c
+++ b/src/decide/pool_choice.c
@@ -16,7 +16,7 @@
 };
 
 /* The best host of a scope, and the best that is usable. */
-struct winner {
+struct best_hosts {
 	uint64_t first;
 	uint64_t first_weight;
 	uint64_t usable;
@@ -63,35 +63,35 @@
 }
 
 static void
-compete(struct winner *winner, uint64_t host_id, uint32_t partition,
-    enum scope scope, bool is_usable)
+consider_host(struct best_hosts *best_hosts, uint64_t host_id,
+    uint32_t partition, enum scope scope, bool is_usable)
 {
 	uint64_t salt = (uint64_t)partition * LOOM_POOL_STAGES_MAX + scope + 1;
 	uint64_t weight = mix_split(host_id ^ mix_split(salt)) | 1;
 
-	if (weight > winner->first_weight) {
-		winner->first = host_id;
-		winner->first_weight = weight;
+	if (weight > best_hosts->first_weight) {
+		best_hosts->first = host_id;
+		best_hosts->first_weight = weight;
 	}
-	if (is_usable && weight > winner->usable_weight) {
-		winner->usable = host_id;
-		winner->usable_weight = weight;
+	if (is_usable && weight > best_hosts->usable_weight) {
+		best_hosts->usable = host_id;
+		best_hosts->usable_weight = weight;
 	}
 }
 
 /* A host that is already among them makes no difference. */
 static void
-compete_everywhere(struct winner winners[LOOM_POOL_STAGES_MAX],
+consider_in_all_scopes(struct best_hosts best[LOOM_POOL_STAGES_MAX],
     uint64_t host_id, uint32_t partition)
 {
 	uint32_t scope;
 
 	for (scope = 0; scope < LOOM_POOL_STAGES_MAX; scope++)
-		compete(&winners[scope], host_id, partition, scope, true);
+		consider_host(&best[scope], host_id, partition, scope, true);
 }
 
 static void
-choose_all(struct winner winners[LOOM_POOL_STAGES_MAX],
+find_best_hosts(struct best_hosts best[LOOM_POOL_STAGES_MAX],
     const struct loom_hosts *hosts, const struct loom_self *self,
     uint32_t partition, bool (*usable)(void *arg, uint64_t host_id), void *arg)
 {
@@ -106,9 +106,9 @@
 		for (scope = 0; scope < LOOM_POOL_STAGES_MAX; scope++) {
 			if (!in_scope(host, self, scope, groups))
 				continue;
-			winners[scope].members++;
+			best[scope].members++;
 			if (host->state == LOOM_HOST_LIVE)
-				compete(&winners[scope], host->id, partition,
+				consider_host(&best[scope], host->id, partition,
 				    scope, is_usable);
 		}
 	}
@@ -117,33 +117,33 @@
 /* A scope as large as the next one, or a small region's data centre, is no
  * stage of its own. */
 static bool
-is_stage(const struct winner winners[LOOM_POOL_STAGES_MAX], uint32_t scope)
+is_stage(const struct best_hosts best[LOOM_POOL_STAGES_MAX], uint32_t scope)
 {
-	if (winners[scope].members == 0)
+	if (best[scope].members == 0)
 		return false;
 	if (scope == SCOPE_FLEET)
 		return true;
-	if (winners[scope].members == winners[scope + 1].members)
+	if (best[scope].members == best[scope + 1].members)
 		return false;
 	return scope != SCOPE_DATA_CENTRE ||
-	    winners[SCOPE_REGION].members > LOOM_POOL_FLAT_HOSTS;
+	    best[SCOPE_REGION].members > LOOM_POOL_FLAT_HOSTS;
 }
 
 static uint64_t
-winner_of(const struct winner *winner, bool usable)
+best_of(const struct best_hosts *best_hosts, bool usable)
 {
-	return usable ? winner->usable : winner->first;
+	return usable ? best_hosts->usable : best_hosts->first;
 }
 
 /* The highest stage that this daemon is the pool of; 0 for none. */
 static uint32_t
-own_stage(const struct winner *const *stages, uint32_t n, uint64_t host_id,
+own_stage(const struct best_hosts *const *stages, uint32_t n, uint64_t host_id,
     bool usable)
 {
 	uint32_t stage;
 
 	for (stage = n; stage > 0; stage--) {
-		if (winner_of(stages[stage - 1], usable) == host_id)
+		if (best_of(stages[stage - 1], usable) == host_id)
 			return stage;
 	}
 	return 0;
@@ -151,20 +151,20 @@
 
 struct loom_pool_choice
 loom_pool_choose(const struct loom_hosts *hosts, const struct loom_self *self,
-    uint32_t partition, const struct loom_pool_below *below,
+    uint32_t partition, const struct loom_pool_children *below,
     bool (*usable)(void *arg, uint64_t host_id), void *arg)
 {
-	struct winner winners[LOOM_POOL_STAGES_MAX] = { 0 };
-	const struct winner *stages[LOOM_POOL_STAGES_MAX];
+	struct best_hosts best[LOOM_POOL_STAGES_MAX] = { 0 };
+	const struct best_hosts *stages[LOOM_POOL_STAGES_MAX];
 	struct loom_pool_choice choice = { 0 };
 	uint32_t scope, first;
 
-	choose_all(winners, hosts, self, partition, usable, arg);
+	find_best_hosts(best, hosts, self, partition, usable, arg);
 	if (below->any)
-		compete_everywhere(winners, self->host_id, partition);
+		consider_in_all_scopes(best, self->host_id, partition);
 	for (scope = 0; scope < LOOM_POOL_STAGES_MAX; scope++) {
-		if (is_stage(winners, scope))
-			stages[choice.stages++] = &winners[scope];
+		if (is_stage(best, scope))
+			stages[choice.stages++] = &best[scope];
 	}
 	/*
 	 * The pool of a region may not be the pool of its data centre.  It
@@ -172,12 +172,13 @@
 	 * daemons would pass the same question to each other.
 	 */
 	choice.stage = own_stage(stages, choice.stages, self->host_id, true);
-	choice.stage = MAX(choice.stage, MIN(below->stage, choice.stages));
+	choice.stage =
+	    MAX(choice.stage, MIN(below->highest_stage, choice.stages));
 	if (choice.stage < choice.stages)
 		choice.parent_host_id = stages[choice.stage]->usable;
 	/* also for the topmost pool: it may be so only for lack of an answer */
 	first = own_stage(stages, choice.stages, self->host_id, false);
-	first = MAX(first, MIN(below->stage, choice.stages));
+	first = MAX(first, MIN(below->highest_stage, choice.stages));
 	if (first < choice.stages)
 		choice.preferred_host_id = stages[first]->first;
 	return choice;
--- a/src/decide/pool_choice.h
+++ b/src/decide/pool_choice.h
@@ -50,16 +50,16 @@
 };
 
 /* The daemons that took this one for their pool lately. */
-struct loom_pool_below {
+struct loom_pool_children {
 	bool any;
-	uint32_t stage; /* the highest stage that one of them has */
+	uint32_t highest_stage; /* the highest stage that one of them has */
 };
 
 /* usable: whether a host may be chosen; this daemon itself is not asked.  Each
  * partition of the teams has pools of its own. */
 struct loom_pool_choice loom_pool_choose(const struct loom_hosts *hosts,
     const struct loom_self *self, uint32_t partition,
-    const struct loom_pool_below *below,
+    const struct loom_pool_children *below,
     bool (*usable)(void *arg, uint64_t host_id), void *arg);
 
 #endif
--- a/tests/control/test_rights.c
+++ b/tests/control/test_rights.c
@@ -29,138 +29,142 @@
 }
 
 static uint64_t
-below(struct fleet *fleet, uint64_t bound)
+random_below(struct fleet *fleet, uint64_t bound)
 {
 	return loom_random_below(fleet_random(fleet), bound);
 }
 
-/* One kind of trouble; random_daemon is any. */
-enum trouble {
-	TROUBLE_STOP = 1, /* a process stands still, often beyond its loans */
-	TROUBLE_KILL = 2, /* killed, and started anew at once or later */
-	TROUBLE_CUT = 4, /* the network in two parts */
-	TROUBLE_LIST = 8, /* a daemon sees a shorter host list */
-	TROUBLE_RATE = 16, /* operators change rate and burst */
-	TROUBLE_LOSS = 32, /* messages are lost, repeated, reordered */
+/* One kind of fault; random_daemon is any. */
+enum fault {
+	FAULT_PAUSE = 1, /* a process stands still, often beyond its loans */
+	FAULT_KILL = 2, /* killed, and started anew at once or later */
+	FAULT_NETWORK_SPLIT = 4, /* the network in two parts */
+	FAULT_STALE_LIST = 8, /* a daemon sees a shorter host list */
+	FAULT_RATE_CHANGE = 16, /* operators change rate and burst */
+	FAULT_LOSS = 32, /* messages are lost, repeated, reordered */
 };
 
-struct rates {
+struct rollout {
 	double rate;
 	uint32_t burst;
-	unsigned shipped; /* daemons that have it */
+	unsigned updated; /* daemons that have it */
 };
 
 static void
-stale_list(struct fleet *fleet, unsigned daemon)
+set_stale_list(struct fleet *fleet, unsigned daemon)
 {
 	bool listed[FLEET_DAEMONS_MAX];
 	unsigned i;
 
 	for (i = 0; i < fleet_size(fleet); i++)
-		listed[i] = below(fleet, 8) != 0;
+		listed[i] = random_below(fleet, 8) != 0;
 	fleet_hosts(fleet, daemon, listed);
 }
 
 /* Ship to a few daemons more; when all have it, the old one is no excuse. */
 static void
-ship(struct fleet *fleet, struct rates *rates)
+continue_rollout(struct fleet *fleet, struct rollout *rollout)
 {
 	unsigned upto;
 
-	if (rates->shipped == fleet_size(fleet)) {
-		rates->rate = 20 + (double)below(fleet, 60);
-		rates->burst = 5 + (uint32_t)below(fleet, 40);
-		rates->shipped = 0;
+	if (rollout->updated == fleet_size(fleet)) {
+		rollout->rate = 20 + (double)random_below(fleet, 60);
+		rollout->burst = 5 + (uint32_t)random_below(fleet, 40);
+		rollout->updated = 0;
 	}
-	upto = MIN(
-	    fleet_size(fleet), rates->shipped + 1 + (unsigned)below(fleet, 8));
-	for (; rates->shipped < upto; rates->shipped++)
-		fleet_manifest(fleet, rates->shipped, rates->rate, rates->burst,
-		    fleet_size(fleet));
-	if (rates->shipped == fleet_size(fleet))
-		fleet_settled(fleet, rates->rate, rates->burst);
+	upto = MIN(fleet_size(fleet),
+	    rollout->updated + 1 + (unsigned)random_below(fleet, 8));
+	for (; rollout->updated < upto; rollout->updated++)
+		fleet_manifest(fleet, rollout->updated, rollout->rate,
+		    rollout->burst, fleet_size(fleet));
+	if (rollout->updated == fleet_size(fleet))
+		fleet_settled(fleet, rollout->rate, rollout->burst);
 }
 
 static void
-make_trouble(struct fleet *fleet, unsigned kinds, struct rates *rates)
+inject_fault(struct fleet *fleet, unsigned kinds, struct rollout *rollout)
 {
-	unsigned i, daemon = (unsigned)below(fleet, fleet_size(fleet));
+	unsigned i, daemon = (unsigned)random_below(fleet, fleet_size(fleet));
 	struct fleet_network *network = fleet_network(fleet);
 
-	switch (kinds & (1U << below(fleet, 6))) {
-	case TROUBLE_STOP:
+	switch (kinds & (1U << random_below(fleet, 6))) {
+	case FAULT_PAUSE:
 		fleet_stop(fleet, daemon,
-		    below(fleet, below(fleet, 2) ? 300 * MS : 4 * S));
+		    random_below(
+			fleet, random_below(fleet, 2) ? 300 * MS : 4 * S));
 		break;
-	case TROUBLE_KILL:
+	case FAULT_KILL:
 		fleet_kill(fleet, daemon);
-		if (below(fleet, 3) > 0)
+		if (random_below(fleet, 3) > 0)
 			fleet_start(fleet, daemon);
 		break;
-	case TROUBLE_CUT:
+	case FAULT_NETWORK_SPLIT:
 		fleet_heal(fleet);
-		if (below(fleet, 2) > 0)
+		if (random_below(fleet, 2) > 0)
 			break;
 		for (i = 0; i < fleet_size(fleet); i++)
-			fleet_cut(fleet, i, (unsigned)below(fleet, 2));
+			fleet_cut(fleet, i, (unsigned)random_below(fleet, 2));
 		break;
-	case TROUBLE_LIST:
-		if (below(fleet, 2) > 0)
-			stale_list(fleet, daemon);
+	case FAULT_STALE_LIST:
+		if (random_below(fleet, 2) > 0)
+			set_stale_list(fleet, daemon);
 		else
 			fleet_hosts(fleet, daemon, NULL);
 		break;
-	case TROUBLE_RATE:
-		ship(fleet, rates);
+	case FAULT_RATE_CHANGE:
+		continue_rollout(fleet, rollout);
 		break;
-	case TROUBLE_LOSS:
-		network->loss = (double)below(fleet, 30) / 100;
-		network->repeat = (double)below(fleet, 30) / 100;
-		network->reorder = below(fleet, 2) != 0;
-		network->jitter_us = below(fleet, 2) ? 100 : below(fleet, S);
+	case FAULT_LOSS:
+		network->loss = (double)random_below(fleet, 30) / 100;
+		network->repeat = (double)random_below(fleet, 30) / 100;
+		network->reorder = random_below(fleet, 2) != 0;
+		network->jitter_us =
+		    random_below(fleet, 2) ? 100 : random_below(fleet, S);
 		break;
 	default:
 		break;
 	}
 	for (i = 0; i < fleet_size(fleet); i++) {
-		if (below(fleet, 10) == 0)
+		if (random_below(fleet, 10) == 0)
 			fleet_start(fleet, i);
 	}
 }
 
 static void
-load_part(struct fleet *fleet, double per_s, uint64_t for_us)
+offer_random_load(struct fleet *fleet, double per_s, uint64_t for_us)
 {
 	double weights[FLEET_DAEMONS_MAX] = { 0 };
 	uint64_t until_us = fleet_now(fleet) + for_us;
 
-	weights[below(fleet, fleet_size(fleet))] = 1;
-	weights[below(fleet, fleet_size(fleet))] = 1;
+	weights[random_below(fleet, fleet_size(fleet))] = 1;
+	weights[random_below(fleet, fleet_size(fleet))] = 1;
 	fleet_load(
 	    fleet, 1, per_s / 10, weights, fleet_now(fleet) + for_us / 4);
-	fleet_load(fleet, 0, per_s, below(fleet, 2) ? NULL : weights, until_us);
+	fleet_load(
+	    fleet, 0, per_s, random_below(fleet, 2) ? NULL : weights, until_us);
 }
 
 static void
-play_schedule(const char *name, uint32_t seed, unsigned kinds, unsigned daemons,
+run_schedule(const char *name, uint32_t seed, unsigned kinds, unsigned daemons,
     unsigned rounds)
 {
 	struct fleet *fleet = fleet_new(daemons, 3, seed, NULL);
-	struct rates rates = { RATE, BURST, daemons };
+	struct rollout rollout = { RATE, BURST, daemons };
 	double load;
 	unsigned i;
 
 	fleet_manifest_all(fleet, RATE, BURST, fleet_size(fleet));
 	fleet_team(fleet, 0)->bound.level = BURST;
 	fleet_team(fleet, 1)->bound.level = fleet_team(fleet, 1)->bound.burst;
-	load_part(fleet, RATE, 5 * S);
+	offer_random_load(fleet, RATE, 5 * S);
 	fleet_reset_counts(fleet);
 	for (i = 0; i < rounds; i++) {
-		make_trouble(fleet, kinds, &rates);
+		inject_fault(fleet, kinds, &rollout);
 		/* quiet at times, so that buckets fill to the brim, then far
 		 * over the rate, so that all that is there is used */
-		load = below(fleet, 3) == 0 ? 0.1 : 4 * RATE;
-		load_part(fleet, load, 20 * MS + below(fleet, 600 * MS));
+		load = random_below(fleet, 3) == 0 ? 0.1 : 4 * RATE;
+		offer_random_load(
+		    fleet, load, 20 * MS + random_below(fleet, 600 * MS));
 	}
 	TEST_CHECK(
 	    fleet_team(fleet, 0)->admitted > 0, "%s seed %u", name, seed);
@@ -171,7 +175,7 @@
 /*
  * What callers would see if a safeguard were missing: a team that sends far
  * over its rate gets more than its share while processes stop, die and are
- * cut off.  Each schedule mixes some kinds of trouble at random; the bound is
+ * cut off.  Each schedule mixes some kinds of fault at random; the bound is
  * checked at each call that is let in.
  */
 static void
@@ -183,13 +187,13 @@
 		unsigned seeds;
 		unsigned daemons; /* more than 64: two stages of pools */
 	} cases[] = {
-		{ "stop", TROUBLE_STOP, 12, DAEMONS },
-		{ "kill", TROUBLE_KILL, 12, DAEMONS },
-		{ "cut", TROUBLE_CUT, 8, DAEMONS },
-		{ "list", TROUBLE_LIST, 8, DAEMONS },
-		{ "rate", TROUBLE_RATE, 8, DAEMONS },
-		{ "loss", TROUBLE_LOSS, 12, DAEMONS },
-		{ "stop and loss", TROUBLE_STOP | TROUBLE_LOSS, 12, DAEMONS },
+		{ "stop", FAULT_PAUSE, 12, DAEMONS },
+		{ "kill", FAULT_KILL, 12, DAEMONS },
+		{ "cut", FAULT_NETWORK_SPLIT, 8, DAEMONS },
+		{ "list", FAULT_STALE_LIST, 8, DAEMONS },
+		{ "rate", FAULT_RATE_CHANGE, 8, DAEMONS },
+		{ "loss", FAULT_LOSS, 12, DAEMONS },
+		{ "stop and loss", FAULT_PAUSE | FAULT_LOSS, 12, DAEMONS },
 		{ "all", 63, 40, DAEMONS },
 		{ "two stages", 63, 4, 72 },
 	};
@@ -200,13 +204,13 @@
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
 		for (seed = 1; seed <= factor * cases[i].seeds; seed++)
-			play_schedule(cases[i].name, seed, cases[i].kinds,
+			run_schedule(cases[i].name, seed, cases[i].kinds,
 			    cases[i].daemons, 100);
 	}
 }
 
 static struct fleet *
-warm_fleet(uint32_t seed)
+new_warm_fleet(uint32_t seed)
 {
 	struct fleet *fleet = fleet_new(DAEMONS, 3, seed, NULL);
 
@@ -218,7 +222,7 @@
 }
 
 static void
-call_often(struct fleet *fleet, unsigned daemon, unsigned times)
+send_calls(struct fleet *fleet, unsigned daemon, unsigned times)
 {
 	for (; times > 0; times--)
 		fleet_call(fleet, daemon, 0);
@@ -231,10 +235,10 @@
  * timer does.  It must find its loan ended: callers would get the burst twice.
  */
 static void
-test_stopped_borrower(void)
+test_paused_borrower(void)
 {
 	double weights[FLEET_DAEMONS_MAX] = { 0 };
-	struct fleet *fleet = warm_fleet(7);
+	struct fleet *fleet = new_warm_fleet(7);
 	unsigned other, borrower = 4;
 
 	weights[borrower] = 1;
@@ -244,11 +248,11 @@
 	fleet_run(fleet, fleet_now(fleet) + 2 * S - 50 * MS);
 	for (other = 0; other < DAEMONS; other++) {
 		if (other != borrower)
-			call_often(fleet, other, 30);
+			send_calls(fleet, other, 30);
 	}
 	fleet_run(fleet, fleet_now(fleet) + 50 * MS - 1);
 	fleet_stop(fleet, borrower, 0);
-	call_often(fleet, borrower, 30);
+	send_calls(fleet, borrower, 30);
 	check_bound(fleet, "stopped borrower", 7);
 	fleet_free(fleet);
 }
@@ -295,7 +299,7 @@
 }
 
 static const struct test_case tests[] = {
-	{ "stopped borrower", test_stopped_borrower },
+	{ "stopped borrower", test_paused_borrower },
 	{ "newcomers", test_newcomers },
 	{ "random schedules", test_schedules },
 };
--- a/tests/control/test_rights_flood.c
+++ b/tests/control/test_rights_flood.c
@@ -10,7 +10,7 @@
 #define DAEMONS 66
 #define RATE 500.0
 #define BURST 200
-#define NOT_LET_IN_MAX 0.10 /* of the calls that each team's rate allows */
+#define MISSING_MAX_PART 0.10 /* of the calls that each team's rate allows */
 
 /*
  * Calls of each team let in, against an ideal bucket for the same arrivals.
@@ -22,28 +22,28 @@
 check_teams(struct fleet *fleet, double load)
 {
 	const struct fleet_team *team;
-	double ideal = 0, let_in = 0, missing;
+	double ideal_sum = 0, admitted_sum = 0, missing;
 	unsigned t;
 
 	for (t = 0; t < FLEET_TEAMS; t++) {
 		team = fleet_team(fleet, t);
-		ideal += (double)team->ideal_admitted;
-		let_in += (double)team->admitted;
+		ideal_sum += (double)team->ideal_admitted;
+		admitted_sum += (double)team->admitted;
 		missing = (double)team->ideal_admitted - (double)team->admitted;
 		TEST_CHECK(
-		    missing <= NOT_LET_IN_MAX * (double)team->ideal_admitted,
+		    missing <= MISSING_MAX_PART * (double)team->ideal_admitted,
 		    "team %u: %.0f of %.0f not let in", t, missing,
 		    (double)team->ideal_admitted);
 	}
 	printf("point rights, %.1f times the rates of all teams: %.2f%% of "
 	       "what they allow not let in\n",
-	    load, 100.0 * (ideal - let_in) / ideal);
+	    load, 100.0 * (ideal_sum - admitted_sum) / ideal_sum);
 }
 
 /* Callers of each team send more than its rate, at any of 66 daemons, each of
  * which takes some time for a message. */
 static void
-play(double load, uint64_t handling_us)
+run_flood(double load, uint64_t handling_us)
 {
 	const struct loom_rights_settings settings = {
 		.wait_us = 60000,
@@ -70,14 +70,14 @@
 static void
 test_flood(void)
 {
-	play(1.5, 200);
+	run_flood(1.5, 200);
 }
 
 /* The same where the pools have less time yet. */
 static void
 test_flood_late_pools(void)
 {
-	play(3, 500);
+	run_flood(3, 500);
 }
 
 static const struct test_case tests[] = {
--- a/tests/control/test_rights_loan.c
+++ b/tests/control/test_rights_loan.c
@@ -26,7 +26,7 @@
 };
 
 static void
-count_sent(
+record_sent(
     void *arg, uint64_t host_id, uint8_t type, const void *payload, size_t len)
 {
 	struct fixture *fixture = arg;
@@ -38,7 +38,7 @@
 }
 
 static void
-ship(struct fixture *fixture)
+load_manifest(struct fixture *fixture)
 {
 	static const char text[] =
 	    "{ \"document\": \"d\", \"version\": 1,"
@@ -77,9 +77,9 @@
 
 /* as_pool: whether this daemon is the pool of the two. */
 static void
-start(struct fixture *fixture, bool as_pool)
+start_fixture(struct fixture *fixture, bool as_pool)
 {
-	struct loom_sender sender = { .send = count_sent, .arg = fixture };
+	struct loom_sender sender = { .send = record_sent, .arg = fixture };
 	struct loom_rights_summary summary;
 	uint64_t id;
 
@@ -95,7 +95,7 @@
 		fixture->self.host_id = id;
 		fixture->rights = loom_rights_new(NULL, &fixture->self, &sender,
 		    &fixture->random, NULL, NULL, START_US);
-		ship(fixture);
+		load_manifest(fixture);
 		list_hosts(fixture);
 		loom_rights_summary(fixture->rights, &summary);
 		if ((summary.pool_host_id == 0) == as_pool)
@@ -105,7 +105,7 @@
 }
 
 static void
-end(struct fixture *fixture)
+end_fixture(struct fixture *fixture)
 {
 	talloc_free(fixture->rights);
 	test_random_free(&fixture->random);
@@ -153,19 +153,19 @@
  * the arrival, callers would get the same tokens here and at the pool.
  */
 static void
-test_loan_runs_from_asking(void)
+test_loan_starts_at_request(void)
 {
 	const uint64_t asked_us = START_US + 10 * MS;
 	struct fixture fixture;
 
-	start(&fixture, false);
+	start_fixture(&fixture, false);
 	deliver_down(&fixture, 1, asked_us, 0.5, 4, asked_us + 300 * MS);
 	TEST_CHECK(level(&fixture, asked_us + 390 * MS) > 3.9, "lent");
 	TEST_CHECK(level(&fixture, asked_us + 400 * MS) < 0.001, "ended");
 	/* an answer that took longer than the loan brings nothing */
 	deliver_down(&fixture, 2, asked_us, 0.5, 4, asked_us + 401 * MS);
 	TEST_CHECK(level(&fixture, asked_us + 402 * MS) < 0.001, "too late");
-	end(&fixture);
+	end_fixture(&fixture);
 }
 
 /* The network repeats a grant, and delivers an older one late.  Its tokens
@@ -176,7 +176,7 @@
 	const uint64_t asked_us = START_US + 10 * MS;
 	struct fixture fixture;
 
-	start(&fixture, false);
+	start_fixture(&fixture, false);
 	deliver_down(&fixture, 2, asked_us, 0.5, 4, asked_us + MS);
 	deliver_down(&fixture, 2, asked_us, 0.5, 4, asked_us + MS);
 	deliver_down(&fixture, 1, asked_us, 0.5, 4, asked_us + 2 * MS);
@@ -185,33 +185,34 @@
 	/* asked by this daemon's forerunner in the future of its clock */
 	deliver_down(&fixture, 3, asked_us + 9 * MS, 1, 4, asked_us + 4 * MS);
 	TEST_CHECK(level(&fixture, asked_us + 5 * MS) < 4.001, "future");
-	end(&fixture);
+	end_fixture(&fixture);
 }
 
 /* What a grant's own rules say, below the part that checks numbers too. */
 static void
-test_grant_numbers(void)
+test_grant_sequence(void)
 {
-	struct loom_holding holding = { .rate_per_s = 50, .burst = 20 };
-	struct loom_base none = { 0 };
-	struct loom_grant_in grant = { .lender_host_id = 1,
+	struct loom_team_bucket holding = { .rate_per_s = 50, .burst = 20 };
+	struct loom_base_share none = { 0 };
+	struct loom_grant grant = { .lender_host_id = 1,
 		.lender_incarnation = 1,
 		.seq = 5,
 		.share = { 0, LOOM_WHOLE / 2 },
 		.tokens_utok = LOOM_TOKEN_UTOK,
 		.until_us = 1000 };
 
-	CU_ASSERT_TRUE(loom_holding_grant(&holding, &none, &grant, 1));
-	CU_ASSERT_FALSE(loom_holding_grant(&holding, &none, &grant, 2));
+	CU_ASSERT_TRUE(loom_bucket_apply_grant(&holding, &none, &grant, 1));
+	CU_ASSERT_FALSE(loom_bucket_apply_grant(&holding, &none, &grant, 2));
 	grant.seq = 4;
-	CU_ASSERT_FALSE(loom_holding_grant(&holding, &none, &grant, 3));
+	CU_ASSERT_FALSE(loom_bucket_apply_grant(&holding, &none, &grant, 3));
 	CU_ASSERT_EQUAL(holding.level_utok, LOOM_TOKEN_UTOK);
-	/* what was lent on stays until its end, whatever the pool lowers */
-	holding.out.capacity = LOOM_WHOLE / 4;
+	/* what was lent on stays until its end_fixture, whatever the pool
+	 * lowers */
+	holding.lent.capacity = LOOM_WHOLE / 4;
 	grant.seq = 6;
 	grant.share.capacity = 0;
-	CU_ASSERT_TRUE(loom_holding_grant(&holding, &none, &grant, 4));
-	CU_ASSERT_EQUAL(holding.in[0].share.capacity, LOOM_WHOLE / 4);
+	CU_ASSERT_TRUE(loom_bucket_apply_grant(&holding, &none, &grant, 4));
+	CU_ASSERT_EQUAL(holding.borrowed[0].share.capacity, LOOM_WHOLE / 4);
 }
 
 /*
@@ -222,17 +223,17 @@
 static void
 test_confirm(void)
 {
-	struct loom_outloan loan = { 0 };
+	struct loom_lender_loan loan = { 0 };
 	struct loom_share keep = { 10, 10 };
 
-	loom_outloan_sent(&loan, 7, (struct loom_share){ 100, 100 }, 1000);
-	loom_outloan_confirm(&loan, 6, keep);
-	CU_ASSERT_EQUAL(loan.commit.capacity, 100);
-	loom_outloan_sent(&loan, 8, (struct loom_share){ 50, 50 }, 900);
-	CU_ASSERT_EQUAL(loan.commit.capacity, 100);
+	loom_lender_loan_sent(&loan, 7, (struct loom_share){ 100, 100 }, 1000);
+	loom_lender_loan_confirm(&loan, 6, keep);
+	CU_ASSERT_EQUAL(loan.committed.capacity, 100);
+	loom_lender_loan_sent(&loan, 8, (struct loom_share){ 50, 50 }, 900);
+	CU_ASSERT_EQUAL(loan.committed.capacity, 100);
 	CU_ASSERT_EQUAL(loan.until_us, 1000);
-	loom_outloan_confirm(&loan, 8, keep);
-	CU_ASSERT_EQUAL(loan.commit.capacity, 10);
+	loom_lender_loan_confirm(&loan, 8, keep);
+	CU_ASSERT_EQUAL(loan.committed.capacity, 10);
 }
 
 static void
@@ -272,12 +273,12 @@
  * than the sending.  A message for the pool's forerunner lends nothing.
  */
 static void
-test_pool_counts_from_its_echo(void)
+test_base_loan_starts_at_echo(void)
 {
 	const uint64_t echo_us = START_US + 10 * MS;
 	struct fixture fixture;
 
-	start(&fixture, true);
+	start_fixture(&fixture, true);
 	deliver_up(&fixture, 1, 76, echo_us, 0.5, echo_us + 100 * MS);
 	TEST_CHECK(pooled(&fixture, echo_us + 200 * MS) == 0, "forerunner");
 	deliver_up(&fixture, 2, 77, echo_us, 0.5, echo_us + 300 * MS);
@@ -285,7 +286,7 @@
 	deliver_up(&fixture, 1, 77, echo_us, 1, echo_us + 410 * MS);
 	TEST_CHECK(pooled(&fixture, echo_us + 510 * MS) == 0.5, "overtaken");
 	TEST_CHECK(pooled(&fixture, echo_us + 801 * MS) == 0, "ended");
-	end(&fixture);
+	end_fixture(&fixture);
 }
 
 /*
@@ -294,12 +295,12 @@
  * what was in it must be gone already, or it would be used here and there.
  */
 static void
-test_lent_at_once(void)
+test_lent_share_is_unusable(void)
 {
 	struct fixture fixture;
 	uint64_t retry_us, now_us = START_US;
 
-	start(&fixture, false);
+	start_fixture(&fixture, false);
 	for (; now_us < START_US + 4000 * MS; now_us += 2 * MS)
 		loom_rights_ops.tick(fixture.rights, now_us);
 	TEST_CHECK(level(&fixture, now_us) > 4, "owns");
@@ -310,7 +311,7 @@
 	TEST_CHECK(loom_rights_take(fixture.rights, loom_name_id(TEAM),
 		       now_us + 99 * MS, &retry_us) != LOOM_OK,
 	    "taken after it was lent");
-	end(&fixture);
+	end_fixture(&fixture);
 }
 
 /* The pool's clock is slower than the daemon's by nearly what loans allow. */
@@ -322,7 +323,8 @@
 
 /* Ticks for so long; each message is answered at once, or none is. */
 static unsigned
-messages_in(struct fixture *fixture, uint64_t *now_us, uint64_t us, bool heard)
+count_messages(
+    struct fixture *fixture, uint64_t *now_us, uint64_t us, bool answered)
 {
 	static struct loom_rights_down down;
 	static uint8_t buf[LOOM_RIGHTS_MESSAGE_MAX];
@@ -338,7 +340,7 @@
 			continue;
 		TEST_CHECK(fixture->up.pool_now_us <= slow_clock_us(*now_us),
 		    "a loan counted from the pool's future");
-		if (!heard)
+		if (!answered)
 			continue;
 		down = (struct loom_rights_down){ .seq = ++fixture->seq,
 			.child_incarnation = fixture->self.incarnation,
@@ -353,7 +355,7 @@
 
 /*
  * No call comes to a daemon: its loan to the pool is long and seldom renewed.
- * A renewal that is lost is repeated at once, for the loan must not end
+ * A renewal that is lost is repeated at once, for the loan must not end_fixture
  * meanwhile at a pool that lends from it; and a pool that does not answer is
  * left as soon as by a busy daemon.
  */
@@ -365,22 +367,22 @@
 	uint64_t now_us = START_US;
 	unsigned n;
 
-	start(&fixture, false);
-	messages_in(&fixture, &now_us, 6000 * MS, true);
-	n = messages_in(&fixture, &now_us, 8000 * MS, true);
+	start_fixture(&fixture, false);
+	count_messages(&fixture, &now_us, 6000 * MS, true);
+	n = count_messages(&fixture, &now_us, 8000 * MS, true);
 	TEST_CHECK(n >= 8 && n <= 10, "%u in 8 s", n);
 	TEST_CHECK(fixture.up.lend_us == 1600 * MS, "lent for long");
-	n = messages_in(&fixture, &now_us, 1300 * MS, false);
+	n = count_messages(&fixture, &now_us, 1300 * MS, false);
 	TEST_CHECK(n >= 4, "%u repeated", n);
 	loom_rights_summary(fixture.rights, &summary);
 	TEST_CHECK(summary.pool_host_id == 0, "left");
-	end(&fixture);
+	end_fixture(&fixture);
 }
 
 /* A pool with much of the team, asked again and again while calls come;
  * renewals in two seconds. */
 static unsigned
-renewals_in_use(
+count_renewals_with_calls(
     struct fixture *fixture, uint64_t *now_us, uint32_t flags, bool calls)
 {
 	struct loom_from from = { fixture->other_id, 5 };
@@ -424,25 +426,26 @@
  * they went; and without plenty each renewal is sent.
  */
 static void
-test_calm_renewals(void)
+test_relaxed_renewals(void)
 {
 	struct fixture fixture;
 	uint64_t now_us = START_US, told;
 	unsigned n;
 
-	start(&fixture, false);
-	messages_in(&fixture, &now_us, 200 * MS, true);
-	renewals_in_use(&fixture, &now_us, LOOM_RIGHTS_PLENTY, true);
-	renewals_in_use(&fixture, &now_us, LOOM_RIGHTS_PLENTY, true);
-	n = renewals_in_use(&fixture, &now_us, LOOM_RIGHTS_PLENTY, true);
+	start_fixture(&fixture, false);
+	count_messages(&fixture, &now_us, 200 * MS, true);
+	count_renewals_with_calls(&fixture, &now_us, LOOM_RIGHTS_PLENTY, true);
+	count_renewals_with_calls(&fixture, &now_us, LOOM_RIGHTS_PLENTY, true);
+	n = count_renewals_with_calls(
+	    &fixture, &now_us, LOOM_RIGHTS_PLENTY, true);
 	TEST_CHECK(n >= 9 && n <= 12, "%u in 2 s", n);
 	told = fixture.up.entries[0].demand_mhz;
-	messages_in(&fixture, &now_us, 300 * MS, true);
+	count_messages(&fixture, &now_us, 300 * MS, true);
 	TEST_CHECK(fixture.up.entries[0].demand_mhz < told / 2, "not told");
-	renewals_in_use(&fixture, &now_us, 0, true);
-	n = renewals_in_use(&fixture, &now_us, 0, true);
+	count_renewals_with_calls(&fixture, &now_us, 0, true);
+	n = count_renewals_with_calls(&fixture, &now_us, 0, true);
 	TEST_CHECK(n >= 18, "%u in 2 s without plenty", n);
-	end(&fixture);
+	end_fixture(&fixture);
 }
 
 /* What is lent for long to a pool must outlast, until the next renewal, what
@@ -456,15 +459,15 @@
 	for (large = 0; large < 2; large++) {
 		for (stages = 1; stages <= 4; stages++) {
 			for (stage = 0; stage < stages; stage++) {
-				left_us =
-				    loom_loan_idle_up_us(stage, stages, large) -
-				    loom_loan_idle_us(stages, large);
+				left_us = loom_loan_idle_to_parent_us(
+					      stage, stages, large) -
+				    loom_loan_idle_renew_us(stages, large);
 				TEST_CHECK(left_us >= LOOM_LOAN_STEP_US +
 					    (stage + 1 < stages
-						    ? loom_loan_idle_up_us(
+						    ? loom_loan_idle_to_parent_us(
 							  stage + 1, stages,
 							  large)
-						    : loom_loan_down_us(
+						    : loom_loan_to_child_us(
 							  stages)),
 				    "%u of %u", stage, stages);
 			}
@@ -479,7 +482,7 @@
  * borrowers could have but one.
  */
 static void
-test_ahead_in_plenty(void)
+test_prefetch_in_plenty(void)
 {
 	static const struct {
 		bool plenty;
@@ -492,14 +495,16 @@
 		{ true, 90, 600, 1, 1.3 },
 		{ true, 10, 300, 0, 0 },
 	};
-	const struct loom_holding team = { .rate_per_s = 500, .burst = 100 };
+	const struct loom_team_bucket team = { .rate_per_s = 500,
+		.burst = 100 };
 	const struct loom_share whole = { LOOM_WHOLE, LOOM_WHOLE };
-	struct loom_loan_question ask = { .free = whole,
-		.whole = whole,
+	struct loom_loan_request ask = { .lendable = whole,
+		.team_share = whole,
 		.spare_utok = 100 * LOOM_TOKEN_UTOK,
 		.demand_per_s = 15,
-		.ahead_utok = loom_loan_target_utok(15, false, true) };
-	struct loom_loan_answer answer;
+		.prefetch_utok =
+		    loom_loan_prefetch_target_utok(15, false, true) };
+	struct loom_loan_decision answer;
 	double tokens;
 	size_t i;
 
@@ -508,7 +513,7 @@
 		ask.level_utok = (uint64_t)cases[i].level * LOOM_TOKEN_UTOK;
 		ask.demand_all_per_s = cases[i].all_per_s;
 		answer = loom_loan_decide(&team, &ask);
-		tokens = (double)answer.tokens_utok / (double)LOOM_TOKEN_UTOK;
+		tokens = (double)answer.added_utok / (double)LOOM_TOKEN_UTOK;
 		TEST_CHECK(tokens >= cases[i].least && tokens <= cases[i].most,
 		    "%zu: %f tokens", i, tokens);
 	}
@@ -524,7 +529,7 @@
 	struct loom_from from;
 	size_t i, len;
 
-	start(&fixture, true);
+	start_fixture(&fixture, true);
 	from = (struct loom_from){ fixture.other_id, 5 };
 	up = (struct loom_rights_up){ .seq = 1, .nentries = 2 };
 	up.entries[0].team_id = loom_name_id(TEAM);
@@ -540,20 +545,20 @@
 		    buf, i, START_US + MS);
 	}
 	CU_ASSERT_EQUAL(fixture.sent, 0);
-	end(&fixture);
+	end_fixture(&fixture);
 }
 
 static const struct test_case tests[] = {
-	{ "a loan runs from asking", test_loan_runs_from_asking },
+	{ "a loan runs from asking", test_loan_starts_at_request },
 	{ "repeated grants", test_repeated_grants },
-	{ "numbers of grants", test_grant_numbers },
+	{ "numbers of grants", test_grant_sequence },
 	{ "confirm", test_confirm },
-	{ "a pool counts from its echo", test_pool_counts_from_its_echo },
-	{ "lent at once", test_lent_at_once },
+	{ "a pool counts from its echo", test_base_loan_starts_at_echo },
+	{ "lent at once", test_lent_share_is_unusable },
 	{ "idle renewals", test_idle_renewals },
-	{ "calm renewals", test_calm_renewals },
+	{ "calm renewals", test_relaxed_renewals },
 	{ "idle loans nest", test_idle_loans_nest },
-	{ "ahead in plenty", test_ahead_in_plenty },
+	{ "ahead in plenty", test_prefetch_in_plenty },
 	{ "malformed", test_malformed },
 };
 
--- a/tests/control/test_rights_partitions.c
+++ b/tests/control/test_rights_partitions.c
@@ -23,12 +23,12 @@
  * more than its rate meanwhile.
  */
 static void
-test_pools_out_of_time(void)
+test_slow_pools(void)
 {
 	static const struct {
 		const char *what;
 		double load; /* of each team's rate */
-		unsigned first_times; /* that the first team sends */
+		unsigned first_team_weight; /* that the first team sends */
 	} rows[] = {
 		{ "all near their rate", 0.9, 1 },
 		{ "one sends five times its rate", 0.5, 10 },
@@ -46,16 +46,16 @@
 
 	for (i = 0; i < G_N_ELEMENTS(rows); i++) {
 		per_s = rows[i].load * RATE *
-		    (rows[i].first_times + FLEET_TEAMS - 1);
+		    (rows[i].first_team_weight + FLEET_TEAMS - 1);
 		fleet = fleet_new(DAEMONS, 3, 5, &settings);
 		fleet_network(fleet)->handling_us = 500;
 		fleet_manifest_all(fleet, RATE, BURST, DAEMONS);
 		for (t = 0; t < FLEET_TEAMS; t++)
 			fleet_team(fleet, t)->bound.level = BURST;
-		fleet_load_all(fleet, per_s, rows[i].first_times,
+		fleet_load_all(fleet, per_s, rows[i].first_team_weight,
 		    fleet_now(fleet) + 6 * S);
 		fleet_reset_counts(fleet);
-		fleet_load_all(fleet, per_s, rows[i].first_times,
+		fleet_load_all(fleet, per_s, rows[i].first_team_weight,
 		    fleet_now(fleet) + 5 * S);
 		wrongful = 0;
 		ideal = 0;
@@ -64,7 +64,7 @@
 			TEST_CHECK(team->worst > -0.001,
 			    "%s: team %u over its rate: %f", rows[i].what, t,
 			    team->worst);
-			if (t == 0 && rows[i].first_times > 1)
+			if (t == 0 && rows[i].first_team_weight > 1)
 				continue;
 			wrongful += (double)team->wrongful;
 			ideal += team->ideal_admitted;
@@ -81,7 +81,7 @@
 
 /* All daemons agree on a team's partition, and teams are spread over all. */
 static void
-test_spread(void)
+test_team_distribution(void)
 {
 	unsigned counts[8] = { 0 }, i, empty = 0;
 	uint64_t team_id;
@@ -96,8 +96,8 @@
 }
 
 static const struct test_case tests[] = {
-	{ "pools out of time", test_pools_out_of_time },
-	{ "spread", test_spread },
+	{ "pools out of time", test_slow_pools },
+	{ "spread", test_team_distribution },
 };
 
 TEST_MAIN("rights_partitions", tests)
--- a/tests/control/test_rights_rivals.c
+++ b/tests/control/test_rights_rivals.c
@@ -29,7 +29,7 @@
 
 /* Offer a call each millisecond for a time; how far over the bound? */
 static double
-over_by(struct fleet_bucket *buckets, unsigned n, uint64_t for_us)
+excess_admitted(struct fleet_bucket *buckets, unsigned n, uint64_t for_us)
 {
 	double admitted = 0;
 	uint64_t now_us;
@@ -48,7 +48,7 @@
  * on with its 1/16: a sixteenth too much for as long as that lasts.
  */
 static void
-test_shares_of_the_live_list(void)
+test_live_list_shares(void)
 {
 	struct fleet_bucket buckets[DAEMONS];
 	unsigned i, n;
@@ -59,7 +59,8 @@
 			.burst = (double)BURST / n,
 			.level = (double)BURST / n };
 	}
-	TEST_CHECK(over_by(buckets, DAEMONS, 60 * S) > 150, "no overshoot");
+	TEST_CHECK(
+	    excess_admitted(buckets, DAEMONS, 60 * S) > 150, "no overshoot");
 }
 
 /*
@@ -68,14 +69,15 @@
  * grants the whole rate, and the new owner the whole burst again.
  */
 static void
-test_one_owner(void)
+test_single_owner(void)
 {
 	struct fleet_bucket owners[2] = {
 		{ .rate_per_s = RATE, .burst = BURST, .level = BURST },
 		{ .rate_per_s = RATE, .burst = BURST, .level = BURST },
 	};
 
-	TEST_CHECK(over_by(owners, 2, 5 * S) > RATE * 5, "no overshoot");
+	TEST_CHECK(
+	    excess_admitted(owners, 2, 5 * S) > RATE * 5, "no overshoot");
 }
 
 /*
@@ -125,8 +127,8 @@
 }
 
 static const struct test_case tests[] = {
-	{ "shares of the live list", test_shares_of_the_live_list },
-	{ "one owner", test_one_owner },
+	{ "shares of the live list", test_live_list_shares },
+	{ "one owner", test_single_owner },
 	{ "static shares", test_static_shares },
 };
 
--- a/tests/control/test_rights_share.c
+++ b/tests/control/test_rights_share.c
@@ -11,20 +11,20 @@
 #define WARM_UP_US UINT64_C(8000000)
 #define S UINT64_C(1000000)
 
-enum skew {
+enum distribution {
 	SPREAD, /* evenly over all daemons */
 	ONE, /* all at one daemon */
 	MOVING, /* all at one daemon, another one each two seconds */
 };
 
-static const char *const skew_names[] = { "spread", "one", "moving" };
+static const char *const distribution_names[] = { "spread", "one", "moving" };
 
 struct share_case {
 	unsigned daemons;
 	uint32_t burst;
 	double rate_per_s;
 	double load; /* of the rate */
-	enum skew skew;
+	enum distribution distribution;
 	unsigned seconds;
 	/* Of the calls that the ideal lets in; 0 for no bound.  The aim is
 	 * 0.001 up to 90% of the rate.  It is not reached there with bursts
@@ -34,21 +34,22 @@
 };
 
 static void
-play_load(struct fleet *fleet, const struct share_case *c, uint64_t until_us)
+offer_load(struct fleet *fleet, const struct share_case *c, uint64_t until_us)
 {
 	double weights[FLEET_DAEMONS_MAX] = { 0 };
 	double per_s = c->load * c->rate_per_s;
 	unsigned at = 5 % c->daemons;
 
-	if (c->skew == SPREAD) {
+	if (c->distribution == SPREAD) {
 		fleet_load(fleet, 0, per_s, NULL, until_us);
 		return;
 	}
 	while (fleet_now(fleet) < until_us) {
 		weights[at] = 1;
 		fleet_load(fleet, 0, per_s, weights,
-		    c->skew == ONE ? until_us
-				   : MIN(until_us, fleet_now(fleet) + 2 * S));
+		    c->distribution == ONE
+			? until_us
+			: MIN(until_us, fleet_now(fleet) + 2 * S));
 		weights[at] = 0;
 		at = (at + 7) % c->daemons;
 	}
@@ -60,24 +61,24 @@
 {
 	struct fleet *fleet = fleet_new(c->daemons, 3, 42, with);
 	struct fleet_team *team = fleet_team(fleet, 0);
-	uint64_t begun_us, bytes = 0, most = 0, messages = 0;
+	uint64_t begun_us, bytes = 0, most_bytes = 0, messages = 0;
 	double wrongful, net;
 	unsigned i;
 
 	fleet_manifest_all(fleet, c->rate_per_s, c->burst, c->daemons);
 	team->bound.level = c->burst;
-	play_load(fleet, c, fleet_now(fleet) + WARM_UP_US);
+	offer_load(fleet, c, fleet_now(fleet) + WARM_UP_US);
 	fleet_reset_counts(fleet);
 	begun_us = fleet_now(fleet);
 	for (i = 0; i < c->daemons; i++) {
 		bytes -= fleet_bytes(fleet, i);
 		messages -= fleet_messages(fleet, i);
 	}
-	play_load(fleet, c, begun_us + c->seconds * S);
+	offer_load(fleet, c, begun_us + c->seconds * S);
 	for (i = 0; i < c->daemons; i++) {
 		bytes += fleet_bytes(fleet, i);
 		messages += fleet_messages(fleet, i);
-		most = MAX(most, fleet_bytes(fleet, i));
+		most_bytes = MAX(most_bytes, fleet_bytes(fleet, i));
 	}
 	wrongful = (double)team->wrongful / (double)team->ideal_admitted;
 	net = ((double)team->ideal_admitted - (double)team->admitted) /
@@ -86,7 +87,7 @@
 	       "wrongful %.3f%% net %.3f%% waited %.1f%% (mean %.2f ms) "
 	       "%.0f B/s %.1f msg/s a daemon, worst level %.2f\n",
 	    label, c->daemons, c->rate_per_s, c->burst, c->load * 100,
-	    skew_names[c->skew], wrongful * 100, net * 100,
+	    distribution_names[c->distribution], wrongful * 100, net * 100,
 	    100.0 * (double)team->waited / (double)team->arrived,
 	    team->waited == 0
 		? 0
@@ -135,7 +136,7 @@
 		run_case(&cases[i], NULL, "pool");
 }
 
-enum churn {
+enum pool_event {
 	POOL_KILLED, /* and started anew a second later */
 	POOL_STOPPED, /* for two seconds */
 	POOL_LEAVES, /* gracefully */
@@ -143,11 +144,11 @@
 };
 
 static void
-make_churn(struct fleet *fleet, enum churn churn)
+trigger_event(struct fleet *fleet, enum pool_event pool_event)
 {
 	unsigned i, pool = fleet_pool(fleet);
 
-	switch (churn) {
+	switch (pool_event) {
 	case POOL_KILLED:
 		fleet_kill(fleet, pool);
 		break;
@@ -171,11 +172,11 @@
  * holds all the while, and calls refused wrongly end with the loans.
  */
 static void
-test_churn(void)
+test_pool_events(void)
 {
 	static const struct {
 		const char *name;
-		enum churn churn;
+		enum pool_event pool_event;
 		double wrongful_max; /* of ten seconds' calls */
 	} cases[] = {
 		{ "pool killed", POOL_KILLED, 0.15 },
@@ -196,10 +197,10 @@
 		team->bound.level = 100;
 		fleet_load(fleet, 0, 250, NULL, fleet_now(fleet) + WARM_UP_US);
 		fleet_reset_counts(fleet);
-		make_churn(fleet, cases[i].churn);
+		trigger_event(fleet, cases[i].pool_event);
 		fleet_load(fleet, 0, 250, NULL, fleet_now(fleet) + 2 * S);
 		fleet_heal(fleet);
-		if (cases[i].churn == POOL_KILLED)
+		if (cases[i].pool_event == POOL_KILLED)
 			fleet_start(fleet, fleet_pool(fleet));
 		fleet_load(fleet, 0, 250, NULL, fleet_now(fleet) + 6 * S);
 		last = team->wrongful;
@@ -266,7 +267,7 @@
 }
 
 static const struct test_case tests[] = {
-	{ "churn", test_churn },
+	{ "churn", test_pool_events },
 	{ "unlisted pool", test_unlisted_pool },
 	{ "share", test_share },
 };
--- a/tests/control/test_rights_silent.c
+++ b/tests/control/test_rights_silent.c
@@ -19,14 +19,15 @@
 #define RESTART_LOAD (3 * RESTART_RATE)
 #define RESTARTS 3
 
-enum trouble {
-	STOPPED,
-	KILLED
+enum fault {
+	POOL_PAUSED,
+	POOL_KILLED
 };
 
 /* One call at each of the others, so long after the pool went. */
 static void
-play(enum trouble trouble, uint64_t after_us, uint32_t seed)
+check_calls_after_pool_failure(
+    enum fault fault, uint64_t after_us, uint32_t seed)
 {
 	struct fleet *fleet = fleet_new(DAEMONS, 1, seed, NULL);
 	struct fleet_team *team = fleet_team(fleet, 0);
@@ -36,7 +37,7 @@
 	fleet_run(fleet, fleet_now(fleet) + WARM_UP_US);
 	pool = fleet_pool(fleet);
 	fleet_reset_counts(fleet);
-	if (trouble == STOPPED)
+	if (fault == POOL_PAUSED)
 		fleet_stop(fleet, pool, 3 * S);
 	else
 		fleet_kill(fleet, pool);
@@ -48,7 +49,7 @@
 	fleet_run(fleet, fleet_now(fleet) + 2 * S + 500 * MS);
 	TEST_CHECK(team->admitted == DAEMONS - 1 && team->wrongful == 0,
 	    "%s, after %u ms, seed %u: %u let in, %u refused",
-	    trouble == STOPPED ? "stopped" : "killed",
+	    fault == POOL_PAUSED ? "stopped" : "killed",
 	    (unsigned)(after_us / MS), seed, (unsigned)team->admitted,
 	    (unsigned)team->wrongful);
 	fleet_free(fleet);
@@ -65,8 +66,10 @@
 
 	for (seed = 1; seed <= SEEDS; seed++) {
 		for (i = 0; i < G_N_ELEMENTS(after_ms); i++) {
-			play(STOPPED, after_ms[i] * MS, seed);
-			play(KILLED, after_ms[i] * MS, seed);
+			check_calls_after_pool_failure(
+			    POOL_PAUSED, after_ms[i] * MS, seed);
+			check_calls_after_pool_failure(
+			    POOL_KILLED, after_ms[i] * MS, seed);
 		}
 	}
 }
@@ -74,7 +77,7 @@
 /* Guards against rights that are lent to a pool which has started anew while
  * its forerunner's borrowers still use them. */
 static void
-test_pool_back_at_once(void)
+test_quick_pool_restart(void)
 {
 	static const unsigned down_ms[] = { 5, 20, 100 };
 	struct fleet_team *team;
@@ -110,7 +113,7 @@
 
 static const struct test_case tests[] = {
 	{ "silent pool", test_silent_pool },
-	{ "pool back at once", test_pool_back_at_once },
+	{ "pool back at once", test_quick_pool_restart },
 };
 
 TEST_MAIN("rights_silent", tests)
--- a/tests/decide/test_ownership.c
+++ b/tests/decide/test_ownership.c
@@ -36,11 +36,12 @@
 }
 
 static void
-list(struct loom_ownership *own, unsigned from, unsigned n, uint64_t now_us)
+set_host_list(
+    struct loom_ownership *own, unsigned from, unsigned n, uint64_t now_us)
 {
 	struct loom_hosts *hosts = make_hosts(from, n, 1, 1);
 
-	loom_ownership_hosts(own, hosts, now_us);
+	loom_ownership_set_hosts(own, hosts, now_us);
 	loom_hosts_release(hosts);
 }
 
@@ -67,22 +68,22 @@
 	uint64_t t = START_US;
 
 	loom_ownership_init(&own, 1, LAG_US);
-	loom_ownership_slots(&own, 16, t);
+	loom_ownership_set_slots(&own, 16, t);
 	TEST_CHECK(parts_at(&own, t) == 0, "not listed");
-	list(&own, 1, 16, t);
+	set_host_list(&own, 1, 16, t);
 	TEST_CHECK(parts_at(&own, t + 3 * S) == 0, "started just now");
 	TEST_CHECK(IS_PART(parts_at(&own, t + 4 * S), 16), "owns");
 	t += 10 * S;
 	parts_at(&own, t);
-	list(&own, 1, 20, t);
+	set_host_list(&own, 1, 20, t);
 	TEST_CHECK(IS_PART(parts_at(&own, t), 20), "more hosts, at once");
-	list(&own, 1, 16, t);
+	set_host_list(&own, 1, 16, t);
 	TEST_CHECK(IS_PART(parts_at(&own, t + 50 * S), 20), "fewer, late");
 	t += 70 * S;
 	TEST_CHECK(IS_PART(parts_at(&own, t), 16), "fewer, at last");
-	loom_ownership_slots(&own, 32, t);
+	loom_ownership_set_slots(&own, 32, t);
 	TEST_CHECK(IS_PART(parts_at(&own, t), 32), "more slots, at once");
-	loom_ownership_slots(&own, 16, t);
+	loom_ownership_set_slots(&own, 16, t);
 	TEST_CHECK(IS_PART(parts_at(&own, t + 50 * S), 32), "fewer, late");
 	t += 70 * S;
 	TEST_CHECK(IS_PART(parts_at(&own, t), 16), "fewer slots, at last");
@@ -91,7 +92,7 @@
 	TEST_CHECK(loom_ownership_parts(&own, t) == 0, "woke up");
 	TEST_CHECK(parts_at(&own, t + 13 * S) == 0, "may be replaced");
 	TEST_CHECK(IS_PART(parts_at(&own, t + 14 * S), 16), "is not");
-	list(&own, 2, 16, t + 14 * S);
+	set_host_list(&own, 2, 16, t + 14 * S);
 	TEST_CHECK(parts_at(&own, t + 14 * S) == 0, "struck off");
 	loom_ownership_clear(&own);
 }
@@ -112,8 +113,8 @@
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
 		loom_ownership_init(&own, 1, LAG_US);
-		loom_ownership_slots(&own, cases[i].slots, t);
-		list(&own, 1, cases[i].hosts, t);
+		loom_ownership_set_slots(&own, cases[i].slots, t);
+		set_host_list(&own, 1, cases[i].hosts, t);
 		TEST_CHECK(
 		    parts_at(&own, t + cases[i].waits_s * S) == 0, "%zu", i);
 		TEST_CHECK(parts_at(&own, t + (cases[i].waits_s + 1) * S) > 0,
@@ -127,7 +128,7 @@
  * each daemon forgot all hosts that it had not been told of lately, itself
  * included, and took the whole for its own. */
 static void
-test_list_that_stays(void)
+test_unchanged_list(void)
 {
 	static const unsigned waits_s[] = { 59, 61, 600 };
 	struct loom_ownership own;
@@ -135,11 +136,11 @@
 
 	for (i = 0; i < G_N_ELEMENTS(waits_s); i++) {
 		loom_ownership_init(&own, 1, LAG_US);
-		list(&own, 1, 16, START_US);
+		set_host_list(&own, 1, 16, START_US);
 		TEST_CHECK(
 		    IS_PART(parts_at(&own, START_US + waits_s[i] * S), 16),
 		    "after %u s", waits_s[i]);
-		list(&own, 1, 14, START_US + waits_s[i] * S);
+		set_host_list(&own, 1, 14, START_US + waits_s[i] * S);
 		TEST_CHECK(
 		    IS_PART(
 			parts_at(&own, START_US + (waits_s[i] + 59) * S), 16),
@@ -159,7 +160,7 @@
  * wait depends on what waits for what: a forerunner's loans, others' lists.
  */
 static void
-test_back_on_the_list(void)
+test_relisted_host(void)
 {
 	static const struct {
 		const char *what;
@@ -180,13 +181,13 @@
 		loom_ownership_init(&own, 1, LAG_US);
 		if (cases[i].newcomer_us != 0)
 			own.newcomer_us = cases[i].newcomer_us;
-		list(&own, 1, 16, START_US);
+		set_host_list(&own, 1, 16, START_US);
 		t = START_US + cases[i].owned_us;
 		parts_at(&own, t);
-		list(&own, 2, 15, t);
+		set_host_list(&own, 2, 15, t);
 		t += 5 * S;
 		TEST_CHECK(parts_at(&own, t) == 0, "%s: off", cases[i].what);
-		list(&own, 1, 16, t);
+		set_host_list(&own, 1, 16, t);
 		TEST_CHECK(parts_at(&own, t + cases[i].waits_us - 1) == 0,
 		    "%s: waits", cases[i].what);
 		TEST_CHECK(IS_PART(parts_at(&own, t + cases[i].waits_us), 16),
@@ -196,14 +197,14 @@
 }
 
 static bool
-not_silent(void *arg, uint64_t host_id)
+is_not_silent(void *arg, uint64_t host_id)
 {
 	return host_id != *(const uint64_t *)arg;
 }
 
 static struct loom_pool_choice
-choose_above(const struct loom_hosts *hosts, uint64_t id,
-    const struct loom_pool_below *below, unsigned dcs, unsigned regions,
+choose_with_children(const struct loom_hosts *hosts, uint64_t id,
+    const struct loom_pool_children *below, unsigned dcs, unsigned regions,
     uint64_t silent)
 {
 	char dc[16], region[16];
@@ -213,16 +214,16 @@
 
 	g_snprintf(dc, sizeof(dc), "dc%u", (unsigned)id % dcs);
 	g_snprintf(region, sizeof(region), "r%u", (unsigned)id % regions);
-	return loom_pool_choose(hosts, &self, 0, below, not_silent, &silent);
+	return loom_pool_choose(hosts, &self, 0, below, is_not_silent, &silent);
 }
 
 static struct loom_pool_choice
 choose(const struct loom_hosts *hosts, uint64_t id, unsigned dcs,
     unsigned regions, uint64_t silent)
 {
-	const struct loom_pool_below nobody = { 0 };
+	const struct loom_pool_children nobody = { 0 };
 
-	return choose_above(hosts, id, &nobody, dcs, regions, silent);
+	return choose_with_children(hosts, id, &nobody, dcs, regions, silent);
 }
 
 /* Each daemon reaches the topmost pool in at most as many steps as there are
@@ -318,7 +319,7 @@
 
 /* Of each list an eighth is missing, itself perhaps. */
 static void
-draw_views(
+make_random_views(
     struct loom_hosts *views[VIEWS_HOSTS + 1], struct loom_random *random)
 {
 	unsigned id;
@@ -338,7 +339,7 @@
 choose_round(struct loom_hosts *const views[VIEWS_HOSTS + 1],
     struct loom_pool_choice choices[VIEWS_HOSTS + 1])
 {
-	struct loom_pool_below below[VIEWS_HOSTS + 1] = { 0 };
+	struct loom_pool_children below[VIEWS_HOSTS + 1] = { 0 };
 	uint64_t parent;
 	unsigned id;
 
@@ -347,12 +348,12 @@
 		if (parent == 0)
 			continue;
 		below[parent].any = true;
-		below[parent].stage =
-		    MAX(below[parent].stage, choices[id].stage);
+		below[parent].highest_stage =
+		    MAX(below[parent].highest_stage, choices[id].stage);
 	}
 	for (id = 1; id <= VIEWS_HOSTS; id++)
-		choices[id] =
-		    choose_above(views[id], id, &below[id], VIEWS_DCS, 1, 0);
+		choices[id] = choose_with_children(
+		    views[id], id, &below[id], VIEWS_DCS, 1, 0);
 }
 
 /*
@@ -362,7 +363,7 @@
  * what all who ask them are due.
  */
 static void
-test_views(void)
+test_differing_views(void)
 {
 	struct loom_pool_choice choices[VIEWS_HOSTS + 1];
 	struct loom_hosts *views[VIEWS_HOSTS + 1];
@@ -373,7 +374,7 @@
 	for (seed = 1; seed <= VIEWS_SEEDS; seed++) {
 		random = test_random_new(seed);
 		memset(choices, 0, sizeof(choices));
-		draw_views(views, &random);
+		make_random_views(views, &random);
 		for (round = 0; round < VIEWS_ROUNDS; round++)
 			choose_round(views, choices);
 		for (id = 1; id <= VIEWS_HOSTS; id++) {
@@ -392,12 +393,12 @@
 static const struct test_case tests[] = {
 	{ "own parts", test_parts },
 	{ "a large fleet", test_large_fleet },
-	{ "a list that stays", test_list_that_stays },
-	{ "back on the list", test_back_on_the_list },
+	{ "a list that stays", test_unchanged_list },
+	{ "back on the list", test_relisted_host },
 	{ "pools", test_pools },
 	{ "children of a pool", test_children },
 	{ "silent pool", test_silent_pool },
-	{ "views that differ", test_views },
+	{ "views that differ", test_differing_views },
 };
 
 TEST_MAIN("ownership", tests)
