--- a/include/loom/rights.h
+++ b/include/loom/rights.h
@@ -2,17 +2,18 @@
 #define LOOM_RIGHTS_H
 
 /*
- * Team rate and burst over all daemons together.
+ * Enforces each team's rate and burst over all daemons together.
  *
- * A right is a part of a team's whole: refill, capacity and present level,
- * which always move together.  Each daemon owns 1/n of every team, lends it
- * to a pool and borrows back what its callers need; see
- * docs/design/rights.md.  All daemons together never admit more than
- * rate * t + burst in any window of t seconds.
+ * What a daemon may use of a team's rate and burst is called its rights. They
+ * are shares of the whole: a share comprises refill, capacity and the tokens in
+ * it, which normally move together. Each daemon owns 1/n of every team, lends
+ * it to a pool and borrows back what its callers need; see
+ * docs/design/rights.md. In any window of t seconds, all daemons together never
+ * admit more calls of a team than burst + rate * t.
  *
- * Threads: take, wait and cancel may be called from any thread.  The table
- * loom_rights_ops and loom_rights_run() belong to the control thread, and
- * every callback of a waiter is made there.
+ * Threads: loom_rights_take(), loom_rights_wait() and loom_rights_cancel() may
+ * be called from any thread. loom_rights_ops and loom_rights_run() belong to
+ * the control thread, which also makes every callback of a waiter.
  */
 
 #include <stdbool.h>
@@ -23,7 +24,10 @@
 #include "loom/control.h"
 #include "loom/result.h"
 
-/* Message types of the first partition; each has as many of its own. */
+/*
+ * Message types of the first partition. Each further partition has its own
+ * pair.
+ */
 enum loom_rights_message {
 	LOOM_RIGHTS_UP = LOOM_MESSAGE_RIGHTS_FIRST, /* child to its pool */
 	LOOM_RIGHTS_DOWN, /* pool to a child */
@@ -31,50 +35,59 @@
 };
 #define LOOM_RIGHTS_MESSAGES (LOOM_RIGHTS_LAST - LOOM_RIGHTS_UP)
 
-/* As many as there are message types for. */
+/* Limited by the number of message types reserved for rights. */
 #define LOOM_RIGHTS_PARTITIONS_MAX 10
 
-/* The longest that a call waits for a loan of a pool that answers. */
+/* The longest that a call waits for a loan while its pool responds. */
 #define LOOM_RIGHTS_WAIT_US UINT64_C(8000)
 
-/* And where the pool is silent: by then another is asked, and what was lent to
- * the silent one is back. */
+/*
+ * The longest that a call waits while its pool is silent. By then another pool
+ * has been chosen and what was lent to the silent one has returned.
+ */
 #define LOOM_RIGHTS_SILENCE_US UINT64_C(2000000)
 
-/* Limits on what the promise rests on; zero takes the default. */
+/* Conditions under which the rates are guaranteed. 0 selects the default. */
 struct loom_rights_settings {
 	/*
-	 * How far two daemons' host lists may lag behind each other.  A
-	 * newcomer beyond the declared slots owns nothing for so long.
-	 * Default 10 s.
+	 * How far the host lists of two daemons may lag behind each other. A
+	 * new daemon beyond the declared slots owns nothing for this long.
+	 * Default: 10 s.
 	 */
 	uint64_t list_lag_us;
 	/*
-	 * How long a daemon that starts owns nothing.  Default: the longest
-	 * that any loan runs, so that a restart lets nothing in twice.  Less
-	 * gives up so much of the promise: loans that the forerunner had made
-	 * overlap with the new part, each of which starts empty.
+	 * How long a daemon owns nothing after it starts. Default: longer than
+	 * any loan runs, so that a restart admits nothing twice. With a smaller
+	 * value, loans made by the previous process on the host may overlap
+	 * with the new share, and the rate may be exceeded by that much. A new
+	 * share always starts without tokens.
 	 */
 	uint64_t withheld_us;
 	/*
-	 * How long a daemon beyond the declared slots owns nothing when the
-	 * list begins to show it.  Default: list_lag_us, so that all others
-	 * count it by then.  Less gives up 1/n of each rate for as long as
-	 * another's list lags behind.
+	 * How long a daemon beyond the declared slots owns nothing after its
+	 * host list first shows it. Default: list_lag_us, so that all others
+	 * count it by then. With a smaller value each rate may be exceeded by
+	 * 1/n for as long as another daemon's list lags behind.
 	 */
 	uint64_t newcomer_us;
-	/* The longest that a call waits for a loan; LOOM_RIGHTS_WAIT_US unless
-	 * set.  On hosts whose processor stands still for tens of milliseconds
-	 * a shorter wait refuses calls within their team's rate. */
+	/*
+	 * The longest that a call waits for a loan. Default:
+	 * LOOM_RIGHTS_WAIT_US. On hosts whose processor stalls for tens of
+	 * milliseconds, a shorter wait refuses calls that are within their
+	 * team's rate.
+	 */
 	uint64_t wait_us;
-	/* Of how many, 0 for one, and which this is: loom/rights_set.h. */
+	/*
+	 * The number of partitions, 0 meaning 1, and the index of this one; see
+	 * loom/rights_set.h.
+	 */
 	uint32_t partitions;
 	uint32_t partition;
-	/* Own shares alone: no pool is used.  For comparison and tests. */
+	/* Use only the owned share and no pool. For comparisons and tests. */
 	bool shares_only;
 };
 
-/* Tells the control thread to call loom_rights_run() soon. */
+/* Asks the control thread to call loom_rights_run() soon. */
 struct loom_rights_waker {
 	void (*wake)(void *arg); /* called from any thread */
 	void *arg; /* borrowed */
@@ -82,17 +95,20 @@
 
 struct loom_rights;
 
-/* The partition that a team belongs to. */
+/* The index of the partition that a team belongs to. */
 uint32_t loom_rights_partition(uint64_t team_id, uint32_t partitions);
 
-/* What drives one partition; pass the struct loom_rights as part.  The part of
- * a daemon is loom_rights_set_ops, which also has the types and times. */
+/*
+ * Operations of one partition; `part` is its struct loom_rights. A daemon
+ * registers loom_rights_set_ops, which also has the message types and tick
+ * times.
+ */
 extern const struct loom_part_ops loom_rights_ops;
 
 /*
- * Owned by ctx.  self, sender, random, settings and waker are copied; what
- * they point to is borrowed.  settings may be NULL.  The daemon owns nothing
- * before manifest_changed() and hosts_changed() were called.
+ * The result is owned by ctx. self, sender, random, settings and waker are
+ * copied, but what they point to is borrowed. settings may be NULL. The daemon
+ * owns nothing before manifest_changed() and hosts_changed() have been called.
  */
 struct loom_rights *loom_rights_new(TALLOC_CTX *ctx,
     const struct loom_self *self, const struct loom_sender *sender,
@@ -100,80 +116,92 @@
     const struct loom_rights_settings *settings, uint64_t now_us);
 
 /*
- * Take one token of a team.
+ * Takes one token of a team.
  *
  * LOOM_OK: taken.
- * LOOM_TEAM_RATE: refused; *retry_after_us says when to come back.
- * LOOM_RIGHTS_PENDING: a loan may bring a token within LOOM_RIGHTS_WAIT_US;
- *     call loom_rights_wait().
+ *
+ * LOOM_TEAM_RATE: refused; *retry_after_us is the time after which to retry.
+ *
+ * LOOM_RIGHTS_PENDING: a loan may supply a token within LOOM_RIGHTS_WAIT_US;
+ * call loom_rights_wait().
  */
 enum loom_result loom_rights_take(struct loom_rights *, uint64_t team_id,
     uint64_t now_us, uint64_t *retry_after_us);
 
-/* A call that waits for a token; memory of the caller, until the callback
- * was made or loom_rights_cancel() returned true. */
+/*
+ * A call that waits for a token. The caller owns the memory and must keep it
+ * until the callback has been made or loom_rights_cancel() has returned true.
+ */
 struct loom_rights_waiter {
 	/*
-	 * Made once, on the control thread, without a lock held.  result is
-	 * LOOM_OK (a token was taken), LOOM_TEAM_RATE with the time after
-	 * which to come back, or LOOM_RATE_UNKNOWN where the pool is silent.
+	 * Called once, on the control thread, without a lock held. result is
+	 * LOOM_OK (a token was taken), LOOM_TEAM_RATE with the time after which
+	 * to retry, or LOOM_RATE_UNKNOWN if the pool is silent.
 	 */
 	void (*done)(struct loom_rights_waiter *, enum loom_result result,
 	    uint64_t retry_after_us);
-	void *arg; /* the caller's own */
-	uint64_t deadline_us; /* its call's; 0 for none */
+	void *arg; /* for the caller's use */
+	uint64_t deadline_us; /* deadline of the call; 0 for none */
 	/* private */
 	struct loom_rights_waiter *next;
 	uint64_t team_id;
 	uint64_t since_us;
-	uint64_t until_us; /* where the pool answers */
-	uint64_t latest_us; /* where it is silent */
+	uint64_t until_us; /* end of the wait if the pool responds */
+	uint64_t latest_us; /* end of the wait if it is silent */
 	uint64_t retry_after_us;
 	enum loom_result result;
 	uint8_t state;
 };
 
-/* Wait after LOOM_RIGHTS_PENDING.  done is always called later, also when
- * the token is there by now. */
+/*
+ * Waits after LOOM_RIGHTS_PENDING. `done` is always called later and not from
+ * here, even if a token is available by now.
+ */
 void loom_rights_wait(struct loom_rights *, uint64_t team_id,
     struct loom_rights_waiter *waiter, uint64_t now_us);
 
-/* The caller went away.  True: done will not be called.  False: it was or
- * is being called, and a token that came is lost. */
+/*
+ * Cancels a wait. True: `done` will not be called. False: it has been or is
+ * being called, and a token that it received is lost.
+ */
 bool loom_rights_cancel(struct loom_rights *, struct loom_rights_waiter *);
 
-/* Ask for what workers wait for, and end waits that are over.  Control
- * thread; also done by each tick. */
+/*
+ * Requests what workers wait for, and ends waits that are over. Control thread;
+ * each tick also does this.
+ */
 void loom_rights_run(struct loom_rights *, uint64_t now_us);
 
-/* One team as this daemon sees it; parts are of 1. */
+/* One team as this daemon sees it. Fractions are of the whole team. */
 struct loom_rights_status {
 	double refill_per_s; /* usable here now */
 	double capacity; /* tokens */
 	double level; /* tokens */
-	double borrowed; /* part of the capacity borrowed from a pool */
-	double lent; /* part of the capacity lent to daemons below */
+	double borrowed; /* fraction of the capacity borrowed from a pool */
+	double lent; /* fraction of the capacity lent to daemons below */
 	double demand_per_s; /* calls here and below */
-	uint32_t waiting; /* calls that wait here */
+	uint32_t waiting; /* calls waiting here */
 	uint64_t pool_host_id; /* 0: this daemon is the topmost pool */
-	uint64_t pool_silent_us; /* since something came from it */
-	uint64_t lent_elsewhere_us; /* own parts are with another for so long */
+	uint64_t pool_silent_us; /* time since its last message */
+	/* for how long the owned share is still lent elsewhere */
+	uint64_t lent_elsewhere_us;
 };
 
-/* False when the team is unknown. */
+/* Returns false if the team is unknown. */
 bool loom_rights_team_status(struct loom_rights *, uint64_t team_id,
     uint64_t now_us, struct loom_rights_status *status);
 
-/* The part as a whole. */
+/* A partition as a whole. */
 struct loom_rights_summary {
-	double owned; /* part of every team that is this daemon's own */
-	double pooled; /* part lent to this daemon as a pool */
-	double lent_up; /* part lent to this daemon's pool */
+	double owned; /* fraction of every team that this daemon owns */
+	double pooled; /* fraction lent to this daemon as a pool */
+	double lent_up; /* fraction lent to this daemon's pool */
 	uint64_t pool_host_id; /* 0: this daemon is the topmost pool */
-	const char *pool; /* its name, borrowed from the list; NULL: none */
+	/* its name, borrowed from the host list; NULL: none */
+	const char *pool;
 	uint32_t children; /* daemons that use this one as their pool */
 	uint32_t shares; /* n: a daemon owns 1/n */
-	bool holding; /* owns nothing yet: (re)started or newly listed */
+	bool holding; /* owns nothing yet: it was started or newly listed */
 };
 
 /* Control thread. */
--- a/include/loom/rights_set.h
+++ b/include/loom/rights_set.h
@@ -2,31 +2,35 @@
 #define LOOM_RIGHTS_SET_H
 
 /*
- * The rights of all teams, in partitions.
+ * All teams' rates, in partitions.
  *
- * Each partition keeps some of the teams (loom/rights.h) and chooses pools of
- * its own, so that the questions of a fleet go to several hosts.  All daemons
- * of a fleet must have the same number of partitions: a team that is kept in
- * another one elsewhere finds no pool there, and has this daemon's own part
- * alone.
+ * Each partition is responsible for some of the teams (loom/rights.h) and
+ * chooses its own pools, so that the requests of a fleet are spread over
+ * several hosts. All daemons of a fleet must use the same number of partitions.
+ * A team that another daemon assigns to a different partition finds no pool
+ * there and is limited to this daemon's owned share.
  */
 
 #include "loom/rights.h"
 
 struct loom_rights_set;
 
-/* The table of the part; pass the struct loom_rights_set as part. */
+/* Operations of the whole set; `part` is the struct loom_rights_set. */
 extern const struct loom_part_ops loom_rights_set_ops;
 
-/* As loom_rights_new(); settings->partitions of them, and its partition is
- * not looked at. */
+/*
+ * Like loom_rights_new(), for settings->partitions partitions.
+ * settings->partition is ignored.
+ */
 struct loom_rights_set *loom_rights_set_new(TALLOC_CTX *ctx,
     const struct loom_self *self, const struct loom_sender *sender,
     const struct loom_random *random, const struct loom_rights_waker *waker,
     const struct loom_rights_settings *settings, uint64_t now_us);
 
-/* The partition that keeps a team, borrowed; for take, wait, cancel and
- * status.  Any thread. */
+/*
+ * The partition responsible for a team, borrowed; for loom_rights_take(),
+ * _wait(), _cancel() and _team_status(). Any thread.
+ */
 struct loom_rights *loom_rights_of(
     const struct loom_rights_set *, uint64_t team_id);
 
@@ -34,7 +38,7 @@
 struct loom_rights *loom_rights_set_at(
     const struct loom_rights_set *, uint32_t i);
 
-/* As loom_rights_run(), of all.  Control thread. */
+/* Like loom_rights_run(), for all partitions. Control thread. */
 void loom_rights_set_run(struct loom_rights_set *, uint64_t now_us);
 
 #endif
--- a/src/control/rights.c
+++ b/src/control/rights.c
@@ -1,14 +1,14 @@
 /*
- * The part that keeps teams' rights: what the control thread drives.
+ * The rights module's interface to the control thread and to status reports.
  */
 
 #include "control/rights_internal.h"
 #include "decide/mix.h"
 
 #define LIST_LAG_US UINT64_C(10000000)
-/* How often a pool looks for buckets that are nearly full. */
+/* How often a pool checks for buckets that are about to overflow. */
 #define SURPLUS_CHECK_US (LOOM_LOAN_RENEW_US / 4)
-/* A tick that comes this late means that the process was stopped. */
+/* A tick this late means that the process was paused. */
 #define PAUSED_TICK_US (3 * LOOM_LOAN_RENEW_US)
 
 static guint
@@ -191,7 +191,7 @@
 	struct rights_team *team;
 	uint32_t i, known = rights->teams->len;
 
-	/* a team that is no longer declared has no rate */
+	/* Teams are kept when they are no longer declared, with a rate of 0. */
 	for (i = 0; i < known; i++) {
 		team = g_ptr_array_index(rights->teams, i);
 		if (loom_manifest_team(manifest, team->id) == NULL)
@@ -241,7 +241,10 @@
 	}
 }
 
-/* Serve who waits, ask for what is missing.  True while some still wait. */
+/*
+ * Serves waiting calls and children and requests missing tokens. Returns true
+ * while some still wait.
+ */
 static bool
 run_team(struct loom_rights *rights, struct rights_team *team, uint64_t now_us)
 {
@@ -261,8 +264,10 @@
 	    (waiting ||
 		(team->bucket.level_utok < LOOM_TOKEN_UTOK && !team->scarce)))
 		rights_add_request(rights, team, now_us);
-	/* a pool above is asked first: it sees more than this daemon's
-	 * children */
+	/*
+	 * The pool above is asked before tokens are recalled from children,
+	 * since it sees more daemons than this daemon's children.
+	 */
 	asks =
 	    rights->parent.host_id != 0 && now_us >= team->no_tokens_until_us;
 	rights_unlock(team);
@@ -301,14 +306,17 @@
 {
 	struct loom_rights *rights = part;
 
-	/* a stopped process heard nobody: that says nothing of its pool */
+	/*
+	 * A paused process received no messages at all, which does not show
+	 * that its pool is silent.
+	 */
 	if (now_us > rights->ticked_us + PAUSED_TICK_US &&
 	    rights->parent.overdue_since_us != 0)
 		rights->parent.overdue_since_us = now_us;
 	rights->ticked_us = now_us;
 	atomic_store(&rights->clock_us, now_us);
 	atomic_store(&rights->pool_host_id, rights->parent.host_id);
-	atomic_store(&rights->pool_heard_us, rights->parent.received_us);
+	atomic_store(&rights->pool_received_us, rights->parent.received_us);
 	if (now_us >= rights->renewed_us + LOOM_LOAN_RENEW_US) {
 		rights->renewed_us = now_us;
 		rights_expire_loans(rights, now_us);
@@ -354,7 +362,7 @@
 	rights_renew(rights, now_us);
 }
 
-/* Some team has calls that wait for a token, or too few tokens. */
+/* Whether calls of some team wait for a token, or a team has too few tokens. */
 static bool
 busy(void *part)
 {
@@ -384,7 +392,7 @@
 {
 	struct rights_team *team = rights_team_locked(rights, team_id);
 	struct loom_share net;
-	uint64_t heard_us = atomic_load(&rights->pool_heard_us);
+	uint64_t heard_us = atomic_load(&rights->pool_received_us);
 	uint64_t back_us = atomic_load(&rights->lent_elsewhere_until_us);
 	uint64_t borrowed = 0;
 	unsigned i;
--- a/src/control/rights_base.c
+++ b/src/control/rights_base.c
@@ -1,40 +1,48 @@
 /*
- * The part of every team alike that this daemon holds.
+ * The base share: the share that this daemon holds of every team alike.
  *
- * Own parts are lent to a pool whole and for all teams at once, so a renewal
- * costs the same for one team as for a thousand; only what daemons borrow
- * back names teams.
+ * The owned share is lent to a pool as a whole and for all teams at once, so
+ * that a renewal costs the same for one team as for a thousand. Only what
+ * daemons borrow back is recorded by team.
  */
 
 #include "control/rights_internal.h"
 
-/* A child that did not renew is no longer counted on this long before its
- * loan ends, so that the base shrinks in order and not by its end at use. */
+/*
+ * A child's base loan that is not renewed stops counting this long before it
+ * expires. The base share then shrinks in a regular refresh and not by its
+ * expiry when a bucket is used.
+ */
 #define DROP_EARLY_US (2 * LOOM_LOAN_RENEW_US)
 
-/* Long enough for calls that wait, and a renewal. */
+/* Long enough for waiting calls and a renewal. */
 #define SHORT_LOAN_US (LOOM_LOAN_STEP_US / 4)
 
-/* Once parts are back they are lent to the next pool, which counts them at its
- * next tick and begins without a token. */
+/*
+ * Allowance after a base loan has ended: the share is then lent to the next
+ * pool, which counts it from its next tick and starts without tokens.
+ */
 #define REASSIGN_US (2 * LOOM_LOAN_RENEW_US)
 
-/* What a forerunner lent has ended when a daemon owns anything again. */
+/*
+ * A daemon must own nothing after a start until all loans of the previous
+ * process on its host have ended.
+ */
 _Static_assert(LOOM_OWN_WITHHELD_US > LOOM_LOAN_LONGEST_US &&
 	2 * LOOM_POOL_STAGES_MAX * LOOM_LOAN_STEP_US <= LOOM_LOAN_LONGEST_US &&
 	LOOM_OWN_WITHHELD_LARGE_US > LOOM_LOAN_LONGEST_US +
 		LOOM_POOL_STAGES_MAX * LOOM_LOAN_IDLE_RENEW_LARGE_US,
-    "a restarted daemon must outwait its forerunner's loans");
+    "a restarted daemon must outlast its predecessor's loans");
 
 static uint64_t
-committed_parts(const struct rights_base_loan *lend, uint64_t now_us)
+committed_parts(const struct rights_base_loan *loan, uint64_t now_us)
 {
 	uint64_t parts = 0;
 
-	if (now_us < lend->until_us)
-		parts = lend->parts;
-	if (now_us < lend->old_until_us)
-		parts = MAX(parts, lend->old_parts);
+	if (now_us < loan->until_us)
+		parts = loan->parts;
+	if (now_us < loan->old_until_us)
+		parts = MAX(parts, loan->old_parts);
 	return parts;
 }
 
@@ -49,8 +57,10 @@
 	return parts;
 }
 
-/* Lent to this daemon by its children until at_us at least; *until_us is
- * lowered to the earliest end among them. */
+/*
+ * What children loan to this daemon until at_us or later; *until_us is lowered
+ * to the earliest end of these loans.
+ */
 static uint64_t
 pooled_until(
     const struct loom_rights *rights, uint64_t at_us, uint64_t *until_us)
@@ -70,10 +80,11 @@
 }
 
 /*
- * A team must be brought up to now under the old base: with the new one it
- * would refill for time in which this part was not here.  And its level must
- * fit the new one before anything is lent: a worker that read the clock a
- * moment earlier would still find the old level.
+ * Switches all teams of a shard to a new base share. Each bucket is first
+ * advanced with the old one, or it would be refilled for a time in which the
+ * new share was not held here. Its level is then limited to the new capacity
+ * before anything is lent, because a worker that read the clock earlier would
+ * still find the old level.
  */
 static void
 recompute_levels(struct rights_shard *shard, const struct loom_base_share *base,
@@ -99,8 +110,10 @@
 	for (i = 0; i < RIGHTS_SHARDS; i++) {
 		shard = &rights->shards[i];
 		g_mutex_lock(&shard->lock);
-		/* a mere extension of a base that still runs needs no walk
-		 * over all teams */
+		/*
+		 * If only the end of a valid base share moved, the teams need
+		 * no update.
+		 */
 		if (shard->base.parts != base.parts ||
 		    now_us >= shard->base.until_us)
 			recompute_levels(shard, &base, now_us);
@@ -111,8 +124,8 @@
 }
 
 /*
- * When most of what was lent here runs out, because this pool is being left
- * or cut off, short loans still put the rest to use.
+ * If most of what was lent to this daemon is running out, because the pool is
+ * being left or is cut off, shorter loans still make use of the rest.
  */
 static void
 refresh_grantable(struct loom_rights *rights, uint64_t now_us)
@@ -142,7 +155,10 @@
 	rights->base_changed = false;
 	rights->own_parts = loom_ownership_parts(&rights->own, now_us);
 	atomic_store(&rights->shares, rights->own.shares);
-	/* own parts end at use too, should the process be stopped for long */
+	/*
+	 * The owned share expires as well, in case the process is paused for
+	 * long.
+	 */
 	base.until_us = now_us + rights->own.list_lag_us;
 	rights->pooled_parts =
 	    pooled_until(rights, now_us + DROP_EARLY_US, &base.until_us);
@@ -159,8 +175,10 @@
 		rights_refresh_base(rights, now_us);
 }
 
-/* The most of any team that daemons below use out of the base and not out
- * of a loan from above: so much must stay here. */
+/*
+ * The largest share of any team that children borrowed out of the base share
+ * and not out of a loan from above. It must not be lent to the parent.
+ */
 static uint64_t
 parts_used_below(struct loom_rights *rights, uint64_t now_us)
 {
@@ -191,13 +209,16 @@
 
 static bool
 is_lent_to_parent(
-    const struct loom_rights *rights, const struct rights_base_loan *lend)
+    const struct loom_rights *rights, const struct rights_base_loan *loan)
 {
-	return lend->host_id == rights->parent.host_id &&
-	    lend->incarnation == rights->parent.incarnation;
+	return loan->host_id == rights->parent.host_id &&
+	    loan->incarnation == rights->parent.incarnation;
 }
 
-/* The parent's entry, or one that is over; NULL when all are in use. */
+/*
+ * The parent's entry, or an expired one that is reset for it; NULL when all are
+ * in use.
+ */
 static struct rights_base_loan *
 find_base_loan(struct loom_rights *rights, uint64_t now_us)
 {
@@ -219,9 +240,9 @@
 }
 
 static uint64_t
-lent_until_us(const struct rights_base_loan *lend)
+lent_until_us(const struct rights_base_loan *loan)
 {
-	return MAX(lend->until_us, lend->old_until_us);
+	return MAX(loan->until_us, loan->old_until_us);
 }
 
 uint64_t
@@ -242,12 +263,12 @@
 rights_lent_elsewhere_until_us(
     const struct loom_rights *rights, uint64_t now_us)
 {
-	const bool answers = rights_pool_responds(rights, now_us);
+	const bool responds = rights_pool_responds(rights, now_us);
 	uint64_t until_us = 0;
 	unsigned i;
 
 	for (i = 0; i < RIGHTS_BASE_LOANS_MAX; i++) {
-		if (!answers ||
+		if (!responds ||
 		    !is_lent_to_parent(rights, &rights->base_loans[i]))
 			until_us = MAX(
 			    until_us, lent_until_us(&rights->base_loans[i]));
@@ -256,7 +277,7 @@
 }
 
 static uint64_t
-lendable_parts(struct loom_rights *rights, const struct rights_base_loan *lend,
+lendable_parts(struct loom_rights *rights, const struct rights_base_loan *loan,
     uint64_t duration_us, uint64_t now_us)
 {
 	uint64_t parts, taken, until_us = UINT64_MAX;
@@ -264,7 +285,7 @@
 	parts = rights->own_parts +
 	    pooled_until(rights, now_us + duration_us, &until_us);
 	taken = parts_used_below(rights, now_us) +
-	    rights_lent_up(rights, now_us) - committed_parts(lend, now_us);
+	    rights_lent_up(rights, now_us) - committed_parts(loan, now_us);
 	return parts - MIN(parts, taken);
 }
 
@@ -272,30 +293,30 @@
 rights_lendable_up(
     struct loom_rights *rights, uint64_t duration_us, uint64_t now_us)
 {
-	struct rights_base_loan *lend;
+	struct rights_base_loan *loan;
 
-	lend = find_base_loan(rights, now_us);
-	return lend == NULL ? 0
-			    : lendable_parts(rights, lend, duration_us, now_us);
+	loan = find_base_loan(rights, now_us);
+	return loan == NULL ? 0
+			    : lendable_parts(rights, loan, duration_us, now_us);
 }
 
 uint64_t
 rights_lend_up(
     struct loom_rights *rights, uint64_t duration_us, uint64_t now_us)
 {
-	struct rights_base_loan *lend;
+	struct rights_base_loan *loan;
 	uint64_t parts;
 
-	lend = find_base_loan(rights, now_us);
-	if (lend == NULL)
+	loan = find_base_loan(rights, now_us);
+	if (loan == NULL)
 		return 0;
-	parts = lendable_parts(rights, lend, duration_us, now_us);
-	if (parts < lend->parts && now_us < lend->until_us) {
-		lend->old_parts = committed_parts(lend, now_us);
-		lend->old_until_us = MAX(lend->until_us, lend->old_until_us);
+	parts = lendable_parts(rights, loan, duration_us, now_us);
+	if (parts < loan->parts && now_us < loan->until_us) {
+		loan->old_parts = committed_parts(loan, now_us);
+		loan->old_until_us = MAX(loan->until_us, loan->old_until_us);
 	}
-	/* a shorter loan does not call back a longer one that was sent */
-	lend->parts = parts;
-	lend->until_us = MAX(lend->until_us, now_us + duration_us);
+	/* A shorter loan does not end a longer one that was sent before. */
+	loan->parts = parts;
+	loan->until_us = MAX(loan->until_us, now_us + duration_us);
 	return parts;
 }
--- a/src/control/rights_child.c
+++ b/src/control/rights_child.c
@@ -1,25 +1,27 @@
 /*
- * Towards the pool above: lend it the base, borrow what callers here and
- * below urgency.
+ * The daemon as a child of the pool above: lends it the base share and borrows
+ * what callers here and below need.
  */
 
 #include "control/rights_internal.h"
 
-/* Calls per second below which a daemon keeps nothing of a team. */
+/* Calls per second below which a daemon keeps no tokens of a team. */
 #define IDLE_PER_S 0.05
 #define MHZ_PER_HZ 1000.0
-/* Asked for besides what is missing.  Parts and microtokens are whole numbers;
- * a call that lacked one microtoken would ask for it again and again. */
+/*
+ * Requested in addition to what is missing. Shares and microtokens are
+ * integers; after rounding, a call could lack one microtoken and request it
+ * again and again.
+ */
 #define ROUNDING_UTOK UINT64_C(100)
-/* A bucket this near its capacity is full. */
+/* A bucket within this distance of its capacity counts as full. */
 #define FULL_MARGIN_UTOK (LOOM_TOKEN_UTOK / 20)
-/* Answers over which the pool's time to answer is averaged. */
+/* Number of responses over which the response time is averaged. */
 #define RESPONSE_SMOOTHING 8
 
 /*
- * The least that the pool's clock can show now.  It has gone on since the pool
- * last spoke, and is slower than this daemon's by no more than a loan's
- * duration allows for.
+ * A lower bound of the pool's clock now: its last message's time plus the time
+ * since then, reduced by the clock drift that a loan's duration allows for.
  */
 static uint64_t
 pool_now_us(const struct rights_parent *parent, uint64_t now_us)
@@ -70,7 +72,7 @@
 	rights->up.nentries = 0;
 }
 
-/* What calls here and children wait for, before what is here. */
+/* Tokens that calls here and children wait for, regardless of the level. */
 static uint64_t
 demanded_utok(const struct loom_rights *rights, const struct rights_team *team,
     uint64_t now_us)
@@ -80,7 +82,7 @@
 	    rights_children_need(team);
 }
 
-/* Of that, what is to be asked for. */
+/* The part of these tokens that has to be requested. */
 static uint64_t
 missing_utok(const struct rights_team *team, uint64_t wanted)
 {
@@ -100,22 +102,24 @@
 rights_may_request(const struct loom_rights *rights,
     const struct rights_team *team, uint64_t now_us)
 {
-	uint64_t answer_us =
+	uint64_t response_us =
 	    MIN(rights->parent.response_us, RIGHTS_REQUEST_RETRY_MAX_US / 2);
 
 	if (rights->parent.host_id == 0 || now_us < team->no_tokens_until_us)
 		return false;
-	/* the pool keeps the question until it can answer: to repeat it at
-	 * each answer that brings nothing would be a storm at overload */
+	/*
+	 * The pool keeps a request until it can answer it. Repeating it after
+	 * each response without tokens would multiply messages under overload.
+	 */
 	if (now_us < team->requested_us +
-		    MAX(RIGHTS_REQUEST_RETRY_US, 2 * answer_us) &&
+		    MAX(RIGHTS_REQUEST_RETRY_US, 2 * response_us) &&
 	    need_utok(rights, team, now_us) <= team->requested_utok)
 		return false;
 	return now_us >=
-	    team->requested_us + MAX(RIGHTS_REQUEST_GAP_US, answer_us);
+	    team->requested_us + MAX(RIGHTS_REQUEST_GAP_US, response_us);
 }
 
-/* The loan from the present pool, while it runs. */
+/* The loan from the current pool, while it runs. */
 static struct loom_borrowed *
 current_loan(
     struct loom_rights *rights, struct rights_team *team, uint64_t now_us)
@@ -139,7 +143,10 @@
 		loom_demand_per_s(&team->demand, now_us), silent_us);
 }
 
-/* What is needed for calls that wait here and below, and ahead of calls. */
+/*
+ * Fills in the tokens needed for calls waiting here and below, and those wanted
+ * in advance.
+ */
 static void
 fill_requested_tokens(struct loom_rights *rights, struct rights_team *team,
     uint64_t now_us, struct loom_rights_up_entry *entry)
@@ -176,7 +183,10 @@
 	    loom_capacity_utok(&team->bucket, team->bucket.lent.capacity);
 	if (in == NULL)
 		return;
-	/* without refill, capacity beyond the tokens here serves nobody */
+	/*
+	 * Without a loan of refill, capacity beyond the tokens held is of no
+	 * use here.
+	 */
 	if (in->share.refill == 0)
 		in->share.capacity = MIN(in->share.capacity,
 		    loom_capacity_parts(&team->bucket, entry->held_utok));
@@ -197,8 +207,10 @@
 	team->requested_utok = entry->need_utok;
 }
 
-/* Hand back tokens, at most so many, with the capacity that holds them: the
- * pool might have no room for them in its own. */
+/*
+ * Returns up to so many tokens, together with the capacity that they occupy,
+ * because the pool may have no free capacity of its own for them.
+ */
 static void
 return_tokens(struct rights_team *team, struct loom_borrowed *in, uint64_t utok,
     struct loom_rights_up_entry *entry)
@@ -218,7 +230,7 @@
 	entry->give_utok = utok;
 }
 
-/* No call came for long: nothing of the team is kept here. */
+/* Returns everything of a team that has had no calls for long. */
 static void
 return_everything(struct loom_rights *rights, struct rights_team *team,
     uint64_t now_us, struct loom_rights_up_entry *entry)
@@ -232,7 +244,10 @@
 		in->share = entry->keep;
 }
 
-/* Tokens to keep at a renewal; the rest serves others until the next. */
+/*
+ * Tokens to keep at a renewal. The rest can serve other daemons until the next
+ * one.
+ */
 static uint64_t
 renewal_keep_utok(struct loom_rights *rights, const struct rights_team *team,
     const struct loom_borrowed *in, uint64_t now_us)
@@ -248,7 +263,7 @@
 	return keep;
 }
 
-/* Calls wait here, or tokens are lent on. */
+/* Whether calls wait here or a share is lent on. */
 static bool
 is_used(const struct rights_team *team)
 {
@@ -256,7 +271,7 @@
 	    team->bucket.lent.refill > 0;
 }
 
-/* Nothing of the team is borrowed, lent on, waited for or used up. */
+/* Whether nothing of the team is borrowed, lent on, waited for or used. */
 static bool
 is_idle(struct loom_rights *rights, struct rights_team *team, uint64_t now_us)
 {
@@ -274,7 +289,7 @@
 	bool used = is_used(team);
 	struct loom_rights_up_entry *entry;
 	uint64_t keep;
-	bool full, quiet;
+	bool full, no_open_request;
 
 	loom_bucket_advance(&team->bucket, &team->shard->base, now_us);
 	if (is_idle(rights, team, now_us))
@@ -285,24 +300,27 @@
 		    &rights->up.entries[rights->up.nentries++]);
 		return;
 	}
-	/* while a grant is on its way the pool cannot take the capacity back
-	 * yet, and would lose the tokens that come without it */
-	quiet = team->requested_us == 0;
+	/*
+	 * While a response is outstanding, a later grant may be in flight and
+	 * the pool could not take the capacity back yet. Tokens returned
+	 * without their capacity would be lost.
+	 */
+	no_open_request = team->requested_us == 0;
 	keep = renewal_keep_utok(rights, team, in, now_us);
 	full = in != NULL && in->share.refill > 0 &&
 	    team->bucket.level_utok + FULL_MARGIN_UTOK >=
 		loom_capacity_utok(&team->bucket, in->share.capacity);
 	rights_add_request(rights, team, now_us);
 	entry = &rights->up.entries[rights->up.nentries - 1];
-	if (quiet && (full || team->scarce) && team->bucket.level_utok > keep &&
-	    entry->need_utok == 0)
+	if (no_open_request && (full || team->scarce) &&
+	    team->bucket.level_utok > keep && entry->need_utok == 0)
 		return_tokens(team, in, team->bucket.level_utok - keep, entry);
 }
 
-/* How much a daemon has to say to its pool. */
+/* How urgent a renewal is. */
 enum urgency {
 	RENEWAL_IDLE, /* nothing of any team is in use */
-	RENEWAL_RELAXED, /* what is in use, the pool has plenty of */
+	RENEWAL_RELAXED, /* the pool has plenty of all that is in use */
 	RENEWAL_URGENT,
 };
 
@@ -341,8 +359,10 @@
 }
 
 /*
- * Loans outlast two renewals.  In plenty one is enough, as long as a lost one
- * is repeated; where tokens are few, demand that is known late costs refusals.
+ * A loan survives two missing renewals. While the pool has plenty, every second
+ * renewal is enough, as long as a lost one is repeated at once. When tokens are
+ * few, every renewal is sent, because demand that is reported late causes
+ * refusals.
  */
 static bool
 relaxed_renewal_due(const struct loom_rights *rights, uint64_t now_us)
@@ -360,8 +380,9 @@
 }
 
 /*
- * A daemon with all teams idle has something to say: its base changed, or a
- * message or its answer was lost, which the long loan leaves time to repeat.
+ * Whether a daemon with only idle teams has to renew. Apart from the regular
+ * interval it does so when its base share changed, or when a renewal or its
+ * response was lost, which the longer loan leaves time to repeat.
  */
 static bool
 idle_renewal_due(
@@ -389,7 +410,7 @@
 	parent->lent_for_idle = idle;
 	rights->up.lend_parts = parent->lent_parts;
 	rights->up.lend_us = duration_us;
-	/* what is lent must leave here before the message does */
+	/* The share must be out of use here before the message is sent. */
 	rights_refresh_base(rights, now_us);
 }
 
@@ -449,7 +470,7 @@
 	if (!loom_bucket_apply_grant(
 		&team->bucket, &team->shard->base, &grant, now_us))
 		return;
-	/* the pool counts their capacity as lent for no longer */
+	/* The pool reserves capacity for these tokens no longer than this. */
 	if (entry->flash_utok > 0 &&
 	    now_us < down->child_now_us +
 		    loom_loan_borrower_duration_us(LOOM_LOAN_TRANSIT_US))
@@ -491,8 +512,10 @@
 	if (from->host_id == rights->parent.host_id) {
 		team->scarce = (entry->flags & LOOM_RIGHTS_SCARCE) != 0;
 		team->plenty = (entry->flags & LOOM_RIGHTS_PLENTY) != 0;
-		/* what came is no longer asked for: calls that joined the
-		 * wait meanwhile are */
+		/*
+		 * Tokens that have arrived are no longer requested; those for
+		 * calls that began to wait since are.
+		 */
 		team->requested_utok -=
 		    MIN(team->requested_utok, entry->tokens_utok);
 		if ((entry->flags & LOOM_RIGHTS_GRANT) != 0 &&
@@ -508,8 +531,10 @@
 	rights_unlock(team);
 }
 
-/* The first message that echoes a time is the answer to that question; later
- * ones bring what the pool gives unasked. */
+/*
+ * Only the first message that echoes a time is the response to the message sent
+ * then. Later ones carry what the pool sends on its own.
+ */
 static void
 update_response_time(
     struct rights_parent *parent, uint64_t child_now_us, uint64_t now_us)
@@ -522,7 +547,10 @@
 	parent->response_us /= RESPONSE_SMOOTHING;
 }
 
-/* True when the message is the newest of its sender. */
+/*
+ * Updates the parent's state. Returns false for a message of the parent that is
+ * repeated or older than one already received.
+ */
 static bool
 note_parent_message(
     struct loom_rights *rights, const struct loom_from *from, uint64_t now_us)
@@ -543,7 +571,7 @@
 	parent->now_us = down->now_us;
 	parent->received_us = now_us;
 	update_response_time(parent, down->child_now_us, now_us);
-	/* an answer to an older message leaves the last one open */
+	/* A response to an older message leaves the last one unanswered. */
 	parent->overdue_since_us =
 	    down->child_now_us >= parent->sent_us ? 0 : now_us;
 	return true;
@@ -560,7 +588,10 @@
 		loom_counter_add(rights->counters.malformed, 1);
 		return;
 	}
-	/* an answer to this daemon's forerunner, or one not asked for yet */
+	/*
+	 * Ignore responses to a previous process on this host, also those whose
+	 * echoed time lies in the future of this clock.
+	 */
 	if (down->child_incarnation != rights->self.incarnation ||
 	    down->child_now_us > now_us)
 		return;
--- a/src/control/rights_parent.c
+++ b/src/control/rights_parent.c
@@ -1,16 +1,21 @@
 /*
- * Which pool is above this daemon, and when to leave it.
+ * Chooses the pool above this daemon and decides when to leave it.
  */
 
 #include "control/rights_internal.h"
 
-/* Five renewals unanswered.  With a tenth of all messages lost this takes a
- * healthy pool for dead once in 4,000 tries, and a wrong guess only costs
- * balance. */
+/*
+ * A pool that leaves five renewals unanswered is taken for dead. With 10% of
+ * all messages lost this happens to a healthy pool once in 4,000 times, and a
+ * wrong guess costs only balance.
+ */
 #define POOL_TIMEOUT_US (5 * LOOM_LOAN_RENEW_US)
-/* A silent pool of first choice is tried again. */
+/* How often the preferred pool is tried again after it was silent. */
 #define PROBE_US UINT64_C(1000000)
-/* Longer than an idle daemon takes between two renewals. */
+/*
+ * Children heard from within this time count as recent. Longer than the time
+ * between two renewals of an idle daemon.
+ */
 #define CHILD_RECENT_US UINT64_C(2000000)
 
 static bool
@@ -46,9 +51,10 @@
 }
 
 /*
- * A pool that still answers is left in order.  What was lent to it comes back
- * only when those loans end; until then it alone can grant anything.  So it
- * is lent nothing more, but asked, until the last of them has ended.
+ * Whether the switch away from a pool that still responds must wait. What was
+ * lent to it returns only when those loans end, and until then only this pool
+ * can grant anything from them. It therefore gets no more loans but is still
+ * sent requests until the last loan has ended.
  */
 static bool
 must_delay_switch(struct loom_rights *rights, uint64_t now_us)
--- a/src/control/rights_pool.c
+++ b/src/control/rights_pool.c
@@ -1,6 +1,6 @@
 /*
- * The daemon as a pool: take what daemons below lend, lend it on to where
- * calls come, call tokens back when calls wait for them.
+ * The daemon as a pool: takes the base shares that daemons below lend it and
+ * lends tokens and shares to those that receive calls.
  */
 
 #include <math.h>
@@ -9,12 +9,12 @@
 #include "control/rights_internal.h"
 
 /*
- * A child is told to stop asking for no longer than this: a token given back
- * elsewhere may come at any time.  A team that sends more than its rate uses
- * up its refill where it was lent; what the pool has left is worth a question
- * of each child once in that time, not once a call.
+ * A child is told to send no requests for at most this long, because a token
+ * returned by another child may arrive at any time. A team above its rate uses
+ * its refill where that was lent; for the pool's remaining tokens one request
+ * of each child in this time is enough, instead of one for each call.
  */
-#define EMPTY_MAX_US UINT64_C(50000)
+#define NO_TOKENS_MAX_US UINT64_C(50000)
 #define MHZ_PER_HZ 1000.0
 
 void
@@ -37,7 +37,6 @@
 	    rights_message_type(rights, LOOM_RIGHTS_DOWN), rights->buf, len);
 }
 
-/* Begin a message; its number is also that of the grants in it. */
 void
 rights_start_down(struct loom_rights *rights)
 {
@@ -116,7 +115,9 @@
 	out->lender_loan.need_utok = 0;
 }
 
-/* The loan's duration and what may be lent for all of it. */
+/*
+ * Returns the duration of a loan and the share that may be lent for all of it.
+ */
 static uint64_t
 lendable(struct loom_rights *rights, const struct rights_team *team,
     uint64_t now_us, struct loom_share *share)
@@ -174,9 +175,10 @@
 }
 
 /*
- * While a team's calls go from one daemon to another, what is known of them
- * falls at the one before it rises at the other: for a second that looks like
- * a team far under its rate.
+ * How long the demand must have been far below the rate. While a team's calls
+ * move from one daemon to another, the reported demand falls at the first
+ * before it rises at the second, and for about a second the team only appears
+ * to be far below its rate.
  */
 #define UNDER_RATE_US UINT64_C(2000000)
 bool
@@ -191,15 +193,15 @@
 void
 rights_end_transits(struct rights_team *team, uint64_t now_us)
 {
-	const struct rights_transit *flash;
+	const struct rights_transit *transit;
 	guint n = 0;
 
 	for (; n < team->transits->len; n++) {
-		flash =
+		transit =
 		    &g_array_index(team->transits, struct rights_transit, n);
-		if (now_us < flash->until_us)
+		if (now_us < transit->until_us)
 			break;
-		team->bucket.lent.capacity -= flash->parts;
+		team->bucket.lent.capacity -= transit->parts;
 	}
 	if (n > 0)
 		g_array_remove_range(team->transits, 0, n);
@@ -208,23 +210,22 @@
 static void
 begin_transit(struct rights_team *team, uint64_t utok, uint64_t now_us)
 {
-	struct rights_transit flash = {
+	struct rights_transit transit = {
 		.parts = loom_capacity_parts(&team->bucket, utok),
 		.until_us = now_us + LOOM_LOAN_TRANSIT_US,
 	};
 
-	team->bucket.lent.capacity += flash.parts;
-	g_array_append_val(team->transits, flash);
+	team->bucket.lent.capacity += transit.parts;
+	g_array_append_val(team->transits, transit);
 }
 
-/* Decide a loan and put it on the message.  The shard is locked. */
 void
 rights_grant(struct loom_rights *rights, struct rights_team *team,
     struct rights_child_loan *out, uint64_t ahead_utok, uint64_t now_us)
 {
-	struct loom_team_bucket *holding = &team->bucket;
+	struct loom_team_bucket *bucket = &team->bucket;
 	const struct loom_base_share *base = &team->shard->base;
-	struct loom_loan_request ask = {
+	struct loom_loan_request request = {
 		.committed = out->lender_loan.committed,
 		.demand_per_s = out->lender_loan.demand_per_s,
 		.held_utok = out->held_utok,
@@ -236,53 +237,56 @@
 	};
 	struct loom_rights_down_entry *entry = rights_add_entry(rights, team);
 	struct loom_share before = out->lender_loan.committed;
-	struct loom_loan_decision answer;
+	struct loom_loan_decision decision;
 	uint64_t duration_us;
 
-	loom_bucket_advance(holding, base, now_us);
+	loom_bucket_advance(bucket, base, now_us);
 	rights_end_transits(team, now_us);
-	duration_us = lendable(rights, team, now_us, &ask.lendable);
-	ask.lent_to_others = lent_to_others(team, out);
-	ask.lendable.refill -=
-	    MIN(ask.lendable.refill, ask.lent_to_others.refill);
-	ask.lendable.capacity -=
-	    MIN(ask.lendable.capacity, ask.lent_to_others.capacity);
-	ask.team_share = whole_share(team, now_us);
-	ask.level_utok = holding->level_utok;
-	ask.spare_utok = loom_capacity_utok(
-	    holding, loom_bucket_usable_share(holding, base, now_us).capacity);
-	ask.demand_all_per_s =
+	duration_us = lendable(rights, team, now_us, &request.lendable);
+	request.lent_to_others = lent_to_others(team, out);
+	request.lendable.refill -=
+	    MIN(request.lendable.refill, request.lent_to_others.refill);
+	request.lendable.capacity -=
+	    MIN(request.lendable.capacity, request.lent_to_others.capacity);
+	request.team_share = whole_share(team, now_us);
+	request.level_utok = bucket->level_utok;
+	request.spare_utok = loom_capacity_utok(
+	    bucket, loom_bucket_usable_share(bucket, base, now_us).capacity);
+	request.demand_all_per_s =
 	    team->demand_below_per_s + loom_demand_per_s(&team->demand, now_us);
-	ask.plenty = rights->parent.host_id != 0
+	request.plenty = rights->parent.host_id != 0
 	    ? team->plenty
 	    : rights_is_under_rate(team, now_us);
-	answer = loom_loan_decide(holding, &ask);
-	holding->level_utok -= answer.added_utok;
-	loom_lender_loan_sent(&out->lender_loan, rights->down.seq, answer.share,
-	    now_us + duration_us);
+	decision = loom_loan_decide(bucket, &request);
+	bucket->level_utok -= decision.added_utok;
+	loom_lender_loan_sent(&out->lender_loan, rights->down.seq,
+	    decision.share, now_us + duration_us);
 	rights_update_lent(team, &before, &out->lender_loan.committed);
-	if (answer.transit_utok > 0)
-		begin_transit(team, answer.transit_utok, now_us);
-	loom_bucket_add(holding, base, 0, now_us);
-	out->held_utok += answer.added_utok - answer.transit_utok;
-	out->lender_loan.need_utok = answer.unmet_utok;
-	if (answer.unmet_utok > 0 && answer.added_utok > 0)
+	if (decision.transit_utok > 0)
+		begin_transit(team, decision.transit_utok, now_us);
+	loom_bucket_add(bucket, base, 0, now_us);
+	out->held_utok += decision.added_utok - decision.transit_utok;
+	out->lender_loan.need_utok = decision.unmet_utok;
+	if (decision.unmet_utok > 0 && decision.added_utok > 0)
 		out->lender_loan.first_utok =
-		    MIN(LOOM_TOKEN_UTOK, answer.unmet_utok);
+		    MIN(LOOM_TOKEN_UTOK, decision.unmet_utok);
 	entry->flags = LOOM_RIGHTS_GRANT;
-	if (answer.scarce)
+	if (decision.scarce)
 		entry->flags |= LOOM_RIGHTS_SCARCE;
-	if (answer.plenty)
+	if (decision.plenty)
 		entry->flags |= LOOM_RIGHTS_PLENTY;
-	entry->share = answer.share;
-	entry->tokens_utok = answer.added_utok;
-	entry->flash_utok = answer.transit_utok;
+	entry->share = decision.share;
+	entry->tokens_utok = decision.added_utok;
+	entry->flash_utok = decision.transit_utok;
 	entry->duration_us = duration_us;
 }
 
-/* Far more calls come than the pool's share of the rate lets in: beyond what
- * the average of a second shows by chance near the rate, which for few calls
- * is three deviations of their count. */
+/*
+ * The demand is far above the rate when it exceeds the refill of the pool's
+ * share by a factor of OVER_RATE, and also by OVER_DEVIATIONS standard
+ * deviations of the number of calls. Near the rate, an average over one second
+ * varies that much by chance when calls are few.
+ */
 #define OVER_RATE 1.5
 #define OVER_DEVIATIONS 3.0
 bool
@@ -294,27 +298,35 @@
 	    MAX(OVER_RATE * refill, refill + OVER_DEVIATIONS * sqrt(refill));
 }
 
-/* At the topmost pool: how long nothing comes by refill or recall; 0 when
- * something may come in time. */
+/*
+ * At the root: how long no token will come by refill or recall; 0 if one may
+ * come before the wait ends.
+ */
 static uint64_t
-empty_here_us(const struct rights_team *team,
+no_tokens_for_us(const struct rights_team *team,
     const struct rights_child_loan *out, uint64_t now_us)
 {
 	uint64_t wait_us;
 
 	if (rights_is_over_rate(team, now_us))
-		return EMPTY_MAX_US;
+		return NO_TOKENS_MAX_US;
 	wait_us = loom_bucket_wait_us(&team->bucket, &team->shard->base,
 	    rights_children_need(team) + out->lender_loan.first_utok, now_us);
 	if (wait_us <= LOOM_RIGHTS_WAIT_US ||
 	    rights_recall_allowed(team, now_us))
 		return 0;
-	/* tokens also come to the child itself meanwhile */
-	return MIN(wait_us / 2, EMPTY_MAX_US);
+	/*
+	 * Half of the time, since the child also gets tokens elsewhere
+	 * meanwhile.
+	 */
+	return MIN(wait_us / 2, NO_TOKENS_MAX_US);
 }
 
-/* Nothing for the child now.  Will something come in time, by refill, from
- * above or by a recall?  If not, its calls are refused at once. */
+/*
+ * Decides what happens to a child's waiting calls when there are no tokens now.
+ * If refill, the pool above or a recall may supply some in time, the child is
+ * queued; otherwise it is told to refuse its calls at once.
+ */
 static void
 wait_or_refuse(struct loom_rights *rights, struct rights_team *team,
     struct rights_child_loan *out, uint64_t now_us)
@@ -326,7 +338,7 @@
 		entry->retry_us = team->no_tokens_until_us -
 		    MIN(now_us, team->no_tokens_until_us);
 	else
-		entry->retry_us = empty_here_us(team, out, now_us);
+		entry->retry_us = no_tokens_for_us(team, out, now_us);
 	if (entry->retry_us > 0) {
 		out->lender_loan.need_utok = 0;
 		return;
@@ -372,8 +384,9 @@
 }
 
 /*
- * A child's base, lent from the time of this pool's clock that it echoes: it
- * sent later than that, so its own end of the loan is later than this one.
+ * Records the loan of a child's base share. It counts from the time of this
+ * pool's clock that the message echoes. The child sent the message later than
+ * that, so its own end of the loan is later than the one recorded here.
  */
 static void
 receive_base_loan(struct loom_rights *rights, struct rights_child *child,
@@ -409,7 +422,10 @@
 	}
 	rights_refresh_if_stale(rights, now_us);
 	child = find_child(rights, from);
-	/* repeated or overtaken: its tokens may have been counted already */
+	/*
+	 * Repeated or older than one already received: its tokens may have been
+	 * added already.
+	 */
 	if (up->seq <= child->seq)
 		return;
 	child->seq = up->seq;
@@ -439,7 +455,10 @@
 	return need_utok;
 }
 
-/* The first child that waits and can be helped now; NULL for none. */
+/*
+ * The first waiting child if it can be served now, else NULL. Children whose
+ * calls are refused by now are dropped from the queue.
+ */
 static struct rights_child_loan *
 next_to_serve(struct rights_team *team, uint64_t now_us)
 {
--- a/src/control/rights_recall.c
+++ b/src/control/rights_recall.c
@@ -1,47 +1,57 @@
 /*
- * The daemon as a pool, between its children's messages: call tokens back
- * when calls wait for them, give away what would overflow, and end loans.
+ * The daemon as a pool, independent of its children's messages: recalls tokens
+ * when calls wait for them, gives away tokens that would overflow, and ends
+ * expired loans.
  */
 
 #include "control/rights_internal.h"
 
-/* A child that is silent for so long and owes nothing is forgotten. */
+/* A child that has been silent for so long and has no loans is removed. */
 #define CHILD_FORGET_US UINT64_C(5000000)
-/* Calls back at once; doubled while nothing comes of it. */
+/*
+ * Interval between recalls. It starts at the minimum and doubles while recalls
+ * return less than a token.
+ */
 #define RECALL_GAP_MIN_US UINT64_C(4000)
 #define RECALL_GAP_MAX_US UINT64_C(128000)
-/* Children asked in one recall: those that hold tokens. */
+/* Number of children in one recall; only those that hold tokens count. */
 #define RECALL_CHILDREN_MAX 16
-/* Less than this at a child is not worth a message. */
+/* A child that holds less than this is not sent a recall. */
 #define RECALL_MIN_UTOK (LOOM_TOKEN_UTOK / 20)
-/* Of the capacity. */
+/* A level above this fraction of the capacity counts as surplus. */
 #define SURPLUS_LEVEL_PART 0.8
 
-/* A borrower of refill that may have room; the shard is locked. */
+/*
+ * The borrower of refill with the most free capacity; NULL for none. The shard
+ * must be locked.
+ */
 static struct rights_child_loan *
 borrower_with_room(struct rights_team *team)
 {
-	struct rights_child_loan *out, *found = NULL;
+	struct rights_child_loan *loan, *found = NULL;
 	GHashTableIter iter;
 	uint64_t room, most = 0;
 
 	g_hash_table_iter_init(&iter, team->child_loans);
-	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&out)) {
-		if (out->lender_loan.committed.refill == 0 || out->waiting)
+	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&loan)) {
+		if (loan->lender_loan.committed.refill == 0 || loan->waiting)
 			continue;
 		room = loom_capacity_utok(
-		    &team->bucket, out->lender_loan.committed.capacity);
-		room -= MIN(room, out->held_utok);
+		    &team->bucket, loan->lender_loan.committed.capacity);
+		room -= MIN(room, loan->held_utok);
 		if (room > most) {
 			most = room;
-			found = out;
+			found = loan;
 		}
 	}
 	return found;
 }
 
-/* The pool's bucket is nearly full: between two renewals it would overflow
- * while a borrower, whose calls come faster than its refill, has room. */
+/*
+ * Whether the pool's bucket is nearly full. It would overflow before the next
+ * renewal, while a borrower whose calls come faster than its refill has free
+ * capacity.
+ */
 static bool
 has_surplus(struct rights_team *team, uint64_t now_us)
 {
@@ -59,7 +69,7 @@
 void
 rights_push_surplus(struct loom_rights *rights, uint64_t now_us)
 {
-	struct rights_child_loan *out;
+	struct rights_child_loan *loan;
 	struct rights_team *team;
 	unsigned i;
 
@@ -68,14 +78,14 @@
 		team = g_ptr_array_index(rights->teams, i);
 		rights_start_down(rights);
 		rights_lock(team);
-		out = NULL;
+		loan = NULL;
 		if (has_surplus(team, now_us))
-			out = borrower_with_room(team);
-		if (out != NULL)
-			rights_grant(rights, team, out, 0, now_us);
+			loan = borrower_with_room(team);
+		if (loan != NULL)
+			rights_grant(rights, team, loan, 0, now_us);
 		rights_unlock(team);
-		if (out != NULL)
-			rights_send_down(rights, out->child, now_us);
+		if (loan != NULL)
+			rights_send_down(rights, loan->child, now_us);
 	}
 }
 
@@ -86,9 +96,12 @@
 	    now_us >= team->recalled_us + team->recall_gap_us;
 }
 
-/* The last recall brought less than a call's worth: the tokens are used up
- * and not scattered.  Ask less often, so that a team over its rate does not
- * cost a message to each daemon for each refused call. */
+/*
+ * When a recall returns less than one call's worth, the tokens are used up and
+ * not scattered over the children. Recalls then become less frequent, so that a
+ * team above its rate does not cost a message to each daemon for each refused
+ * call.
+ */
 static void
 update_recall_gap(struct rights_team *team)
 {
@@ -106,27 +119,29 @@
 rights_recall(
     struct loom_rights *rights, struct rights_team *team, uint64_t now_us)
 {
-	struct rights_child_loan *out;
+	struct rights_child_loan *loan;
 	GHashTableIter iter;
 	unsigned n = 0;
 
 	team->recall_pending = false;
-	/* over the rate, what daemons below hold is their refill, soon used
-	 * up there: to call it back would only move it around */
+	/*
+	 * When demand is above the rate, children hold only their refill and
+	 * soon use it; a recall would only move tokens around.
+	 */
 	if (rights->parent.host_id == 0 && rights_is_over_rate(team, now_us))
 		return;
 	update_recall_gap(team);
 	team->recalled_us = now_us;
 	g_hash_table_iter_init(&iter, team->child_loans);
 	while (n < RECALL_CHILDREN_MAX &&
-	    g_hash_table_iter_next(&iter, NULL, (gpointer *)&out)) {
-		if (out->waiting || out->held_utok < RECALL_MIN_UTOK)
+	    g_hash_table_iter_next(&iter, NULL, (gpointer *)&loan)) {
+		if (loan->waiting || loan->held_utok < RECALL_MIN_UTOK)
 			continue;
 		rights_start_down(rights);
 		rights_add_entry(rights, team)->flags =
 		    LOOM_RIGHTS_RECALL | LOOM_RIGHTS_SCARCE;
-		out->held_utok = 0;
-		rights_send_down(rights, out->child, now_us);
+		loan->held_utok = 0;
+		rights_send_down(rights, loan->child, now_us);
 		n++;
 	}
 }
@@ -135,7 +150,7 @@
 expire_team_loans(struct rights_team *team, uint64_t now_us)
 {
 	const struct loom_share none = { 0 };
-	struct rights_child_loan *out;
+	struct rights_child_loan *loan;
 	GHashTableIter iter;
 	double demand = 0;
 
@@ -143,14 +158,14 @@
 	loom_bucket_advance(&team->bucket, &team->shard->base, now_us);
 	rights_end_transits(team, now_us);
 	g_hash_table_iter_init(&iter, team->child_loans);
-	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&out)) {
-		if (now_us < out->lender_loan.until_us) {
-			demand += out->lender_loan.demand_per_s;
+	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&loan)) {
+		if (now_us < loan->lender_loan.until_us) {
+			demand += loan->lender_loan.demand_per_s;
 			continue;
 		}
-		rights_stop_waiting(team, out);
-		rights_update_lent(team, &out->lender_loan.committed, &none);
-		out->child->nloans--;
+		rights_stop_waiting(team, loan);
+		rights_update_lent(team, &loan->lender_loan.committed, &none);
+		loan->child->nloans--;
 		g_hash_table_iter_remove(&iter);
 	}
 	team->demand_below_per_s = demand;
--- a/src/control/rights_set.c
+++ b/src/control/rights_set.c
@@ -1,19 +1,23 @@
 /*
  * Partitions of the teams, each with pools of its own.
  *
- * Load pattern: many teams whose calls come at all hosts, a few a second of
- * each at each.  No host can hold tokens of all teams ahead, so nearly each
- * call costs its pool a question.  With one pool for all teams the fleet's
- * questions met in one process: at 66 daemons and 75 teams it had no processor
- * time left, answers came later than calls waited for them, and every daemon
- * refused teams far below their rates for as long as callers came back.
+ * Load pattern: many teams with calls at all hosts, a few per second for each
+ * team and host. No host can hold tokens of all teams in advance, so nearly
+ * every call costs a request to its pool. With one pool for all teams, the
+ * requests of the whole fleet went to one process. With 66 daemons and 75 teams
+ * it ran out of processor time, responses arrived after the calls had stopped
+ * waiting, and every daemon refused teams far below their rates for as long as
+ * callers retried.
  */
 
 #include "loom/rights_set.h"
 
-/* Waits are ended, and answers to children sent, to this grain. */
+/*
+ * Tick while calls wait; the resolution of their timeouts and of responses to
+ * children.
+ */
 #define TICK_US 2000
-/* With nobody waiting, ticks only renew loans. */
+/* Tick while no call waits; it only renews loans. */
 #define IDLE_TICK_US 20000
 
 struct loom_rights_set {
@@ -89,7 +93,7 @@
 	const struct loom_rights_set *set = part;
 	uint32_t i = (type - LOOM_RIGHTS_UP) / (uint32_t)LOOM_RIGHTS_MESSAGES;
 
-	/* of a daemon that has more partitions than this one */
+	/* The sender has more partitions than this daemon. */
 	if (i >= set->n)
 		return;
 	loom_rights_ops.message(
--- a/src/control/rights_take.c
+++ b/src/control/rights_take.c
@@ -1,15 +1,18 @@
 /*
- * The path of a request: take a token, or wait for one.  Runs on any thread;
- * the only lock is that of the team's shard.
+ * The path of a call: takes a token or waits for one. Runs on any thread; the
+ * only lock is that of the team's shard.
  */
 
 #include "control/rights_internal.h"
 
-/* A refused call learns this when nothing better is known. */
+/* Retry delay of a call whose team is unknown. */
 #define RETRY_UNKNOWN_US UINT64_C(1000000)
 
-/* More calls of a team than this do not wait at one daemon: what they wait
- * for within LOOM_RIGHTS_WAIT_US is a loan, and it would be too large. */
+/*
+ * Maximum number of calls of one team that wait at one daemon. They wait for a
+ * loan within LOOM_RIGHTS_WAIT_US, and a loan for more calls would be too
+ * large.
+ */
 #define WAITERS_MAX 256
 
 static struct rights_shard *
@@ -43,7 +46,7 @@
 	return team;
 }
 
-/* Hand the team to the control thread. */
+/* Adds the team to the list of the control thread. */
 static void
 mark_dirty(struct loom_rights *rights, struct rights_team *team)
 {
@@ -94,17 +97,20 @@
 	    loom_random_unit(&rights->random));
 }
 
-/* What this daemon owns is lent to a pool that cannot lend it back: that the
- * team is over its rate is then more than anybody knows. */
+/*
+ * Whether the owned share is lent to a pool that cannot lend it back. Nobody
+ * then knows whether the team is over its rate.
+ */
 static bool
 is_lent_elsewhere(struct loom_rights *rights, uint64_t now_us)
 {
 	return now_us < atomic_load(&rights->lent_elsewhere_until_us);
 }
 
-/* Within the wait, can a token come by refill here or by a loan? */
+/* Whether a token can arrive within the wait, by refill here or by a loan. */
 static bool
-may_come(struct loom_rights *rights, struct rights_team *team, uint64_t now_us)
+token_may_arrive(
+    struct loom_rights *rights, struct rights_team *team, uint64_t now_us)
 {
 	uint64_t wait_us;
 
@@ -118,9 +124,11 @@
 	    now_us >= team->no_tokens_until_us;
 }
 
-/* Less than a token left: ask before the next call comes. */
+/*
+ * Whether to request tokens before the next call comes: less than one is left.
+ */
 static bool
-wants_ahead(const struct rights_team *team, uint64_t now_us)
+should_prefetch(const struct rights_team *team, uint64_t now_us)
 {
 	return team->bucket.level_utok < LOOM_TOKEN_UTOK && !team->scarce &&
 	    now_us >= team->no_tokens_until_us &&
@@ -131,20 +139,22 @@
 take_locked(struct loom_rights *rights, struct rights_team *team,
     uint64_t now_us, uint64_t *retry_after_us)
 {
-	/* the worker may have been kept from running since it read the clock,
-	 * and a loan that it still sees may have ended */
+	/*
+	 * The worker may have been suspended since it read the clock, and a
+	 * loan that it would use by that time may have ended.
+	 */
 	now_us = MAX(now_us, atomic_load(&rights->clock_us));
 	loom_demand_add(&team->demand, 1, now_us);
 	team->called_us = now_us;
-	/* calls that wait already come first */
+	/* Calls that already wait are served first. */
 	if (team->nwaiters == 0 &&
 	    loom_bucket_take(&team->bucket, &team->shard->base, now_us)) {
 		if (atomic_load(&rights->may_borrow) &&
-		    wants_ahead(team, now_us))
+		    should_prefetch(team, now_us))
 			mark_dirty(rights, team);
 		return LOOM_OK;
 	}
-	if (may_come(rights, team, now_us))
+	if (token_may_arrive(rights, team, now_us))
 		return LOOM_RIGHTS_PENDING;
 	loom_demand_add(&team->refused, 1, now_us);
 	*retry_after_us = retry_after(rights, team, now_us);
@@ -170,7 +180,10 @@
 	return result;
 }
 
-/* Half of the time that is left: the call has to run yet. */
+/*
+ * When a wait for a silent pool ends. At most half of the time until the call's
+ * deadline is spent waiting, since the call still has to run.
+ */
 static uint64_t
 wait_limit_us(const struct loom_rights_waiter *waiter, uint64_t now_us)
 {
@@ -189,7 +202,10 @@
 {
 	struct rights_team *team = rights_team_locked(rights, team_id);
 
-	/* teams are never taken out of their shard, and pending was said */
+	/*
+	 * Teams are never removed from their shard, and loom_rights_take()
+	 * returned LOOM_RIGHTS_PENDING for this one.
+	 */
 	g_assert(team != NULL);
 	waiter->next = NULL;
 	waiter->team_id = team_id;
@@ -247,8 +263,10 @@
 	*done = &waiter->next;
 }
 
-/* Nothing has come from the pool since the call did, and for longer than where
- * it is merely behind. */
+/*
+ * Whether nothing has come from the pool since the call arrived, and for longer
+ * than from a pool that is merely slow.
+ */
 static bool
 is_silent(const struct rights_parent *parent,
     const struct loom_rights_waiter *waiter, uint64_t now_us)
@@ -260,16 +278,19 @@
 	    now_us >= parent->received_us + late_us;
 }
 
-/* Nobody can say whether the team is over its rate. */
+/* Whether it is unknown if the team is over its rate. */
 static bool
-is_unknown(struct loom_rights *rights, const struct loom_rights_waiter *waiter,
-    uint64_t now_us)
+is_rate_unknown(struct loom_rights *rights,
+    const struct loom_rights_waiter *waiter, uint64_t now_us)
 {
 	return is_lent_elsewhere(rights, now_us) ||
 	    is_silent(&rights->parent, waiter, now_us);
 }
 
-/* The pool said that nothing comes in time, and nothing grows here. */
+/*
+ * Whether no token will arrive before the first waiter's timeout: the pool said
+ * that it has none, and refill here is too slow.
+ */
 static bool
 is_wait_futile(const struct rights_team *team, uint64_t now_us)
 {
@@ -283,15 +304,17 @@
 		   LOOM_TOKEN_UTOK, now_us) > until_us - now_us;
 }
 
-/* Of the call that waits first and finds no token: what it is refused by, or
- * LOOM_RIGHTS_PENDING. */
+/*
+ * The result of the first waiting call, which found no token: the reason to
+ * refuse it, or LOOM_RIGHTS_PENDING.
+ */
 static enum loom_result
 result_of_first(
     struct loom_rights *rights, const struct rights_team *team, uint64_t now_us)
 {
 	const struct loom_rights_waiter *waiter = team->first_waiter;
 
-	if (is_unknown(rights, waiter, now_us))
+	if (is_rate_unknown(rights, waiter, now_us))
 		return now_us < waiter->latest_us ? LOOM_RIGHTS_PENDING
 						  : LOOM_RATE_UNKNOWN;
 	return is_wait_futile(team, now_us) ? LOOM_TEAM_RATE
@@ -329,8 +352,10 @@
 	}
 }
 
-/* A pool that is behind is not asked for calls that have waited their time: the
- * more it is asked for, the further it falls behind. */
+/*
+ * A slow pool is not sent requests for calls whose normal wait is over: more
+ * requests would delay it further.
+ */
 uint32_t
 rights_waiters_to_request_for(const struct loom_rights *rights,
     const struct rights_team *team, uint64_t now_us)
@@ -350,17 +375,17 @@
 rights_serve_transit(struct rights_team *team, uint64_t utok, uint64_t now_us,
     struct loom_rights_waiter ***done)
 {
-	struct loom_team_bucket *holding = &team->bucket;
+	struct loom_team_bucket *bucket = &team->bucket;
 
-	loom_bucket_advance(holding, &team->shard->base, now_us);
-	holding->level_utok += utok;
+	loom_bucket_advance(bucket, &team->shard->base, now_us);
+	bucket->level_utok += utok;
 	while (team->first_waiter != NULL &&
-	    holding->level_utok >= LOOM_TOKEN_UTOK) {
-		holding->level_utok -= LOOM_TOKEN_UTOK;
+	    bucket->level_utok >= LOOM_TOKEN_UTOK) {
+		bucket->level_utok -= LOOM_TOKEN_UTOK;
 		finish_first(team, LOOM_OK, 0, done);
 	}
-	/* what no call took has no capacity here and is lost */
-	loom_bucket_add(holding, &team->shard->base, 0, now_us);
+	/* Tokens that no call took have no capacity here and are lost. */
+	loom_bucket_add(bucket, &team->shard->base, 0, now_us);
 }
 
 void
--- a/src/decide/holding.c
+++ b/src/decide/holding.c
@@ -1,17 +1,17 @@
 /*
- * The bucket of one team at one daemon.
+ * One team's token bucket at one daemon.
  *
- * Why the sum over all daemons is safe: let the ideal bucket be the one that
- * holds the team's whole rate and burst.  As long as all shares together are
- * at most one whole at each moment, the tokens of all daemons together stay
- * at or below the ideal level: they grow no faster, and when the ideal is
- * full they are bounded by their capacities.  A call takes one from both.  So
- * each rule here must keep the shares within the whole and may lose tokens
- * but never add one.
+ * Why the fleet as a whole never admits too much: consider an ideal bucket with
+ * the team's whole rate and burst. As long as all shares together are at most
+ * one whole at each moment, the tokens at all daemons together never exceed the
+ * ideal bucket's level. They are refilled no faster, and when the ideal bucket
+ * is full they are limited by their capacities, which add up to no more. A call
+ * takes one token from both. Each function here must therefore keep the shares
+ * within the whole; it may lose tokens but must never create any.
  *
- * Ends are applied when the bucket is next used, in the order of their times,
- * and not by a timer: a process that was stopped for longer than a loan finds
- * the loan ended before it can use it.
+ * Expiries are applied when the bucket is next used, in the order of their
+ * times, and not by a timer. A process that was paused for longer than a loan
+ * thus finds the loan expired before it can use it.
  */
 
 #include <string.h>
@@ -68,7 +68,7 @@
 	    bucket->level_utok, loom_capacity_utok(bucket, net.capacity));
 }
 
-/* The first end after the bucket's time; UINT64_MAX for none. */
+/* The first expiry after bucket->at_us; UINT64_MAX for none. */
 static uint64_t
 next_expiry_us(
     const struct loom_team_bucket *bucket, const struct loom_base_share *base)
@@ -94,7 +94,7 @@
 	double elapsed_us = (double)(to_us - bucket->at_us);
 	double part = (double)net.refill / (double)LOOM_WHOLE;
 
-	/* tokens per second are microtokens per microsecond */
+	/* Tokens per second equal microtokens per microsecond. */
 	bucket->level_utok +=
 	    (uint64_t)(part * bucket->rate_per_s * elapsed_us);
 	bucket->level_utok = min_u64(
@@ -161,7 +161,7 @@
 	return NULL;
 }
 
-/* An entry of a lender whose loan is over may be used anew. */
+/* Entries of lenders whose loans have expired are reused. */
 static struct loom_borrowed *
 find_or_add_loan(struct loom_team_bucket *bucket,
     const struct loom_grant *grant, uint64_t now_us)
@@ -197,19 +197,25 @@
 	in = find_or_add_loan(bucket, grant, now_us);
 	if (in == NULL || grant->seq <= in->seq)
 		return false;
-	/* it counts as received also when it is too late to use: the lender
-	 * waits for its number before it takes a part back */
+	/*
+	 * The grant counts as received even if it is too late to use: the
+	 * lender takes a share back only after the borrower has reported this
+	 * sequence number.
+	 */
 	in->seq = grant->seq;
 	if (grant->until_us <= now_us)
 		return false;
 	if (in->until_us > now_us)
 		old = in->share;
 	/*
-	 * A pool that lends less than before must not take what this daemon
-	 * lent on: that runs until its own end.  The old total stays, and
-	 * the lender is told what is kept.
+	 * A pool that lends less than before cannot withdraw what this daemon
+	 * has lent on, because that runs until its own end. The previous total
+	 * then stays in force, and the pool is told what is kept.
+	 */
+	/*
+	 * A share that grows must not inherit the later expiry of the previous
+	 * one.
 	 */
-	/* a part that is new must not run on to the old part's later end */
 	if (grant->until_us > in->until_us ||
 	    grant->share.refill > old.refill ||
 	    grant->share.capacity > old.capacity)
--- a/src/decide/holding.h
+++ b/src/decide/holding.h
@@ -2,106 +2,127 @@
 #define LOOM_DECIDE_HOLDING_H
 
 /*
- * What one daemon holds of one team: its share of refill and capacity, and
- * the tokens in it.
+ * One daemon's token bucket for one team: its share of the team's refill and
+ * capacity, and the tokens in it.
  *
- * Shares are parts of a whole and not tokens per second.  So two daemons
- * that have different versions of a team's rate in force still hold at most
- * one whole between them, and a changed rate needs no protocol of its own:
- * the fleet admits at most the larger of the two until the last daemon has
- * the newer one.
+ * Shares are fractions of the whole and not tokens per second. Two daemons that
+ * use different versions of a team's rate therefore still hold at most one
+ * whole together, and a change of rate needs no protocol: the fleet admits at
+ * most the larger of the two rates until the last daemon has the new one.
  */
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* All of a team's rights.  A 17,000th is still known to 4 in a million. */
+/*
+ * The whole of a team's rate and burst. 1/17,000 of it is represented with an
+ * error of at most 4 in a million.
+ */
 #define LOOM_WHOLE (UINT64_C(1) << 32)
 
-/* Microtokens of one call. */
+/* Microtokens that one call costs. */
 #define LOOM_TOKEN_UTOK UINT64_C(1000000)
 
-/* Parts of LOOM_WHOLE. */
+/* Both in units of 1/LOOM_WHOLE. */
 struct loom_share {
 	uint64_t refill;
 	uint64_t capacity;
 };
 
-/* What the daemon holds of every team alike: its own part, and what the
- * daemons below lent it, less what it lent upward. */
+/*
+ * The share that the daemon holds of every team alike: the share it owns, plus
+ * what daemons below lent it, minus what it lent to its pool.
+ */
 struct loom_base_share {
 	uint64_t parts;
-	uint64_t until_us; /* the earliest end of what is in it */
+	uint64_t until_us; /* the earliest expiry among its components */
 };
 
-/* The new pool's loan beside the one of its forerunner that runs out. */
+/*
+ * After a change of pool the new pool's loan exists beside the old pool's,
+ * which is running out.
+ */
 #define LOOM_LENDERS_MAX 2
 
 /* A loan from a pool. */
 struct loom_borrowed {
 	uint64_t lender_host_id; /* 0 for a free entry */
 	uint64_t lender_incarnation;
-	uint64_t seq; /* of the last grant taken in */
+	uint64_t seq; /* of the last grant applied */
 	struct loom_share share;
-	uint64_t until_us; /* by this daemon's clock, from its ask time */
+	/* by this daemon's clock, from sending the request */
+	uint64_t until_us;
 };
 
 struct loom_team_bucket {
 	double rate_per_s; /* of the whole team */
 	uint32_t burst; /* of the whole team, calls */
-	uint64_t at_us; /* the level is of this time */
+	uint64_t at_us; /* time for which level_utok is valid */
 	uint64_t level_utok;
 	struct loom_borrowed borrowed[LOOM_LENDERS_MAX];
-	struct loom_share lent; /* what daemons below may still be using */
+	/* upper bound of what daemons below may be using */
+	struct loom_share lent;
 };
 
-/* A grant as it arrives. */
+/* A grant as received from a pool. */
 struct loom_grant {
 	uint64_t lender_host_id;
 	uint64_t lender_incarnation;
 	uint64_t seq;
-	struct loom_share share; /* the loan's new total */
-	uint64_t tokens_utok; /* added by this grant, within the share */
-	uint64_t until_us; /* ask time and the loan's duration */
+	struct loom_share share; /* total of the loan, not an increment */
+	uint64_t tokens_utok; /* sent with this grant; covered by the share */
+	uint64_t until_us; /* time of the request plus the duration */
 };
 
-/* Tokens of a part of the team's capacity, in microtokens. */
+/* Capacity in microtokens of a fraction of the team's burst. */
 uint64_t loom_capacity_utok(const struct loom_team_bucket *, uint64_t parts);
 
-/* The smallest part of the capacity that holds so many microtokens. */
+/* The smallest fraction of the team's burst that holds so many microtokens. */
 uint64_t loom_capacity_parts(const struct loom_team_bucket *, uint64_t utok);
 
-/* Usable here at a time: base and loans, less what was lent. */
+/*
+ * The share usable here at a time: base share plus loans taken, minus loans
+ * made.
+ */
 struct loom_share loom_bucket_usable_share(const struct loom_team_bucket *,
     const struct loom_base_share *, uint64_t at_us);
 
-/* Refill up to now, ending on the way what ends before. */
+/*
+ * Refills up to now_us. Loans and the base share that expire before now_us
+ * count only until they expire.
+ */
 void loom_bucket_advance(
     struct loom_team_bucket *, const struct loom_base_share *, uint64_t now_us);
 
-/* Take one token. */
+/* Advances to now_us and takes one token. False if there is none. */
 bool loom_bucket_take(
     struct loom_team_bucket *, const struct loom_base_share *, uint64_t now_us);
 
-/* Put tokens in; what the capacity does not hold is lost. */
+/* Adds tokens. Tokens beyond the capacity are lost. */
 void loom_bucket_add(struct loom_team_bucket *, const struct loom_base_share *,
     uint64_t utok, uint64_t now_us);
 
-/* A new rate and burst are in force here. */
+/* Sets the team's rate and burst. */
 void loom_bucket_set_limits(struct loom_team_bucket *,
     const struct loom_base_share *, double rate_per_s, uint32_t burst,
     uint64_t now_us);
 
-/* The entry of a lender's incarnation; NULL when there is none. */
+/* The loan from this incarnation of a lender; NULL when there is none. */
 struct loom_borrowed *loom_bucket_find_loan(
     struct loom_team_bucket *, uint64_t host_id, uint64_t incarnation);
 
-/* Take a grant in.  False when it is late, repeated, overtaken by a later
- * one, or from a third lender at once: its tokens are lost. */
+/*
+ * Applies a grant. Returns false, and its tokens are lost, when it has expired,
+ * is repeated or older than one already applied, or comes from a third lender
+ * while two loans run.
+ */
 bool loom_bucket_apply_grant(struct loom_team_bucket *,
     const struct loom_base_share *, const struct loom_grant *, uint64_t now_us);
 
-/* Microseconds until there are so many tokens; UINT64_MAX for never. */
+/*
+ * Microseconds until the bucket holds utok; UINT64_MAX if refill never gets
+ * there.
+ */
 uint64_t loom_bucket_wait_us(const struct loom_team_bucket *,
     const struct loom_base_share *, uint64_t utok, uint64_t now_us);
 
--- a/src/decide/loan.c
+++ b/src/decide/loan.c
@@ -1,56 +1,85 @@
 /*
  * Sizing of loans.
  *
- * Load pattern: callers of a team are spread over many daemons or sit at one,
- * and move.  If all refill stayed in the pool, each call would wait for a
- * token; if all of it were lent, the tokens would lie where no call comes.
- * So a daemon is lent most but not all of the refill that it uses up, which
- * leaves its bucket near empty and spills nothing, and asks for the rest; and
- * it holds about one token ahead, so that the next call need not wait.
+ * Load pattern: a team's callers are spread over many daemons or concentrated
+ * at one, and move. If the pool kept all refill, each call would wait for a
+ * token; if it lent all of it, tokens would accumulate at daemons that receive
+ * no calls.
+ *
+ * A daemon is therefore lent most, but not all, of the refill that it uses. Its
+ * bucket stays nearly empty, so that nothing overflows, and it requests the
+ * remaining tokens. It also holds about one token in advance, so that the next
+ * call need not wait.
  */
 
 #include "decide/loan.h"
 #include "decide/integer.h"
 
-/* Part of its demand that a daemon is lent as refill.  At 1 or more, random
- * quiet moments fill its small bucket and the overflow is lost to the team. */
+/*
+ * Fraction of its demand that a daemon is lent as refill. With 1 or plenty_max,
+ * its small bucket would fill during random pauses and the team would lose the
+ * overflow.
+ */
 #define REFILL_LENT_PER_DEMAND 0.9
-/* Refill needs room for the calls' random gaps: none is lent to a borrower
- * of fewer tokens, and all of the part above to one of so many more. */
+/*
+ * Refill needs capacity to absorb the random gaps between calls. A borrower
+ * with a capacity of REFILL_CAPACITY_MIN_TOKENS or less is lent no refill;
+ * above that the lent fraction grows, and it is complete after another
+ * REFILL_CAPACITY_RAMP_TOKENS.
+ */
 #define REFILL_CAPACITY_MIN_TOKENS 1.5
 #define REFILL_CAPACITY_RAMP_TOKENS 4.0
-/* Of all refill; the rest serves daemons that ask for single tokens. */
+/*
+ * Largest fraction of the pool's refill that is lent. The rest serves daemons
+ * that request single tokens.
+ */
 #define REFILL_LENT_MAX_PART 0.9
-/* Calls per second.  Slower daemons get tokens only: their refill would
- * mostly end as overflow. */
+/*
+ * Daemons with fewer calls per second are sent tokens only: most refill lent to
+ * them would overflow.
+ */
 #define REFILL_DEMAND_MIN_PER_S 20.0
-/* Of the capacity that goes out ahead of need.  The rest stays with the pool:
- * refill of the pool that finds no capacity is lost. */
+/*
+ * Largest fraction of the capacity that is lent in advance. The rest stays with
+ * the pool, which loses its refill when it has no capacity for it.
+ */
 #define CAPACITY_LENT_MAX_PART 0.7
-/* Below this part of the pool's capacity nothing is given ahead. */
+/*
+ * At or below this fraction of the pool's capacity no tokens are given in
+ * advance.
+ */
 #define SCARCE_PART 0.15
-/* Tokens held ahead: what comes during a round trip and its delays. */
+/* Seconds of demand held in advance, to cover a round trip and its delays. */
 #define PREFETCH_S 0.010
 #define PREFETCH_POOL_S 0.040
 /*
- * Pattern: teams far from their rate, at every daemon.  With one token ahead
- * each call costs a question and its answer, and eight such teams cost a
- * daemon 26 KB a second.  Far under the rate the pool refills at once; while
- * it has half of what it did not lend, borrowers hold what they use until the
- * next renewal.  Nearer to the rate those tokens lie where no call comes.
+ * Load pattern: teams far below their rate, with calls at every daemon. With
+ * one token in advance each call costs a request and a response, and eight such
+ * teams cost a daemon 26 KB a second. Far below the rate the pool refills at
+ * once, so while it has half of the capacity that it did not lend, borrowers
+ * hold as many tokens as they use until the next renewal. Near the rate those
+ * tokens would sit unused at daemons that receive no calls.
  */
 #define PLENTY_PART 0.5
 #define PREFETCH_PLENTY_S 0.25
-/* A borrower's part of the lendable capacity, by demand, below which it is
- * given no more ahead.  Many borrowers of few calls each would leave nothing
- * for one another: 42% of the calls of 64 daemons at half of a rate of 500/s
- * waited in place of 1%. */
+/*
+ * A borrower whose share of the lendable capacity, by demand, is below this
+ * many tokens gets no additional tokens in advance. Many borrowers with few
+ * calls each would otherwise leave nothing for one another: with 64 daemons at
+ * half of a rate of 500/s, 42% of the calls waited instead of 1%.
+ */
 #define PLENTY_TOKENS_MIN 2.0
-/* Calls this far below the rate would find the one bucket of the whole fleet
- * full now and then too: what overflows then is nobody's loss. */
+/*
+ * Demand below this fraction of the rate counts as far below it. With so few
+ * calls a single bucket for the whole fleet would also be full at times, so
+ * overflow costs the team nothing.
+ */
 #define UNDER_RATE_PART 0.7
-/* Silence, in calls that should have come, after which they went away, and
- * what is still believed of the average then. */
+/*
+ * After a silence in which this many calls were expected, the calls are assumed
+ * to have moved away; the reported demand is then the average divided by
+ * SILENT_DIVISOR.
+ */
 #define SILENT_CALLS 4.0
 #define SILENT_DIVISOR 4.0
 #define RETRY_AFTER_MAX_US 60e6
@@ -107,7 +136,10 @@
 loom_lender_loan_sent(struct loom_lender_loan *loan, uint64_t seq,
     struct loom_share share, uint64_t until_us)
 {
-	/* the grant may be lost, and then the older one is still in use */
+	/*
+	 * The grant may be lost, and the borrower then keeps using the previous
+	 * one. The record therefore covers both.
+	 */
 	loan->sent_seq = seq;
 	loan->committed.refill = max_u64(loan->committed.refill, share.refill);
 	loan->committed.capacity =
@@ -132,101 +164,105 @@
 
 static uint64_t
 refill_share(const struct loom_team_bucket *team,
-    const struct loom_loan_request *ask, double part)
+    const struct loom_loan_request *request, double part)
 {
-	double all = ask->demand_all_per_s > ask->demand_per_s
-	    ? ask->demand_all_per_s
-	    : ask->demand_per_s;
+	double all = request->demand_all_per_s > request->demand_per_s
+	    ? request->demand_all_per_s
+	    : request->demand_per_s;
 	double lendable, want;
 
-	if (ask->demand_per_s < REFILL_DEMAND_MIN_PER_S ||
+	if (request->demand_per_s < REFILL_DEMAND_MIN_PER_S ||
 	    team->rate_per_s <= 0)
 		return 0;
 	lendable = REFILL_LENT_MAX_PART * team->rate_per_s *
-	    (double)ask->team_share.refill / (double)LOOM_WHOLE;
-	want = part * ask->demand_per_s;
+	    (double)request->team_share.refill / (double)LOOM_WHOLE;
+	want = part * request->demand_per_s;
 	if (part * all > lendable)
-		want = lendable * ask->demand_per_s / all;
+		want = lendable * request->demand_per_s / all;
 	if (want > team->rate_per_s)
 		want = team->rate_per_s;
-	return min_u64(ask->lendable.refill,
+	return min_u64(request->lendable.refill,
 	    (uint64_t)(want / team->rate_per_s * (double)LOOM_WHOLE));
 }
 
 /*
- * Room for the refill of a borrower that uses much: by its part of the
- * demand, while most of the pool's capacity is not lent.  Any other borrower
- * gets just the capacity of the tokens it is given: capacity that lies empty
- * at a borrower is missing at the pool, whose refill then overflows.
+ * Capacity for the refill of a borrower with high demand, in proportion to its
+ * part of the demand, as long as most of the pool's capacity is not lent. Other
+ * borrowers get only as much capacity as the tokens they are sent occupy:
+ * unused capacity at a borrower is missing at the pool, whose refill then
+ * overflows.
  */
 static uint64_t
-refill_capacity_utok(
-    const struct loom_team_bucket *team, const struct loom_loan_request *ask)
+refill_capacity_utok(const struct loom_team_bucket *team,
+    const struct loom_loan_request *request)
 {
-	double all = ask->demand_all_per_s > ask->demand_per_s
-	    ? ask->demand_all_per_s
-	    : ask->demand_per_s;
+	double all = request->demand_all_per_s > request->demand_per_s
+	    ? request->demand_all_per_s
+	    : request->demand_per_s;
 	double room;
 
-	if (ask->demand_per_s < REFILL_DEMAND_MIN_PER_S)
+	if (request->demand_per_s < REFILL_DEMAND_MIN_PER_S)
 		return 0;
 	room = CAPACITY_LENT_MAX_PART *
-	    (double)loom_capacity_utok(team, ask->team_share.capacity) *
-	    ask->demand_per_s / all;
+	    (double)loom_capacity_utok(team, request->team_share.capacity) *
+	    request->demand_per_s / all;
 	if (room < REFILL_CAPACITY_MIN_TOKENS * (double)LOOM_TOKEN_UTOK)
 		return 0;
 	return (uint64_t)room;
 }
 
 /*
- * Tokens for calls that wait: whole calls, the first may lack less.  If not
- * even that is there, the first in line gets what there is: refill at its end
- * may complete it.
+ * Tokens for waiting calls. Only whole calls are served, except that the first
+ * may need less than a token. If not even the first can be served and no other
+ * borrower is waiting, it gets all there is: refill at the borrower may
+ * complete the token.
  */
 static uint64_t
 tokens_for_waiting_calls(
-    const struct loom_loan_request *ask, uint64_t usable_utok)
+    const struct loom_loan_request *request, uint64_t usable_utok)
 {
 	uint64_t calls;
 
-	if (ask->need_utok == 0)
+	if (request->need_utok == 0)
 		return 0;
-	if (usable_utok < ask->first_utok)
-		return ask->first_in_line ? usable_utok : 0;
-	calls = (usable_utok - ask->first_utok) / LOOM_TOKEN_UTOK;
+	if (usable_utok < request->first_utok)
+		return request->first_in_line ? usable_utok : 0;
+	calls = (usable_utok - request->first_utok) / LOOM_TOKEN_UTOK;
 	return min_u64(
-	    ask->need_utok, ask->first_utok + calls * LOOM_TOKEN_UTOK);
+	    request->need_utok, request->first_utok + calls * LOOM_TOKEN_UTOK);
 }
 
 /*
- * Tokens ahead of calls: from what is above the mark, and only as long as
- * most of the capacity is not lent.  What a borrower wants only in plenty
- * comes from above the mark of plenty.
+ * Tokens to give in advance of calls. A borrower's normal target is met only
+ * from the pool's level above low_level_utok, and what it wants beyond that
+ * only from the level above plenty_level_utok. left_utok limits both, so that
+ * most of the capacity is not lent.
  */
 static uint64_t
-tokens_to_prefetch(const struct loom_loan_request *ask, uint64_t level_utok,
+tokens_to_prefetch(const struct loom_loan_request *request, uint64_t level_utok,
     uint64_t low_level_utok, uint64_t plenty_level_utok,
     uint64_t plenty_max_utok, uint64_t left_utok)
 {
-	uint64_t modest = less(loom_loan_prefetch_target_utok(ask->demand_per_s,
-				   ask->borrower_is_pool, false),
-	    ask->held_utok);
-	uint64_t ahead;
-
-	modest = min_u64(ask->prefetch_utok, modest);
-	ahead = min_u64(modest, less(level_utok, low_level_utok));
-	if (ask->plenty)
-		ahead +=
-		    min_u64(min_u64(ask->prefetch_utok - modest,
-				less(plenty_max_utok, ask->held_utok + ahead)),
-			less(less(level_utok, plenty_level_utok), ahead));
-	return min_u64(ahead, left_utok);
+	uint64_t normal =
+	    less(loom_loan_prefetch_target_utok(
+		     request->demand_per_s, request->borrower_is_pool, false),
+		request->held_utok);
+	uint64_t prefetch;
+
+	normal = min_u64(request->prefetch_utok, normal);
+	prefetch = min_u64(normal, less(level_utok, low_level_utok));
+	if (request->plenty)
+		prefetch += min_u64(
+		    min_u64(request->prefetch_utok - normal,
+			less(plenty_max_utok, request->held_utok + prefetch)),
+		    less(less(level_utok, plenty_level_utok), prefetch));
+	return min_u64(prefetch, left_utok);
 }
 
 /*
- * A borrower with room for refill and its pool fill up alike.  Otherwise one
- * of them overflows while the other still has room, and the team loses what
- * one bucket would have kept.
+ * Tokens that fill the borrower to the same fraction as its pool. Otherwise one
+ * of them overflows while the other still has free capacity, and the team loses
+ * tokens that a single bucket would have kept.
  */
 static uint64_t
 tokens_to_balance(
@@ -250,90 +286,96 @@
 	return demand_per_s < UNDER_RATE_PART * part * team->rate_per_s;
 }
 
-/* The pool's level above which it gives more ahead. */
+/* The pool's level above which it gives plenty_max tokens in advance. */
 static uint64_t
-plenty_threshold(const struct loom_loan_request *ask, uint64_t scarce_utok)
+plenty_threshold(const struct loom_loan_request *request, uint64_t scarce_utok)
 {
 	return max_u64(
-	    scarce_utok, (uint64_t)(PLENTY_PART * (double)ask->spare_utok));
+	    scarce_utok, (uint64_t)(PLENTY_PART * (double)request->spare_utok));
 }
 
-/* The most that a borrower holds ahead in plenty. */
+/* The most that a borrower holds in advance when tokens are plentiful. */
 static uint64_t
 plenty_prefetch_max_utok(
-    const struct loom_loan_request *ask, uint64_t team_capacity_utok)
+    const struct loom_loan_request *request, uint64_t team_capacity_utok)
 {
-	double all = ask->demand_all_per_s > ask->demand_per_s
-	    ? ask->demand_all_per_s
-	    : ask->demand_per_s;
+	double all = request->demand_all_per_s > request->demand_per_s
+	    ? request->demand_all_per_s
+	    : request->demand_per_s;
 	double room;
 
 	if (all <= 0)
 		return 0;
 	room = CAPACITY_LENT_MAX_PART * (double)team_capacity_utok *
-	    ask->demand_per_s / all;
+	    request->demand_per_s / all;
 	if (room < PLENTY_TOKENS_MIN * (double)LOOM_TOKEN_UTOK)
 		return 0;
 	return (uint64_t)room;
 }
 
 struct loom_loan_decision
-loom_loan_decide(
-    const struct loom_team_bucket *team, const struct loom_loan_request *ask)
+loom_loan_decide(const struct loom_team_bucket *team,
+    const struct loom_loan_request *request)
 {
-	struct loom_loan_decision answer = { 0 };
-	uint64_t whole = loom_capacity_utok(team, ask->team_share.capacity);
-	uint64_t mark = (uint64_t)(SCARCE_PART * (double)whole);
-	uint64_t plenty = plenty_threshold(ask, mark);
-	uint64_t lent = loom_capacity_utok(team, ask->lent_to_others.capacity);
-	uint64_t need, ahead, more, held, free, left, level, room;
-
-	held = ask->held_utok;
-	free = less(loom_capacity_utok(team, ask->lendable.capacity), held);
-	need = tokens_for_waiting_calls(ask, min_u64(ask->level_utok, free));
-	answer.unmet_utok = ask->need_utok - need;
-	if (ask->borrower_is_pool || need < ask->first_utok)
+	struct loom_loan_decision decision = { 0 };
+	uint64_t whole = loom_capacity_utok(team, request->team_share.capacity);
+	uint64_t low_level = (uint64_t)(SCARCE_PART * (double)whole);
+	uint64_t plenty = plenty_threshold(request, low_level);
+	uint64_t lent =
+	    loom_capacity_utok(team, request->lent_to_others.capacity);
+	uint64_t need, prefetch, plenty_max, held, free, left, level, room;
+
+	held = request->held_utok;
+	free = less(loom_capacity_utok(team, request->lendable.capacity), held);
+	need = tokens_for_waiting_calls(
+	    request, min_u64(request->level_utok, free));
+	decision.unmet_utok = request->need_utok - need;
+	if (request->borrower_is_pool || need < request->first_utok)
 		held += need;
 	else
-		answer.transit_utok = need;
+		decision.transit_utok = need;
 	left =
 	    less(less((uint64_t)(CAPACITY_LENT_MAX_PART * (double)whole), lent),
 		held);
-	level = ask->level_utok - need;
-	answer.scarce = level <= mark;
-	answer.plenty = ask->plenty && level > plenty;
-	more = plenty_prefetch_max_utok(ask, whole);
-	ahead = tokens_to_prefetch(ask, level, mark, plenty, more, left);
-	held += ahead;
-	room = min_u64(left - ahead, refill_capacity_utok(team, ask));
-	answer.share.refill = refill_share(
-	    team, ask, refill_part(ask->borrower_is_pool, held + room));
-	if (answer.share.refill == 0)
+	level = request->level_utok - need;
+	decision.scarce = level <= low_level;
+	decision.plenty = request->plenty && level > plenty;
+	plenty_max = plenty_prefetch_max_utok(request, whole);
+	prefetch = tokens_to_prefetch(
+	    request, level, low_level, plenty, plenty_max, left);
+	held += prefetch;
+	room = min_u64(left - prefetch, refill_capacity_utok(team, request));
+	decision.share.refill = refill_share(
+	    team, request, refill_part(request->borrower_is_pool, held + room));
+	if (decision.share.refill == 0)
 		room = 0;
-	answer.share.capacity = min_u64(
-	    ask->lendable.capacity, loom_capacity_parts(team, held + room));
-	/* lent capacity goes with the tokens that it holds, or a full pool
-	 * would lose them at each loan */
-	left = less(ask->spare_utok,
-	    loom_capacity_utok(
-		team, less(answer.share.capacity, ask->committed.capacity)));
-	level -= ahead;
-	room = less(loom_capacity_utok(team, answer.share.capacity), held);
+	decision.share.capacity = min_u64(
+	    request->lendable.capacity, loom_capacity_parts(team, held + room));
+	/*
+	 * Capacity is lent together with the tokens in it; a full pool would
+	 * otherwise lose those tokens with each loan.
+	 */
+	left = less(request->spare_utok,
+	    loom_capacity_utok(team,
+		less(decision.share.capacity, request->committed.capacity)));
+	level -= prefetch;
+	room = less(loom_capacity_utok(team, decision.share.capacity), held);
 	room = min_u64(room,
 	    max_u64(less(level, left),
 		tokens_to_balance(level, left, held, held + room)));
-	answer.added_utok = need + ahead + min_u64(room, level);
-	return answer;
+	decision.added_utok = need + prefetch + min_u64(room, level);
+	return decision;
 }
 
 uint64_t
 loom_loan_prefetch_target_utok(double demand_per_s, bool is_pool, bool plenty)
 {
-	double ahead = is_pool ? PREFETCH_POOL_S : PREFETCH_S;
+	double prefetch = is_pool ? PREFETCH_POOL_S : PREFETCH_S;
 
 	if (plenty)
-		ahead = PREFETCH_PLENTY_S;
-	return (uint64_t)((1 + demand_per_s * ahead) * (double)LOOM_TOKEN_UTOK);
+		prefetch = PREFETCH_PLENTY_S;
+	return (
+	    uint64_t)((1 + demand_per_s * prefetch) * (double)LOOM_TOKEN_UTOK);
 }
 
 double
--- a/src/decide/ownership.c
+++ b/src/decide/ownership.c
@@ -1,5 +1,5 @@
 /*
- * Own parts, without agreement between daemons.
+ * The share that this daemon owns, computed without agreement between daemons.
  */
 
 #include "decide/ownership.h"
@@ -7,8 +7,9 @@
 
 struct known_host {
 	uint64_t host_id;
-	uint64_t listed_us; /* when it was last listed, once it is not */
-	bool listed; /* it is on the newest list */
+	/* set when it leaves the list: when it was last listed */
+	uint64_t listed_us;
+	bool listed; /* on the newest list */
 };
 
 void
@@ -68,8 +69,11 @@
 loom_ownership_set_slots(
     struct loom_ownership *own, uint32_t declared, uint64_t now_us)
 {
-	/* a daemon that has the old declaration still holds the old part:
-	 * fewer slots mean larger parts, so they count late */
+	/*
+	 * Daemons that still use the old declaration still hold smaller shares,
+	 * and their sum with larger ones could exceed the whole. A lower number
+	 * of slots, which means larger shares, therefore takes effect late.
+	 */
 	if (declared < own->slots && declared != own->declared)
 		own->lower_slots_at_us = now_us + removed_host_us(own);
 	if (declared > own->slots)
@@ -87,7 +91,10 @@
 	guint i, n = own->known_hosts->len;
 	struct known_host *host;
 
-	/* the entries must not move while the table points at them */
+	/*
+	 * Reserve space first: the hash table points into the array, so that
+	 * appending must not move its entries.
+	 */
 	g_array_set_size(own->known_hosts, n + hosts->nhosts);
 	g_array_set_size(own->known_hosts, n);
 	for (i = 0; i < n; i++) {
@@ -109,19 +116,23 @@
 }
 
 /*
- * A newly listed host owns nothing for a while.  Within the declared slots
- * only a forerunner of the same name can have had its part; beyond them,
- * every other daemon must first have counted it, or the parts would add up
- * to more than a whole.
+ * How long a host owns nothing after it is added to the list.
  *
- * A host that was struck off and comes back, as after a cut that its
- * registration did not outlive, has no forerunner: it knows what it lent.
- * Waiting as after a start refused half of all calls for two seconds after
- * each such cut of a third of the fleet.
+ * Within the declared slots only an earlier process on the same host can have
+ * had its share, so it waits for that process's loans to end. Beyond the
+ * declared slots every other daemon must first have counted it, or the shares
+ * would add up to more than a whole.
  *
- * A process that was stopped for longer than lists lag may have been struck
- * off and replaced meanwhile; its successor owns a part now.  It starts anew,
- * and by the time it owns again it has the list.
+ * A host that was removed from the list and is added again, for example after a
+ * network partition that outlasted its registration, does not wait for an
+ * earlier process's loans: the same process still runs and knows what it lent.
+ * Waiting as after a start refused half of all calls for two seconds after each
+ * partition that removed a third of the fleet.
+ *
+ * A process that was paused for longer than list_lag_us may have been removed
+ * and replaced, and its successor now owns a share. It waits as after a start
+ * and for the list lag, so that it has a current list before it owns a share
+ * again.
  */
 static uint64_t
 withhold_us(const struct loom_ownership *own)
@@ -137,11 +148,11 @@
 }
 
 static void
-start_withholding(struct loom_ownership *own, uint64_t now_us, bool stopped)
+start_withholding(struct loom_ownership *own, uint64_t now_us, bool after_pause)
 {
 	own->listed_us = now_us;
 	own->withheld = true;
-	own->paused = stopped;
+	own->paused = after_pause;
 }
 
 void
@@ -171,6 +182,6 @@
 	    (own->withheld && now_us < own->listed_us + withhold_us(own)))
 		return 0;
 	own->withheld = false;
-	/* a listed host counts itself, so there is one share at least */
+	/* Cannot divide by 0: a listed host counts itself. */
 	return LOOM_WHOLE / MAX(1, own->shares);
 }
--- a/src/decide/ownership.h
+++ b/src/decide/ownership.h
@@ -2,15 +2,16 @@
 #define LOOM_DECIDE_OWNERSHIP_H
 
 /*
- * What part of every team a daemon owns without asking anyone: 1/n.
+ * The share of every team that a daemon owns without asking another daemon:
+ * 1/n.
  *
- * n is the count of slots that the manifest declares, or the count of hosts
- * seen lately on the list if that is larger.  More hosts count at once, fewer
- * count late.
+ * n is the number of slots that the manifest declares, or the number of hosts
+ * recently seen on the host list if that is larger. An increase takes effect at
+ * once, a decrease after a delay.
  *
- * The promise holds while no more daemons run than the declared slots.
- * Beyond them it rests on the lists: two daemons' lists must not differ by
- * more than list_lag_us.
+ * The fleet keeps to each team's rate and burst as long as no more daemons run
+ * than the declared slots. Beyond that number it depends on the host lists:
+ * those of two daemons must not differ for longer than list_lag_us.
  */
 
 #include <glib.h>
@@ -20,40 +21,46 @@
 #include "loom/hosts.h"
 
 /*
- * The longest that any loan of a daemon's own part runs (loan.h).  A daemon
- * that started a moment ago cannot know what its forerunner had lent, so it
- * owns nothing for so long.
+ * How long a daemon owns nothing after it starts: longer than any loan of an
+ * owned share runs (loan.h), because it cannot know what the previous process
+ * on its host had lent.
  */
 #define LOOM_OWN_WITHHELD_US UINT64_C(3300000)
 #define LOOM_OWN_WITHHELD_LARGE_US UINT64_C(7300000)
 
 /*
- * Loans run longer in a fleet of more hosts than this.  A lender goes by its
- * list alone, a daemon that starts by declared slots or its list, whichever
- * says more: so slots are to be lowered after the hosts have gone.
+ * A fleet with more hosts than this counts as large, and its loans run longer.
+ * A lender decides this by its host list alone; a daemon that starts uses the
+ * larger of declared slots and host list. Declared slots must therefore be
+ * lowered only after the hosts have gone.
  */
 #define LOOM_OWN_LARGE_HOSTS 1024
 
-/* A host that is off the list may still run and count on its part: it stays
- * counted for so many list lags. */
+/*
+ * A host that was removed from the list may still run and use its share. It is
+ * counted for this many list lags after its removal.
+ */
 #define LOOM_OWN_REMOVED_HOST_LAGS 6
 
 struct loom_ownership {
 	uint64_t host_id;
 	uint64_t list_lag_us;
-	uint64_t withheld_us; /* LOOM_OWN_WITHHELD_US unless set */
-	uint64_t newcomer_us; /* list_lag_us unless set: see hold_us() */
-	uint64_t listed_us; /* since when the list shows this host */
-	uint64_t checked_us; /* last call of loom_ownership_parts() */
-	uint32_t slots; /* declared, the largest seen lately */
-	uint64_t lower_slots_at_us; /* a smaller declaration counts after */
+	uint64_t withheld_us; /* default: LOOM_OWN_WITHHELD_US */
+	uint64_t newcomer_us; /* default: list_lag_us; see withhold_us() */
+	/* when this host was last added to the list, or the last pause ended */
+	uint64_t listed_us;
+	uint64_t checked_us; /* time of the last loom_ownership_parts() call */
+	uint32_t slots; /* the largest recent declaration */
+	/* when a smaller declaration takes effect */
+	uint64_t lower_slots_at_us;
 	uint32_t declared;
 	uint32_t shares; /* n */
 	bool listed;
-	bool was_listed; /* by an earlier list, in this process */
-	bool paused; /* the process was stopped for longer than lists lag */
-	bool withheld; /* owns nothing yet */
-	GArray *known_hosts; /* owned: hosts and when they were last listed */
+	/* was listed before, and owned a share then */
+	bool was_listed;
+	bool paused; /* the process was paused for longer than list_lag_us */
+	bool withheld; /* owns nothing for now */
+	GArray *known_hosts; /* owned; struct known_host */
 };
 
 void loom_ownership_init(
@@ -65,9 +72,12 @@
 void loom_ownership_set_hosts(
     struct loom_ownership *, const struct loom_hosts *hosts, uint64_t now_us);
 
-/* The part owned now, of LOOM_WHOLE.  To be called often: a long gap between
- * two calls is a pause of the process, after which it owns nothing until it
- * had time to learn a newer list. */
+/*
+ * The share owned now, in units of 1/LOOM_WHOLE. Must be called often: a gap
+ * longer than list_lag_us between two calls is taken for a pause of the
+ * process, after which it owns nothing until it has had time to receive a newer
+ * list.
+ */
 uint64_t loom_ownership_parts(struct loom_ownership *, uint64_t now_us);
 
 #endif
--- a/src/decide/pool_choice.c
+++ b/src/decide/pool_choice.c
@@ -1,5 +1,5 @@
 /*
- * The tree of pools by the local view of the host list.
+ * This daemon's place in the tree of pools, by its own host list.
  */
 
 #include <glib.h>
@@ -15,7 +15,10 @@
 	SCOPE_FLEET,
 };
 
-/* The best host of a scope, and the best that is usable. */
+/*
+ * The host with the highest weight in a scope, and the usable one with the
+ * highest weight.
+ */
 struct best_hosts {
 	uint64_t first;
 	uint64_t first_weight;
@@ -25,8 +28,9 @@
 };
 
 /*
- * Groups of a data centre: a power of two, so that a host more or less
- * seldom changes the count, which moves every second host to another group.
+ * The number of groups of this data centre. It is a power of two, so that
+ * adding or removing a host rarely changes it: a change moves half of the hosts
+ * to another group.
  */
 static uint64_t
 count_groups(const struct loom_hosts *hosts, const struct loom_self *self)
@@ -79,7 +83,7 @@
 	}
 }
 
-/* A host that is already among them makes no difference. */
+/* Has no effect for a host that was considered before. */
 static void
 consider_in_all_scopes(struct best_hosts best[LOOM_POOL_STAGES_MAX],
     uint64_t host_id, uint32_t partition)
@@ -114,8 +118,10 @@
 	}
 }
 
-/* A scope as large as the next one, or a small region's data centre, is no
- * stage of its own. */
+/*
+ * A scope is not a stage if it has the same members as the next larger scope,
+ * or if it is a data centre in a region small enough to have a single pool.
+ */
 static bool
 is_stage(const struct best_hosts best[LOOM_POOL_STAGES_MAX], uint32_t scope)
 {
@@ -135,7 +141,7 @@
 	return usable ? best_hosts->usable : best_hosts->first;
 }
 
-/* The highest stage that this daemon is the pool of; 0 for none. */
+/* The highest stage whose pool is this daemon; 0 for none. */
 static uint32_t
 own_stage(const struct best_hosts *const *stages, uint32_t n, uint64_t host_id,
     bool usable)
@@ -167,16 +173,19 @@
 			stages[choice.stages++] = &best[scope];
 	}
 	/*
-	 * The pool of a region may not be the pool of its data centre.  It
-	 * must not then be a child of that one, which is its own child: two
-	 * daemons would pass the same question to each other.
+	 * The pool of a region need not be the pool of its data centre. It must
+	 * then not become a child of the data centre's pool, which is its own
+	 * child: they would forward the same request to each other.
 	 */
 	choice.stage = own_stage(stages, choice.stages, self->host_id, true);
 	choice.stage =
 	    MAX(choice.stage, MIN(below->highest_stage, choice.stages));
 	if (choice.stage < choice.stages)
 		choice.parent_host_id = stages[choice.stage]->usable;
-	/* also for the topmost pool: it may be so only for lack of an answer */
+	/*
+	 * Also computed for the root: it may be the root only because the
+	 * preferred pool did not answer.
+	 */
 	first = own_stage(stages, choice.stages, self->host_id, false);
 	first = MAX(first, MIN(below->highest_stage, choice.stages));
 	if (first < choice.stages)
--- a/src/decide/pool_choice.h
+++ b/src/decide/pool_choice.h
@@ -2,19 +2,20 @@
 #define LOOM_DECIDE_POOL_CHOICE_H
 
 /*
- * Which daemon is whose pool: in each scope (group of a data centre, data
- * centre, region, fleet) the usable host with the highest hash of scope and
- * host (rendezvous hashing). Each daemon decides by its own view.  Two daemons
- * may differ: their pools hold disjoint loans, so nothing but balance depends
- * on agreement.
+ * Which daemon is the pool of which others. In each scope (group of a data
+ * centre, data centre, region, fleet) it is the usable host with the highest
+ * hash of scope and host id (rendezvous hashing). Each daemon decides by its
+ * own host list. When two daemons disagree, the two pools hold disjoint loans,
+ * so that only the balance of load depends on agreement.
  *
- * But for one thing: while views differ two daemons could each take the other
- * for its pool, as when a pool is struck off the list and knows it first.  They
- * would pass questions to and fro and lend their parts to each other, and all
- * who ask them would be refused far below their rate.  So a daemon that is
- * asked by others competes in each of its scopes whatever its list says of it,
- * and is no lower a stage than they are: along each way upwards the stage never
- * falls, and within a stage the hash grows, so that no way is a circle.
+ * Disagreement must not make two daemons choose each other, as can happen when
+ * a pool is removed from the host list and learns it before the others. They
+ * would forward requests to each other and lend each other their shares, and
+ * everybody who asks them would be refused far below the team's rate. A daemon
+ * that receives requests from children therefore competes in each of its
+ * scopes, whatever its own list says about it, and its stage is not lower than
+ * theirs. On each path upwards the stage then never decreases, and within a
+ * stage the hash increases, so that a path cannot form a cycle.
  */
 
 #include <stdbool.h>
@@ -24,17 +25,18 @@
 #include "loom/hosts.h"
 
 /*
- * Regions up to this size have one pool for all data centres of the region:
- * a second stage costs each scarce token one round trip more, which is worse
- * than a pool that answers 64 daemons.
+ * Regions of up to this many hosts have one pool for all their data centres.
+ * Another stage adds a round trip to each token when tokens are scarce, which
+ * is worse than a pool with 64 children.
  */
 #define LOOM_POOL_FLAT_HOSTS 64
 
 /*
- * Data centres of more hosts than the first are split into groups of at most
- * the second, each with a pool.  A pool's work and bytes grow with its
- * children; of 850 hosts 27 make a group, and 32 groups a data centre.  One
- * of just over 32 is not split: it would cost a stage.
+ * A data centre with more hosts than LOOM_POOL_UNSPLIT_HOSTS is split into
+ * groups of at most LOOM_POOL_GROUP_HOSTS, each with its own pool, because a
+ * pool's processor time and bandwidth grow with the number of its children. 850
+ * hosts form 32 groups of about 27. A data centre with just over 32 hosts is
+ * not split, since that would add a stage.
  */
 #define LOOM_POOL_UNSPLIT_HOSTS 64
 #define LOOM_POOL_GROUP_HOSTS 32
@@ -43,20 +45,24 @@
 #define LOOM_POOL_STAGES_MAX 4
 
 struct loom_pool_choice {
-	uint64_t parent_host_id; /* 0: this daemon is the topmost pool */
-	uint64_t preferred_host_id; /* the parent if all were usable; or 0 */
-	uint32_t stage; /* 0: no pool; k: the pool of the k-th scope */
-	uint32_t stages; /* scopes that there are */
+	uint64_t parent_host_id; /* 0: this daemon is the root of the tree */
+	/* the parent if all hosts were usable; 0 if none */
+	uint64_t preferred_host_id;
+	uint32_t stage; /* 0: not a pool; k: pool of the k-th scope */
+	uint32_t stages; /* stages of the tree */
 };
 
-/* The daemons that took this one for their pool lately. */
+/* The daemons that recently used this one as their pool. */
 struct loom_pool_children {
 	bool any;
-	uint32_t highest_stage; /* the highest stage that one of them has */
+	uint32_t highest_stage; /* highest stage among them */
 };
 
-/* usable: whether a host may be chosen; this daemon itself is not asked.  Each
- * partition of the teams has pools of its own. */
+/*
+ * Chooses this daemon's pool. `usable` tells whether a host may be chosen; it
+ * is not called for this daemon itself. Each partition of the teams chooses
+ * pools of its own.
+ */
 struct loom_pool_choice loom_pool_choose(const struct loom_hosts *hosts,
     const struct loom_self *self, uint32_t partition,
     const struct loom_pool_children *below,
