--- a/src/decide/loan.h
+++ b/src/decide/loan.h
@@ -36,6 +36,7 @@
 #define LOOM_LOAN_IDLE_RENEW_US UINT64_C(800000)
 #define LOOM_LOAN_IDLE_RENEW_LARGE_US UINT64_C(1000000)
 
+/* The longest loan in a fleet that is not large. */
 #define LOOM_LOAN_LONGEST_US (8 * LOOM_LOAN_STEP_US)
 
 /*
--- a/tests/control/test_rights.c
+++ b/tests/control/test_rights.c
@@ -1,7 +1,7 @@
 /*
- * Team rate and burst over all daemons together: whatever the network, the
- * processes, the host lists and the operators do, the fleet never lets in
- * more than rate * t + burst in any window.
+ * Fault injection for the bound on admitted calls: whatever happens to the
+ * network, the processes, the host lists and the configuration, the fleet never
+ * admits more than rate * t + burst calls of a team in any window of t seconds.
  */
 
 #include <stdio.h>
@@ -14,7 +14,7 @@
 #define DAEMONS 16
 #define RATE 50.0
 #define BURST 20
-/* One part in ten million of a token, from rounding in doubles. */
+/* In tokens; rounding of doubles. */
 #define ROUNDING 1e-6
 
 static void
@@ -24,8 +24,8 @@
 
 	for (team = 0; team < FLEET_TEAMS; team++)
 		TEST_CHECK(fleet_team(fleet, team)->worst > -ROUNDING,
-		    "%s, seed %u, team %u: over by %f", name, seed, team,
-		    -fleet_team(fleet, team)->worst);
+		    "%s, seed %u, team %u: exceeded by %f calls", name, seed,
+		    team, -fleet_team(fleet, team)->worst);
 }
 
 static uint64_t
@@ -34,20 +34,21 @@
 	return loom_random_below(fleet_random(fleet), bound);
 }
 
-/* One kind of fault; random_daemon is any. */
+/* Kinds of faults, as bits. */
 enum fault {
-	FAULT_PAUSE = 1, /* a process stands still, often beyond its loans */
-	FAULT_KILL = 2, /* killed, and started anew at once or later */
-	FAULT_NETWORK_SPLIT = 4, /* the network in two parts */
+	/* a process is paused, often for longer than its loans */
+	FAULT_PAUSE = 1,
+	FAULT_KILL = 2, /* a process is killed and restarted at once or later */
+	FAULT_NETWORK_SPLIT = 4, /* the network is split in two */
 	FAULT_STALE_LIST = 8, /* a daemon sees a shorter host list */
-	FAULT_RATE_CHANGE = 16, /* operators change rate and burst */
+	FAULT_RATE_CHANGE = 16, /* rate and burst are changed */
 	FAULT_LOSS = 32, /* messages are lost, repeated, reordered */
 };
 
 struct rollout {
 	double rate;
 	uint32_t burst;
-	unsigned updated; /* daemons that have it */
+	unsigned updated; /* daemons that have the new rate */
 };
 
 static void
@@ -61,7 +62,10 @@
 	fleet_hosts(fleet, daemon, listed);
 }
 
-/* Ship to a few daemons more; when all have it, the old one is no excuse. */
+/*
+ * Gives the new rate to a few more daemons. Once all have it, the bound no
+ * longer allows for the old one.
+ */
 static void
 continue_rollout(struct fleet *fleet, struct rollout *rollout)
 {
@@ -160,8 +164,10 @@
 	fleet_reset_counts(fleet);
 	for (i = 0; i < rounds; i++) {
 		inject_fault(fleet, kinds, &rollout);
-		/* quiet at times, so that buckets fill to the brim, then far
-		 * over the rate, so that all that is there is used */
+		/*
+		 * Low load at times, so that all buckets fill up, then load far
+		 * above the rate, so that all available tokens are used.
+		 */
 		load = random_below(fleet, 3) == 0 ? 0.1 : 4 * RATE;
 		offer_random_load(
 		    fleet, load, 20 * MS + random_below(fleet, 600 * MS));
@@ -173,10 +179,10 @@
 }
 
 /*
- * What callers would see if a safeguard were missing: a team that sends far
- * over its rate gets more than its share while processes stop, die and are
- * cut off.  Each schedule mixes some kinds of fault at random; the bound is
- * checked at each call that is let in.
+ * Guards against any missing safeguard that would admit more than rate and
+ * burst of a team while processes are paused, killed and cut off. Each schedule
+ * mixes some kinds of faults at random under load far above the rate; the bound
+ * is checked at each admitted call.
  */
 static void
 test_schedules(void)
@@ -229,10 +235,11 @@
 }
 
 /*
- * A daemon holds most of a team's tokens when its process is stopped for two
- * seconds.  The pool counts the loan as ended and lends anew; others use all
- * of it.  Then the process wakes, and calls come to it before any message or
- * timer does.  It must find its loan ended: callers would get the burst twice.
+ * Guards against a paused process using a loan that has ended. A daemon holding
+ * most of a team's tokens is paused for two seconds. The pool counts the loan
+ * as ended and lends the capacity to others, which use all of it. When the
+ * process resumes, calls reach it before any message or timer does. If it did
+ * not find its loan expired, callers would get the burst twice.
  */
 static void
 test_paused_borrower(void)
@@ -253,14 +260,15 @@
 	fleet_run(fleet, fleet_now(fleet) + 50 * MS - 1);
 	fleet_stop(fleet, borrower, 0);
 	send_calls(fleet, borrower, 30);
-	check_bound(fleet, "stopped borrower", 7);
+	check_bound(fleet, "paused borrower", 7);
 	fleet_free(fleet);
 }
 
 /*
- * More daemons run than the manifest declares, and two lists differ by less
- * than the lag that is allowed for.  Whoever comes new owns nothing until all
- * others have counted it, so that the parts never add up to more than one.
+ * Guards against new daemons owning a share too early. More daemons run than
+ * the manifest declares, and two lists differ by less than the allowed lag. A
+ * new daemon must own nothing until all others have counted it, or the shares
+ * would add up to more than one.
  */
 static void
 test_newcomers(void)
@@ -283,11 +291,11 @@
 	fleet_team(fleet, 0)->bound.level = BURST;
 	fleet_run(fleet, fleet_now(fleet) + 5 * S);
 	fleet_reset_counts(fleet);
-	/* the newcomers' own lists show them first */
+	/* The new daemons' own lists show them first. */
 	for (i = known; i < DAEMONS; i++) {
 		fleet_hosts(fleet, i, NULL);
 		fleet_start(fleet, i);
-		/* cut off: they live on what they own, or on nothing */
+		/* Cut off, they have only their owned share, if any. */
 		fleet_cut(fleet, i, i);
 	}
 	fleet_load(fleet, 0, 8 * RATE, NULL, fleet_now(fleet) + 5500 * MS);
@@ -299,7 +307,7 @@
 }
 
 static const struct test_case tests[] = {
-	{ "stopped borrower", test_paused_borrower },
+	{ "paused borrower", test_paused_borrower },
 	{ "newcomers", test_newcomers },
 	{ "random schedules", test_schedules },
 };
--- a/tests/control/test_rights_flood.c
+++ b/tests/control/test_rights_flood.c
@@ -10,13 +10,13 @@
 #define DAEMONS 66
 #define RATE 500.0
 #define BURST 200
-#define MISSING_MAX_PART 0.10 /* of the calls that each team's rate allows */
+#define MISSING_MAX_PART 0.10 /* of the calls that a team's rate allows */
 
 /*
- * Calls of each team let in, against an ideal bucket for the same arrivals.
- * Which of them are let in is not compared: above the rate a third is refused
- * by any scheme, and an exact one of two daemons refuses others than the
- * bucket does.
+ * Compares the number of admitted calls of each team with that of an ideal
+ * bucket for the same arrivals. Which calls are admitted is not compared: above
+ * the rate a third is refused by any scheme, and even an exact scheme with two
+ * daemons refuses others than a single bucket does.
  */
 static void
 check_teams(struct fleet *fleet, double load)
@@ -32,7 +32,7 @@
 		missing = (double)team->ideal_admitted - (double)team->admitted;
 		TEST_CHECK(
 		    missing <= MISSING_MAX_PART * (double)team->ideal_admitted,
-		    "team %u: %.0f of %.0f not let in", t, missing,
+		    "team %u: %.0f of %.0f not admitted", t, missing,
 		    (double)team->ideal_admitted);
 	}
 	printf("point rights, %.1f times the rates of all teams: %.2f%% of "
@@ -40,8 +40,10 @@
 	    load, 100.0 * (ideal_sum - admitted_sum) / ideal_sum);
 }
 
-/* Callers of each team send more than its rate, at any of 66 daemons, each of
- * which takes some time for a message. */
+/*
+ * Callers of each team send more than its rate, spread over 66 daemons, each of
+ * which needs some time for a message.
+ */
 static void
 run_flood(double load, uint64_t handling_us)
 {
@@ -65,15 +67,17 @@
 	fleet_free(fleet);
 }
 
-/* Guards against pools so full of questions that less than the rates allow is
- * let in. */
+/*
+ * Guards against pools so overloaded with requests that the fleet admits less
+ * than the rates allow.
+ */
 static void
 test_flood(void)
 {
 	run_flood(1.5, 200);
 }
 
-/* The same where the pools have less time yet. */
+/* The same with slower pools and a higher load. */
 static void
 test_flood_late_pools(void)
 {
--- a/tests/control/test_rights_loan.c
+++ b/tests/control/test_rights_loan.c
@@ -1,6 +1,7 @@
 /*
- * One part alone, and the rules of loans: whose clock ends a loan, what
- * repeated and overtaken messages do, what a lender may count as back.
+ * The rules of loans, tested on one daemon: whose clock ends a loan, how
+ * repeated and reordered messages are handled, and when a lender may take a
+ * share back.
  */
 
 #include <string.h>
@@ -19,10 +20,10 @@
 	struct loom_rights *rights;
 	struct loom_random random;
 	struct loom_self self;
-	uint64_t other_id; /* the host that is not this one */
+	uint64_t other_id; /* id of the only other host */
 	unsigned sent;
-	struct loom_rights_up up; /* the last that was sent */
-	uint64_t seq; /* of the last answer */
+	struct loom_rights_up up; /* the last message that was sent */
+	uint64_t seq; /* of the last response */
 };
 
 static void
@@ -75,7 +76,7 @@
 	g_array_free(list, TRUE);
 }
 
-/* as_pool: whether this daemon is the pool of the two. */
+/* Starts with this daemon as the pool of the two, or as the child. */
 static void
 start_fixture(struct fixture *fixture, bool as_pool)
 {
@@ -148,9 +149,10 @@
 }
 
 /*
- * The answer to a question takes 300 ms.  The pool counts its loan from
- * sending, the daemon from asking, so its own count ends first.  Counted from
- * the arrival, callers would get the same tokens here and at the pool.
+ * A response takes 300 ms. The pool counts its loan from sending it and the
+ * daemon from sending the request, so that the loan ends first at the daemon.
+ * If the daemon counted from the arrival, the same tokens could be used here
+ * and at the pool.
  */
 static void
 test_loan_starts_at_request(void)
@@ -162,14 +164,16 @@
 	deliver_down(&fixture, 1, asked_us, 0.5, 4, asked_us + 300 * MS);
 	TEST_CHECK(level(&fixture, asked_us + 390 * MS) > 3.9, "lent");
 	TEST_CHECK(level(&fixture, asked_us + 400 * MS) < 0.001, "ended");
-	/* an answer that took longer than the loan brings nothing */
+	/* A response that took longer than the loan has no effect. */
 	deliver_down(&fixture, 2, asked_us, 0.5, 4, asked_us + 401 * MS);
 	TEST_CHECK(level(&fixture, asked_us + 402 * MS) < 0.001, "too late");
 	end_fixture(&fixture);
 }
 
-/* The network repeats a grant, and delivers an older one late.  Its tokens
- * count once, or callers would get them twice. */
+/*
+ * The network repeats a grant and delivers an older one late. Its tokens must
+ * be added once.
+ */
 static void
 test_repeated_grants(void)
 {
@@ -182,13 +186,20 @@
 	deliver_down(&fixture, 1, asked_us, 0.5, 4, asked_us + 2 * MS);
 	TEST_CHECK(level(&fixture, asked_us + 3 * MS) < 4.001, "%f",
 	    level(&fixture, asked_us + 3 * MS));
-	/* asked by this daemon's forerunner in the future of its clock */
+	/*
+	 * The echoed time lies in the future of this clock, as in a response to
+	 * the daemon's previous process.
+	 */
 	deliver_down(&fixture, 3, asked_us + 9 * MS, 1, 4, asked_us + 4 * MS);
-	TEST_CHECK(level(&fixture, asked_us + 5 * MS) < 4.001, "future");
+	TEST_CHECK(
+	    level(&fixture, asked_us + 5 * MS) < 4.001, "echo in the future");
 	end_fixture(&fixture);
 }
 
-/* What a grant's own rules say, below the part that checks numbers too. */
+/*
+ * loom_bucket_apply_grant() itself rejects repeated and older sequence numbers,
+ * which the message handler also checks.
+ */
 static void
 test_grant_sequence(void)
 {
@@ -206,8 +217,9 @@
 	grant.seq = 4;
 	CU_ASSERT_FALSE(loom_bucket_apply_grant(&holding, &none, &grant, 3));
 	CU_ASSERT_EQUAL(holding.level_utok, LOOM_TOKEN_UTOK);
-	/* what was lent on stays until its end_fixture, whatever the pool
-	 * lowers */
+	/*
+	 * What was lent on stays until it expires, even if the pool lends less.
+	 */
 	holding.lent.capacity = LOOM_WHOLE / 4;
 	grant.seq = 6;
 	grant.share.capacity = 0;
@@ -216,9 +228,9 @@
 }
 
 /*
- * A pool sends a grant while the borrower reports that it keeps little.  If
- * the pool took the rest back, the grant would bring it to life there, and
- * both would let calls in by it.
+ * A pool sends a grant while the borrower reports that it keeps little. If the
+ * pool took back the rest, the grant would let the borrower use it again, and
+ * both would admit calls with it.
  */
 static void
 test_confirm(void)
@@ -268,9 +280,10 @@
 }
 
 /*
- * A daemon lends its part to its pool, in a message that takes 300 ms.  The
- * pool counts from its own time that the message echoes, which is earlier
- * than the sending.  A message for the pool's forerunner lends nothing.
+ * A daemon lends its owned share to its pool in a message that takes 300 ms.
+ * The loan counts from the time of the pool's clock that the message echoes,
+ * which is before it was sent. A message addressed to the pool's previous
+ * process lends nothing.
  */
 static void
 test_base_loan_starts_at_echo(void)
@@ -280,19 +293,21 @@
 
 	start_fixture(&fixture, true);
 	deliver_up(&fixture, 1, 76, echo_us, 0.5, echo_us + 100 * MS);
-	TEST_CHECK(pooled(&fixture, echo_us + 200 * MS) == 0, "forerunner");
+	TEST_CHECK(pooled(&fixture, echo_us + 200 * MS) == 0,
+	    "for the previous process");
 	deliver_up(&fixture, 2, 77, echo_us, 0.5, echo_us + 300 * MS);
 	TEST_CHECK(pooled(&fixture, echo_us + 400 * MS) == 0.5, "lent");
 	deliver_up(&fixture, 1, 77, echo_us, 1, echo_us + 410 * MS);
-	TEST_CHECK(pooled(&fixture, echo_us + 510 * MS) == 0.5, "overtaken");
+	TEST_CHECK(
+	    pooled(&fixture, echo_us + 510 * MS) == 0.5, "older message");
 	TEST_CHECK(pooled(&fixture, echo_us + 801 * MS) == 0, "ended");
 	end_fixture(&fixture);
 }
 
 /*
- * A worker reads the clock, then this daemon lends its part to its pool, then
- * the worker takes its token by the time that it read.  The part has left:
- * what was in it must be gone already, or it would be used here and there.
+ * A worker reads the clock, the daemon lends its owned share to its pool, and
+ * then the worker takes a token using the time it read. The tokens of the lent
+ * share must be gone, or they could be used at both places.
  */
 static void
 test_lent_share_is_unusable(void)
@@ -303,25 +318,31 @@
 	start_fixture(&fixture, false);
 	for (; now_us < START_US + 4000 * MS; now_us += 2 * MS)
 		loom_rights_ops.tick(fixture.rights, now_us);
-	TEST_CHECK(level(&fixture, now_us) > 4, "owns");
-	/* the silent pool speaks, is chosen again, and answers */
+	TEST_CHECK(level(&fixture, now_us) > 4, "owns its share");
+	/* The silent pool sends a message, is chosen again, and responds. */
 	deliver_down(&fixture, 8, now_us - MS, 0, 0, now_us);
 	deliver_down(&fixture, 9, now_us - MS, 0, 0, now_us + MS);
 	loom_rights_ops.tick(fixture.rights, now_us + 100 * MS);
 	TEST_CHECK(loom_rights_take(fixture.rights, loom_name_id(TEAM),
 		       now_us + 99 * MS, &retry_us) != LOOM_OK,
-	    "taken after it was lent");
+	    "a token of the lent share was taken");
 	end_fixture(&fixture);
 }
 
-/* The pool's clock is slower than the daemon's by nearly what loans allow. */
+/*
+ * The clock of a pool that is slower than this daemon's by nearly as much as
+ * loans allow for.
+ */
 static uint64_t
 slow_clock_us(uint64_t now_us)
 {
 	return now_us - now_us / 260;
 }
 
-/* Ticks for so long; each message is answered at once, or none is. */
+/*
+ * Ticks for `us` and returns the number of messages sent. Each is answered at
+ * once, or none is.
+ */
 static unsigned
 count_messages(
     struct fixture *fixture, uint64_t *now_us, uint64_t us, bool answered)
@@ -339,7 +360,7 @@
 		if (fixture->sent == before)
 			continue;
 		TEST_CHECK(fixture->up.pool_now_us <= slow_clock_us(*now_us),
-		    "a loan counted from the pool's future");
+		    "pool time in the future of its clock");
 		if (!answered)
 			continue;
 		down = (struct loom_rights_down){ .seq = ++fixture->seq,
@@ -354,10 +375,10 @@
 }
 
 /*
- * No call comes to a daemon: its loan to the pool is long and seldom renewed.
- * A renewal that is lost is repeated at once, for the loan must not end_fixture
- * meanwhile at a pool that lends from it; and a pool that does not answer is
- * left as soon as by a busy daemon.
+ * A daemon without calls lends its share for long and renews it rarely. A lost
+ * renewal must be repeated at once, so that the loan does not end at a pool
+ * that lends from it, and a pool that does not respond must be left as early as
+ * by a busy daemon.
  */
 static void
 test_idle_renewals(void)
@@ -371,16 +392,18 @@
 	count_messages(&fixture, &now_us, 6000 * MS, true);
 	n = count_messages(&fixture, &now_us, 8000 * MS, true);
 	TEST_CHECK(n >= 8 && n <= 10, "%u in 8 s", n);
-	TEST_CHECK(fixture.up.lend_us == 1600 * MS, "lent for long");
+	TEST_CHECK(fixture.up.lend_us == 1600 * MS, "duration of an idle loan");
 	n = count_messages(&fixture, &now_us, 1300 * MS, false);
 	TEST_CHECK(n >= 4, "%u repeated", n);
 	loom_rights_summary(fixture.rights, &summary);
-	TEST_CHECK(summary.pool_host_id == 0, "left");
+	TEST_CHECK(summary.pool_host_id == 0, "silent pool was not left");
 	end_fixture(&fixture);
 }
 
-/* A pool with much of the team, asked again and again while calls come;
- * renewals in two seconds. */
+/*
+ * The number of renewals in two seconds, with or without calls, from a pool
+ * that has many tokens.
+ */
 static unsigned
 count_renewals_with_calls(
     struct fixture *fixture, uint64_t *now_us, uint32_t flags, bool calls)
@@ -421,9 +444,9 @@
 }
 
 /*
- * Calls come and the pool has plenty: every second renewal is left out.  When
- * the calls stop the next renewal tells it, for what was lent is wanted where
- * they went; and without plenty each renewal is sent.
+ * While calls arrive and the pool has plenty, every second renewal is skipped.
+ * When the calls stop, the next renewal must report it, because the lent share
+ * is needed where the calls went. Without plenty each renewal is sent.
  */
 static void
 test_relaxed_renewals(void)
@@ -441,15 +464,19 @@
 	TEST_CHECK(n >= 9 && n <= 12, "%u in 2 s", n);
 	told = fixture.up.entries[0].demand_mhz;
 	count_messages(&fixture, &now_us, 300 * MS, true);
-	TEST_CHECK(fixture.up.entries[0].demand_mhz < told / 2, "not told");
+	TEST_CHECK(fixture.up.entries[0].demand_mhz < told / 2,
+	    "lower demand not reported");
 	count_renewals_with_calls(&fixture, &now_us, 0, true);
 	n = count_renewals_with_calls(&fixture, &now_us, 0, true);
 	TEST_CHECK(n >= 18, "%u in 2 s without plenty", n);
 	end_fixture(&fixture);
 }
 
-/* What is lent for long to a pool must outlast, until the next renewal, what
- * that pool lends on: else it lends less than it has, and callers wait. */
+/*
+ * An idle daemon's long loan to a pool must, until its next renewal, outlast
+ * what that pool lends on. Otherwise the pool would lend less than it has, and
+ * callers would wait.
+ */
 static void
 test_idle_loans_nest(void)
 {
@@ -476,17 +503,17 @@
 }
 
 /*
- * Many calls of a team, far under its rate: a daemon that held one token
- * would ask its pool at each call.  It is given more ahead, but not near the
- * rate, not from a pool that is half empty, and not when each of many
- * borrowers could have but one.
+ * With many calls far below a team's rate, a daemon that held one token would
+ * send its pool a request for each call. It must be given more tokens in
+ * advance, but not near the rate, not by a pool that is half empty, and not
+ * when each of many borrowers could have only one.
  */
 static void
 test_prefetch_in_plenty(void)
 {
 	static const struct {
 		bool plenty;
-		double level, all_per_s; /* level of 100 tokens */
+		double level, all_per_s; /* level: of 100 tokens */
 		double least, most;
 	} cases[] = {
 		{ true, 90, 300, 3, 6 },
@@ -519,7 +546,7 @@
 	}
 }
 
-/* Malformed messages, cut at each byte, do nothing and harm nothing. */
+/* Messages truncated at each byte are ignored. */
 static void
 test_malformed(void)
 {
@@ -549,16 +576,16 @@
 }
 
 static const struct test_case tests[] = {
-	{ "a loan runs from asking", test_loan_starts_at_request },
+	{ "loan starts at the request", test_loan_starts_at_request },
 	{ "repeated grants", test_repeated_grants },
-	{ "numbers of grants", test_grant_sequence },
+	{ "sequence numbers of grants", test_grant_sequence },
 	{ "confirm", test_confirm },
-	{ "a pool counts from its echo", test_base_loan_starts_at_echo },
-	{ "lent at once", test_lent_share_is_unusable },
+	{ "base loan starts at the echo", test_base_loan_starts_at_echo },
+	{ "lent share is unusable", test_lent_share_is_unusable },
 	{ "idle renewals", test_idle_renewals },
-	{ "calm renewals", test_relaxed_renewals },
+	{ "relaxed renewals", test_relaxed_renewals },
 	{ "idle loans nest", test_idle_loans_nest },
-	{ "ahead in plenty", test_prefetch_in_plenty },
+	{ "prefetch in plenty", test_prefetch_in_plenty },
 	{ "malformed", test_malformed },
 };
 
--- a/tests/control/test_rights_partitions.c
+++ b/tests/control/test_rights_partitions.c
@@ -1,6 +1,6 @@
 /*
- * Teams in partitions: whose questions go where, and what callers get when the
- * daemons that answer them are short of processor time.
+ * Teams in partitions: which pools requests go to, and what callers get when
+ * those pools are short of processor time.
  */
 
 #include <stdio.h>
@@ -11,16 +11,17 @@
 #define DAEMONS 66
 #define RATE 500.0
 #define BURST 60
-/* Of the calls that an ideal bucket lets in: one caller in twenty. */
+/* Largest fraction refused of the calls that an ideal bucket admits. */
 #define WRONGFUL_MAX 0.05
 
 /*
- * Each call comes at another daemon than the last one of its team, so that most
- * cost a question, and a daemon takes 0.5 ms for a message: one pool of all
- * teams would need two seconds for the questions of one.  It answered later
- * than calls wait, each question was asked again, and callers within their rate
- * were refused, 93 in 100, for as long as the load lasted.  Nor may a team get
- * more than its rate meanwhile.
+ * Guards against overloaded pools refusing calls within the rate. Each call of
+ * a team arrives at another daemon than the previous one, so that most cost a
+ * request, and a daemon needs 0.5 ms for a message: a single pool for all teams
+ * would need two seconds for the requests of one second. It responded later
+ * than calls wait, each request was repeated, and 93% of the calls within their
+ * rate were refused for as long as the load lasted. No team may exceed its rate
+ * meanwhile.
  */
 static void
 test_slow_pools(void)
@@ -28,7 +29,8 @@
 	static const struct {
 		const char *what;
 		double load; /* of each team's rate */
-		unsigned first_team_weight; /* that the first team sends */
+		/* calls of the first team for each one of another */
+		unsigned first_team_weight;
 	} rows[] = {
 		{ "all near their rate", 0.9, 1 },
 		{ "one sends five times its rate", 0.5, 10 },
@@ -79,7 +81,10 @@
 	}
 }
 
-/* All daemons agree on a team's partition, and teams are spread over all. */
+/*
+ * The partition of a team depends only on its id and their number, and teams
+ * are spread over all partitions.
+ */
 static void
 test_team_distribution(void)
 {
@@ -96,7 +101,7 @@
 }
 
 static const struct test_case tests[] = {
-	{ "pools out of time", test_slow_pools },
+	{ "slow pools", test_slow_pools },
 	{ "spread", test_team_distribution },
 };
 
--- a/tests/control/test_rights_rivals.c
+++ b/tests/control/test_rights_rivals.c
@@ -1,8 +1,8 @@
 /*
- * The ways that were weighed against loans: what goes wrong with each.
+ * Alternatives to loans that were considered, and the fault of each.
  *
- * These are sketches in buckets, without messages.  They are kept as tests so
- * that the reasons of docs/design/rights.md can be run.
+ * These are simplified models made of token buckets without messages. They are
+ * tests so that the reasons given in docs/design/rights.md can be run.
  */
 
 #include <stdio.h>
@@ -27,7 +27,10 @@
 	return true;
 }
 
-/* Offer a call each millisecond for a time; how far over the bound? */
+/*
+ * Offers each bucket a call per millisecond and returns by how many calls rate
+ * and burst are exceeded.
+ */
 static double
 excess_admitted(struct fleet_bucket *buckets, unsigned n, uint64_t for_us)
 {
@@ -43,9 +46,10 @@
 }
 
 /*
- * Shares of the live list alone: the platform strikes a host off that is only
- * cut from it.  The other 15 take 1/15 each at once, the struck-off host goes
- * on with its 1/16: a sixteenth too much for as long as that lasts.
+ * Shares from the live host list alone. The platform removes a host that is
+ * only cut off from it. The other 15 use 1/15 each at once, while the removed
+ * host keeps using its 1/16, so that a sixteenth too much is admitted for as
+ * long as the partition lasts.
  */
 static void
 test_live_list_shares(void)
@@ -59,14 +63,14 @@
 			.burst = (double)BURST / n,
 			.level = (double)BURST / n };
 	}
-	TEST_CHECK(
-	    excess_admitted(buckets, DAEMONS, 60 * S) > 150, "no overshoot");
+	TEST_CHECK(excess_admitted(buckets, DAEMONS, 60 * S) > 150,
+	    "rate was not exceeded");
 }
 
 /*
- * One bucket owner for a team, chosen from the host list: two daemons whose
- * lists differ choose two owners.  For as long as the lists differ, each
- * grants the whole rate, and the new owner the whole burst again.
+ * A single owner of a team's bucket, chosen from the host list. Two daemons
+ * with different lists choose two owners. While the lists differ, each owner
+ * grants the whole rate, and the new one the whole burst again.
  */
 static void
 test_single_owner(void)
@@ -76,13 +80,13 @@
 		{ .rate_per_s = RATE, .burst = BURST, .level = BURST },
 	};
 
-	TEST_CHECK(
-	    excess_admitted(owners, 2, 5 * S) > RATE * 5, "no overshoot");
+	TEST_CHECK(excess_admitted(owners, 2, 5 * S) > RATE * 5,
+	    "rate was not exceeded");
 }
 
 /*
- * Static shares are safe, but a share of 1.25 tokens refuses every second
- * call that comes a moment after another.
+ * Static shares never exceed the rate, but a share of 1.25 tokens refuses every
+ * second call that arrives shortly after another.
  */
 static void
 test_static_shares(void)
@@ -91,7 +95,7 @@
 	static const struct {
 		bool one;
 		double load;
-		double least; /* refused wrongly */
+		double least; /* fraction refused although within the rate */
 	} cases[] = {
 		{ false, 0.5, 0.15 },
 		{ true, 0.5, 0.8 },
@@ -128,7 +132,7 @@
 
 static const struct test_case tests[] = {
 	{ "shares of the live list", test_live_list_shares },
-	{ "one owner", test_single_owner },
+	{ "single owner", test_single_owner },
 	{ "static shares", test_static_shares },
 };
 
--- a/tests/control/test_rights_share.c
+++ b/tests/control/test_rights_share.c
@@ -1,7 +1,7 @@
 /*
- * How well teams get their share: calls that the fleet refuses although one
- * ideal bucket, fed the same arrivals, would let them in; how many wait for a
- * loan; and what it costs.
+ * How much of its rate a team can use: calls that the fleet refuses although
+ * one ideal bucket with the same arrivals would admit them, calls that wait for
+ * a loan, and the cost in messages and bytes.
  */
 
 #include <stdio.h>
@@ -14,7 +14,7 @@
 enum distribution {
 	SPREAD, /* evenly over all daemons */
 	ONE, /* all at one daemon */
-	MOVING, /* all at one daemon, another one each two seconds */
+	MOVING, /* all at one daemon, a different one every two seconds */
 };
 
 static const char *const distribution_names[] = { "spread", "one", "moving" };
@@ -26,10 +26,13 @@
 	double load; /* of the rate */
 	enum distribution distribution;
 	unsigned seconds;
-	/* Of the calls that the ideal lets in; 0 for no bound.  The aim is
-	 * 0.001 up to 90% of the rate.  It is not reached there with bursts
-	 * of 10 and 20, nor surely with load that moves: those rows hold
-	 * about three times the mean of what several seeds gave. */
+	/*
+	 * Bound on the fraction refused of the calls that the ideal bucket
+	 * admits; 0 for no bound. The target is 0.001 up to 90% of the rate. It
+	 * is not reached with bursts of 10 and 20, nor reliably with load that
+	 * moves. The bounds of those rows are about three times the mean over
+	 * several seeds.
+	 */
 	double wrongful_max;
 };
 
@@ -137,10 +140,10 @@
 }
 
 enum pool_event {
-	POOL_KILLED, /* and started anew a second later */
+	POOL_KILLED,
 	POOL_STOPPED, /* for two seconds */
 	POOL_LEAVES, /* gracefully */
-	HALF_CUT, /* half of the daemons are cut off for two seconds */
+	HALF_CUT, /* the network is split in two for two seconds */
 };
 
 static void
@@ -166,10 +169,10 @@
 }
 
 /*
- * The pool dies, stands still or leaves, or the network is cut, while a team
- * sends half of its rate to all daemons.  What was lent to the pool is out of
- * use until those loans end; then daemons lend to the next pool.  The bound
- * holds all the while, and calls refused wrongly end with the loans.
+ * The pool is killed, paused or leaves, or the network is split, while a team
+ * sends half of its rate to all daemons. What was lent to the pool is
+ * unavailable until those loans end; then daemons lend to the next pool. The
+ * bound must hold throughout, and wrongful refusals must end with the loans.
  */
 static void
 test_pool_events(void)
@@ -211,20 +214,22 @@
 		       "50%%, of the last 2 s %u calls\n",
 		    cases[i].name, wrongful * 100,
 		    (unsigned)(team->wrongful - last));
-		TEST_CHECK(team->worst > -1e-6, "%s: over", cases[i].name);
+		TEST_CHECK(
+		    team->worst > -1e-6, "%s: over-admitted", cases[i].name);
 		TEST_CHECK(wrongful <= cases[i].wrongful_max, "%s: %f",
 		    cases[i].name, wrongful);
-		TEST_CHECK(
-		    team->wrongful - last <= 2, "%s: not over", cases[i].name);
+		TEST_CHECK(team->wrongful - last <= 2,
+		    "%s: calls are still refused", cases[i].name);
 		fleet_free(fleet);
 	}
 }
 
 /*
- * The pool is struck off the list, and knows it first.  All others still ask
- * it, the next one by its own list too; were it to ask that one, the two would
- * pass all questions to each other and lend their parts around, and callers
- * far below their rate would be refused until the others have the list.
+ * The pool is removed from the host list and learns it before the others. All
+ * others still send it requests, including the next pool by its own list.
+ * Guards against the removed pool choosing that one: the two would forward all
+ * requests to each other and lend each other their shares, and callers far
+ * below their rate would be refused until the others have the new list.
  */
 static void
 test_unlisted_pool(void)
@@ -234,7 +239,8 @@
 		double wrongful_max;
 	} cases[] = {
 		{ 0.5, 0.001 },
-		{ 0.9, 0.01 }, /* its own sixteenth of the rate is gone */
+		/* the removed host's sixteenth of the rate is unavailable */
+		{ 0.9, 0.01 },
 	};
 	bool listed[FLEET_DAEMONS_MAX];
 	struct fleet_team *team;
@@ -258,7 +264,7 @@
 		       "%u of %u calls refused wrongly\n",
 		    cases[i].load * 100, (unsigned)team->wrongful,
 		    (unsigned)team->arrived);
-		TEST_CHECK(team->worst > -1e-6, "over");
+		TEST_CHECK(team->worst > -1e-6, "over-admitted");
 		TEST_CHECK((double)team->wrongful <=
 			cases[i].wrongful_max * (double)team->arrived,
 		    "%u wrongful", (unsigned)team->wrongful);
@@ -267,7 +273,7 @@
 }
 
 static const struct test_case tests[] = {
-	{ "churn", test_pool_events },
+	{ "pool events", test_pool_events },
 	{ "unlisted pool", test_unlisted_pool },
 	{ "share", test_share },
 };
--- a/tests/control/test_rights_silent.c
+++ b/tests/control/test_rights_silent.c
@@ -1,5 +1,6 @@
 /*
- * A team whose rights are all with one daemon that is stopped, dead or back.
+ * All shares of a team are lent to one daemon, which is paused, killed or
+ * restarted.
  */
 
 #include <stdio.h>
@@ -24,7 +25,7 @@
 	POOL_KILLED
 };
 
-/* One call at each of the others, so long after the pool went. */
+/* Sends one call to each other daemon after_us after the pool failed. */
 static void
 check_calls_after_pool_failure(
     enum fault fault, uint64_t after_us, uint32_t seed)
@@ -48,14 +49,17 @@
 	}
 	fleet_run(fleet, fleet_now(fleet) + 2 * S + 500 * MS);
 	TEST_CHECK(team->admitted == DAEMONS - 1 && team->wrongful == 0,
-	    "%s, after %u ms, seed %u: %u let in, %u refused",
+	    "%s, after %u ms, seed %u: %u admitted, %u refused",
 	    fault == POOL_PAUSED ? "stopped" : "killed",
 	    (unsigned)(after_us / MS), seed, (unsigned)team->admitted,
 	    (unsigned)team->wrongful);
 	fleet_free(fleet);
 }
 
-/* Guards against a refusal for the team's rate where only its pool is gone. */
+/*
+ * Guards against refusing calls as over their team's rate when only the pool is
+ * unavailable.
+ */
 static void
 test_silent_pool(void)
 {
@@ -74,8 +78,10 @@
 	}
 }
 
-/* Guards against rights that are lent to a pool which has started anew while
- * its forerunner's borrowers still use them. */
+/*
+ * Guards against lending a share to a restarted pool while the borrowers of its
+ * previous process still use it.
+ */
 static void
 test_quick_pool_restart(void)
 {
--- a/tests/control/test_rights_threads.c
+++ b/tests/control/test_rights_threads.c
@@ -1,7 +1,8 @@
 /*
- * Workers take, wait and cancel while the control thread runs.  Each wait
- * ends exactly once, by its callback or by a cancellation, and what was let
- * in stays within the bound.  For a build with -fsanitize=thread as well.
+ * Workers take, wait and cancel while the control thread runs. Each wait must
+ * end exactly once, by its callback or by a cancellation, and the admitted
+ * calls must stay within rate and burst. Also meant for builds with
+ * -fsanitize=thread.
  */
 
 #include <stdatomic.h>
--- a/tests/decide/test_ownership.c
+++ b/tests/decide/test_ownership.c
@@ -1,5 +1,6 @@
 /*
- * Own parts and the choice of pools, by a daemon's own view alone.
+ * The share that a daemon owns and the choice of pools, both computed by each
+ * daemon from its own host list.
  */
 
 #include <string.h>
@@ -13,7 +14,7 @@
 #define LAG_US (10 * S)
 #define START_US (100 * S)
 
-/* Hosts 1..n, spread over data centres and regions. */
+/* n hosts with ids from `from`, spread over data centres and regions. */
 static struct loom_hosts *
 make_hosts(unsigned from, unsigned n, unsigned dcs, unsigned regions)
 {
@@ -45,7 +46,10 @@
 	loom_hosts_release(hosts);
 }
 
-/* Parts after calling often enough not to count as stopped. */
+/*
+ * The fraction owned at now_us. Calls often enough in between not to be taken
+ * for a paused process.
+ */
 static double
 parts_at(struct loom_ownership *own, uint64_t now_us)
 {
@@ -58,9 +62,11 @@
 
 #define IS_PART(got, n) ((got) > 0.999 / (n) && (got) <= 1.0 / (n))
 
-/* What a daemon owns while slots, lists and the process itself change: more
- * hosts count at once, fewer late, and after a start or a long stop nothing
- * is owned until others can have no claim on it. */
+/*
+ * The owned share while slots, host lists and the process change: an increase
+ * of n takes effect at once, a decrease late, and after a start or a long pause
+ * nothing is owned until no other daemon can still hold the share.
+ */
 static void
 test_parts(void)
 {
@@ -71,40 +77,48 @@
 	loom_ownership_set_slots(&own, 16, t);
 	TEST_CHECK(parts_at(&own, t) == 0, "not listed");
 	set_host_list(&own, 1, 16, t);
-	TEST_CHECK(parts_at(&own, t + 3 * S) == 0, "started just now");
-	TEST_CHECK(IS_PART(parts_at(&own, t + 4 * S), 16), "owns");
+	TEST_CHECK(parts_at(&own, t + 3 * S) == 0, "started a moment ago");
+	TEST_CHECK(IS_PART(parts_at(&own, t + 4 * S), 16), "owns its share");
 	t += 10 * S;
 	parts_at(&own, t);
 	set_host_list(&own, 1, 20, t);
-	TEST_CHECK(IS_PART(parts_at(&own, t), 20), "more hosts, at once");
+	TEST_CHECK(IS_PART(parts_at(&own, t), 20), "more hosts count at once");
 	set_host_list(&own, 1, 16, t);
-	TEST_CHECK(IS_PART(parts_at(&own, t + 50 * S), 20), "fewer, late");
+	TEST_CHECK(IS_PART(parts_at(&own, t + 50 * S), 20),
+	    "fewer hosts do not count yet");
 	t += 70 * S;
-	TEST_CHECK(IS_PART(parts_at(&own, t), 16), "fewer, at last");
+	TEST_CHECK(IS_PART(parts_at(&own, t), 16),
+	    "fewer hosts count after the delay");
 	loom_ownership_set_slots(&own, 32, t);
-	TEST_CHECK(IS_PART(parts_at(&own, t), 32), "more slots, at once");
+	TEST_CHECK(IS_PART(parts_at(&own, t), 32), "more slots count at once");
 	loom_ownership_set_slots(&own, 16, t);
-	TEST_CHECK(IS_PART(parts_at(&own, t + 50 * S), 32), "fewer, late");
+	TEST_CHECK(IS_PART(parts_at(&own, t + 50 * S), 32),
+	    "fewer slots do not count yet");
 	t += 70 * S;
-	TEST_CHECK(IS_PART(parts_at(&own, t), 16), "fewer slots, at last");
-	/* stopped for longer than lists lag: perhaps replaced meanwhile */
+	TEST_CHECK(IS_PART(parts_at(&own, t), 16),
+	    "fewer slots count after the delay");
+	/* paused for longer than the list lag: may have been replaced */
 	t += 11 * S;
-	TEST_CHECK(loom_ownership_parts(&own, t) == 0, "woke up");
-	TEST_CHECK(parts_at(&own, t + 13 * S) == 0, "may be replaced");
-	TEST_CHECK(IS_PART(parts_at(&own, t + 14 * S), 16), "is not");
+	TEST_CHECK(loom_ownership_parts(&own, t) == 0, "resumed after a pause");
+	TEST_CHECK(parts_at(&own, t + 13 * S) == 0, "may have been replaced");
+	TEST_CHECK(IS_PART(parts_at(&own, t + 14 * S), 16), "was not replaced");
 	set_host_list(&own, 2, 16, t + 14 * S);
-	TEST_CHECK(parts_at(&own, t + 14 * S) == 0, "struck off");
+	TEST_CHECK(parts_at(&own, t + 14 * S) == 0, "removed from the list");
 	loom_ownership_clear(&own);
 }
 
-/* In a large fleet a forerunner's loans run longer.  A daemon that starts
- * there waits for their end, whether it knows the size by slots or list. */
+/*
+ * In a large fleet the loans of a host's previous process run longer. A daemon
+ * that starts waits for their end, whether it learns the size from the slots or
+ * from the list.
+ */
 static void
 test_large_fleet(void)
 {
 	static const struct {
 		unsigned slots, hosts;
-		unsigned waits_s; /* a list beyond the slots: its lag too */
+		/* includes the list lag if there are more hosts than slots */
+		unsigned waits_s;
 	} cases[] = { { 1024, 64, 3 }, { 1025, 2, 7 }, { 1025, 1025, 7 },
 		{ 2, 1025, 17 } };
 	struct loom_ownership own;
@@ -123,10 +137,13 @@
 	}
 }
 
-/* Without declared slots a team's callers got up to n times its rate, once no
- * host had come or gone for a minute: the list is told only when it changes,
- * each daemon forgot all hosts that it had not been told of lately, itself
- * included, and took the whole for its own. */
+/*
+ * Guards against daemons forgetting hosts because the list does not change.
+ * Lists are announced only when they change, and each daemon dropped all hosts,
+ * itself included, that had not been announced for a minute. Without declared
+ * slots each then owned the whole, and a team's callers got up to n times its
+ * rate.
+ */
 static void
 test_unchanged_list(void)
 {
@@ -144,33 +161,33 @@
 		TEST_CHECK(
 		    IS_PART(
 			parts_at(&own, START_US + (waits_s[i] + 59) * S), 16),
-		    "left after %u s, counted", waits_s[i]);
+		    "removed after %u s, still counted", waits_s[i]);
 		TEST_CHECK(
 		    IS_PART(
 			parts_at(&own, START_US + (waits_s[i] + 61) * S), 14),
-		    "left after %u s, gone", waits_s[i]);
+		    "removed after %u s, no longer counted", waits_s[i]);
 		loom_ownership_clear(&own);
 	}
 }
 
 /*
- * A cut outlives the registrations of a third of a fleet.  When it ends they
- * are back on the list, and their callers were refused for as long as after a
- * start, though no forerunner of theirs can have lent anything.  How long they
- * wait depends on what waits for what: a forerunner's loans, others' lists.
+ * A network partition outlasts the registrations of some hosts, which return to
+ * the list when it ends. Guards against making them wait as after a start,
+ * which refused their callers although no previous process can have lent
+ * anything. Each case names what a host has to wait for.
  */
 static void
 test_relisted_host(void)
 {
 	static const struct {
 		const char *what;
-		uint64_t owned_us; /* between the first list and striking off */
-		uint64_t newcomer_us; /* 0 for the list lag */
-		uint64_t waits_us; /* from its return */
+		uint64_t owned_us; /* between the first list and the removal */
+		uint64_t newcomer_us; /* 0: the list lag */
+		uint64_t waits_us; /* from its return to the list */
 	} cases[] = {
-		{ "others must count it", 20 * S, 0, LAG_US },
-		{ "they do so soon", 20 * S, S / 10, S / 10 },
-		{ "it has not owned anything yet", 2 * S, S / 10,
+		{ "list lag: others must count it", 20 * S, 0, LAG_US },
+		{ "others count it soon", 20 * S, S / 10, S / 10 },
+		{ "it had not owned a share yet", 2 * S, S / 10,
 		    LOOM_OWN_WITHHELD_US + S / 10 },
 	};
 	struct loom_ownership own;
@@ -186,7 +203,8 @@
 		parts_at(&own, t);
 		set_host_list(&own, 2, 15, t);
 		t += 5 * S;
-		TEST_CHECK(parts_at(&own, t) == 0, "%s: off", cases[i].what);
+		TEST_CHECK(
+		    parts_at(&own, t) == 0, "%s: not listed", cases[i].what);
 		set_host_list(&own, 1, 16, t);
 		TEST_CHECK(parts_at(&own, t + cases[i].waits_us - 1) == 0,
 		    "%s: waits", cases[i].what);
@@ -226,8 +244,10 @@
 	return choose_with_children(hosts, id, &nobody, dcs, regions, silent);
 }
 
-/* Each daemon reaches the topmost pool in at most as many steps as there are
- * stages, and no two pass questions to each other in a circle. */
+/*
+ * Each daemon reaches the root in at most as many steps as there are stages,
+ * and there is a single root and no cycle.
+ */
 static void
 test_pools(void)
 {
@@ -265,15 +285,17 @@
 			    "%u hosts: %u stages", cases[i].hosts,
 			    choice.stages);
 			TEST_CHECK(steps <= choice.stages, "%u", steps);
-			TEST_CHECK(top == 0 || top == at, "two tops");
+			TEST_CHECK(top == 0 || top == at, "two roots");
 			top = (unsigned)at;
 		}
 		loom_hosts_release(hosts);
 	}
 }
 
-/* A data centre of 850: how many children each pool gets.  The hash spreads
- * hosts over groups by chance. */
+/*
+ * The largest number of children of a pool in a data centre of 850 hosts. It
+ * varies, since a hash assigns hosts to groups.
+ */
 static void
 test_children(void)
 {
@@ -290,12 +312,14 @@
 	for (id = 1; id <= HOSTS; id++)
 		most = MAX(most, children[id]);
 	TEST_CHECK(most <= 45, "%u children", most);
-	TEST_CHECK(children[0] == 1, "%u tops", children[0]);
+	TEST_CHECK(children[0] == 1, "%u roots", children[0]);
 	loom_hosts_release(hosts);
 }
 
-/* A silent pool is replaced by the next, and still named as the first choice
- * so that it is tried again. */
+/*
+ * A silent pool is replaced by the next candidate but stays the preferred one,
+ * so that it is tried again.
+ */
 static void
 test_silent_pool(void)
 {
@@ -317,7 +341,7 @@
 #define VIEWS_ROUNDS 8
 #define VIEWS_SEEDS 20
 
-/* Of each list an eighth is missing, itself perhaps. */
+/* In each host's list one host in eight, perhaps itself, is leaving. */
 static void
 make_random_views(
     struct loom_hosts *views[VIEWS_HOSTS + 1], struct loom_random *random)
@@ -334,7 +358,7 @@
 	}
 }
 
-/* All choose by what asked them in the round before. */
+/* All choose a pool given the children of the previous round. */
 static void
 choose_round(struct loom_hosts *const views[VIEWS_HOSTS + 1],
     struct loom_pool_choice choices[VIEWS_HOSTS + 1])
@@ -357,10 +381,11 @@
 }
 
 /*
- * Each daemon has a list of its own: some have not heard of a host, some know
- * that one leaves before it does itself.  Once each knows who asks it, every
- * way upwards has an end; two that passed questions to each other would refuse
- * what all who ask them are due.
+ * Each daemon has its own list: some have not heard of a host, some know that a
+ * host leaves before that host does. Guards against cycles: once each daemon
+ * knows its children, every path upwards must end. Two daemons that forwarded
+ * requests to each other would refuse calls that their children are entitled
+ * to.
  */
 static void
 test_differing_views(void)
@@ -381,8 +406,8 @@
 			at = id;
 			for (steps = 0; at != 0 && steps < VIEWS_HOSTS; steps++)
 				at = choices[at].parent_host_id;
-			TEST_CHECK(
-			    at == 0, "seed %u: a circle above %u", seed, id);
+			TEST_CHECK(at == 0, "seed %u: a cycle above host %u",
+			    seed, id);
 		}
 		for (id = 1; id <= VIEWS_HOSTS; id++)
 			loom_hosts_release(views[id]);
@@ -391,9 +416,9 @@
 }
 
 static const struct test_case tests[] = {
-	{ "own parts", test_parts },
+	{ "owned share", test_parts },
 	{ "a large fleet", test_large_fleet },
-	{ "a list that stays", test_unchanged_list },
+	{ "unchanged list", test_unchanged_list },
 	{ "back on the list", test_relisted_host },
 	{ "pools", test_pools },
 	{ "children of a pool", test_children },
