--- a/include/loom/rights.h
+++ b/include/loom/rights.h
@@ -181,7 +181,7 @@
 	double lent; /* fraction of the capacity lent to daemons below */
 	double demand_per_s; /* calls here and below */
 	uint32_t waiting; /* calls waiting here */
-	uint64_t pool_host_id; /* 0: this daemon is the topmost pool */
+	uint64_t pool_host_id; /* 0: this daemon is the root */
 	uint64_t pool_silent_us; /* time since its last message */
 	/* for how long the owned share is still lent elsewhere */
 	uint64_t lent_elsewhere_us;
@@ -196,7 +196,7 @@
 	double owned; /* fraction of every team that this daemon owns */
 	double pooled; /* fraction lent to this daemon as a pool */
 	double lent_up; /* fraction lent to this daemon's pool */
-	uint64_t pool_host_id; /* 0: this daemon is the topmost pool */
+	uint64_t pool_host_id; /* 0: this daemon is the root */
 	/* its name, borrowed from the host list; NULL: none */
 	const char *pool;
 	uint32_t children; /* daemons that use this one as their pool */
--- a/src/control/rights.c
+++ b/src/control/rights.c
@@ -248,7 +248,7 @@
 static bool
 run_team(struct loom_rights *rights, struct rights_team *team, uint64_t now_us)
 {
-	bool waiting, asks;
+	bool waiting, can_request;
 
 	if (rights->up.nentries == LOOM_RIGHTS_ENTRIES_MAX)
 		rights_flush_up(rights, now_us);
@@ -259,8 +259,8 @@
 	rights_lock(team);
 	waiting =
 	    team->nwaiters > 0 || !g_queue_is_empty(&team->waiting_children);
-	asks = rights_may_request(rights, team, now_us);
-	if (asks &&
+	can_request = rights_may_request(rights, team, now_us);
+	if (can_request &&
 	    (waiting ||
 		(team->bucket.level_utok < LOOM_TOKEN_UTOK && !team->scarce)))
 		rights_add_request(rights, team, now_us);
@@ -268,10 +268,10 @@
 	 * The pool above is asked before tokens are recalled from children,
 	 * since it sees more daemons than this daemon's children.
 	 */
-	asks =
+	can_request =
 	    rights->parent.host_id != 0 && now_us >= team->no_tokens_until_us;
 	rights_unlock(team);
-	if (((waiting && !asks) || team->recall_pending) &&
+	if (((waiting && !can_request) || team->recall_pending) &&
 	    rights_recall_allowed(team, now_us))
 		rights_recall(rights, team, now_us);
 	return waiting;
@@ -392,8 +392,8 @@
 {
 	struct rights_team *team = rights_team_locked(rights, team_id);
 	struct loom_share net;
-	uint64_t heard_us = atomic_load(&rights->pool_received_us);
-	uint64_t back_us = atomic_load(&rights->lent_elsewhere_until_us);
+	uint64_t received_us = atomic_load(&rights->pool_received_us);
+	uint64_t lent_until_us = atomic_load(&rights->lent_elsewhere_until_us);
 	uint64_t borrowed = 0;
 	unsigned i;
 
@@ -418,8 +418,8 @@
 		    team->demand_below_per_s,
 		.waiting = team->nwaiters,
 		.pool_host_id = atomic_load(&rights->pool_host_id),
-		.pool_silent_us = now_us - MIN(now_us, heard_us),
-		.lent_elsewhere_us = back_us - MIN(back_us, now_us),
+		.pool_silent_us = now_us - MIN(now_us, received_us),
+		.lent_elsewhere_us = lent_until_us - MIN(lent_until_us, now_us),
 	};
 	rights_unlock(team);
 	return true;
--- a/src/control/rights_base.c
+++ b/src/control/rights_base.c
@@ -124,8 +124,9 @@
 }
 
 /*
- * If most of what was lent to this daemon is running out, because the pool is
- * being left or is cut off, shorter loans still make use of the rest.
+ * Computes how much can be lent to children, and for how long. If most of what
+ * was lent to this daemon is running out, because the pool is being left or is
+ * cut off, shorter loans still make use of the rest.
  */
 static void
 refresh_grantable(struct loom_rights *rights, uint64_t now_us)
--- a/src/control/rights_pool.c
+++ b/src/control/rights_pool.c
@@ -221,7 +221,7 @@
 
 void
 rights_grant(struct loom_rights *rights, struct rights_team *team,
-    struct rights_child_loan *out, uint64_t ahead_utok, uint64_t now_us)
+    struct rights_child_loan *out, uint64_t prefetch_utok, uint64_t now_us)
 {
 	struct loom_team_bucket *bucket = &team->bucket;
 	const struct loom_base_share *base = &team->shard->base;
@@ -231,7 +231,7 @@
 		.held_utok = out->held_utok,
 		.need_utok = out->lender_loan.need_utok,
 		.first_utok = out->lender_loan.first_utok,
-		.prefetch_utok = ahead_utok,
+		.prefetch_utok = prefetch_utok,
 		.borrower_is_pool = out->child->stage > 0,
 		.first_in_line = g_queue_is_empty(&team->waiting_children),
 	};
--- a/src/control/rights_recall.c
+++ b/src/control/rights_recall.c
@@ -125,8 +125,8 @@
 
 	team->recall_pending = false;
 	/*
-	 * When demand is above the rate, children hold only their refill and
-	 * soon use it; a recall would only move tokens around.
+	 * When demand is far above the rate, children hold only their refill
+	 * and soon use it; a recall would only move tokens around.
 	 */
 	if (rights->parent.host_id == 0 && rights_is_over_rate(team, now_us))
 		return;
--- a/tests/control/test_rights_loan.c
+++ b/tests/control/test_rights_loan.c
@@ -330,7 +330,7 @@
 }
 
 /*
- * The clock of a pool that is slower than this daemon's by nearly as much as
+ * The clock of a pool. It is slower than this daemon's by nearly as much as
  * loans allow for.
  */
 static uint64_t
--- a/tests/decide/test_ownership.c
+++ b/tests/decide/test_ownership.c
@@ -82,21 +82,23 @@
 	t += 10 * S;
 	parts_at(&own, t);
 	set_host_list(&own, 1, 20, t);
-	TEST_CHECK(IS_PART(parts_at(&own, t), 20), "more hosts count at once");
+	TEST_CHECK(IS_PART(parts_at(&own, t), 20),
+	    "a higher host count applies at once");
 	set_host_list(&own, 1, 16, t);
 	TEST_CHECK(IS_PART(parts_at(&own, t + 50 * S), 20),
-	    "fewer hosts do not count yet");
+	    "a lower host count does not apply yet");
 	t += 70 * S;
 	TEST_CHECK(IS_PART(parts_at(&own, t), 16),
-	    "fewer hosts count after the delay");
+	    "a lower host count applies after the delay");
 	loom_ownership_set_slots(&own, 32, t);
-	TEST_CHECK(IS_PART(parts_at(&own, t), 32), "more slots count at once");
+	TEST_CHECK(IS_PART(parts_at(&own, t), 32),
+	    "a higher slot count applies at once");
 	loom_ownership_set_slots(&own, 16, t);
 	TEST_CHECK(IS_PART(parts_at(&own, t + 50 * S), 32),
-	    "fewer slots do not count yet");
+	    "a lower slot count does not apply yet");
 	t += 70 * S;
 	TEST_CHECK(IS_PART(parts_at(&own, t), 16),
-	    "fewer slots count after the delay");
+	    "a lower slot count applies after the delay");
 	/* paused for longer than the list lag: may have been replaced */
 	t += 11 * S;
 	TEST_CHECK(loom_ownership_parts(&own, t) == 0, "resumed after a pause");
@@ -171,10 +173,10 @@
 }
 
 /*
- * A network partition outlasts the registrations of some hosts, which return to
- * the list when it ends. Guards against making them wait as after a start,
- * which refused their callers although no previous process can have lent
- * anything. Each case names what a host has to wait for.
+ * A network partition outlasts the registrations of a third of a fleet, and
+ * these hosts return to the list when it ends. Guards against making them wait
+ * as after a start, which refused their callers although no previous process
+ * can have lent anything. Each case names what a host has to wait for.
  */
 static void
 test_relisted_host(void)
