--- a/src/control/rights_child.c
+++ b/src/control/rights_child.c
@@ -31,6 +31,10 @@
 		now_us - MIN(now_us, parent->received_us));
 }
 
+/*
+ * Notes that a message was sent to the pool. A response is overdue since the
+ * pool's last message, but for no longer than one renewal interval.
+ */
 static void
 expect_response(struct rights_parent *parent, uint64_t now_us)
 {
@@ -281,6 +285,10 @@
 	    demand_per_s(team, now_us) < IDLE_PER_S;
 }
 
+/*
+ * Adds a team to a renewal: a request if it is in use, the return of all it
+ * holds if it has no more calls, and nothing if it is idle.
+ */
 static void
 renew_locked(
     struct loom_rights *rights, struct rights_team *team, uint64_t now_us)
@@ -478,6 +486,10 @@
 		    team, entry->flash_utok, now_us, &rights->last_done);
 }
 
+/*
+ * Handles a recall: returns the tokens that no call here waits for and passes
+ * the recall on to the children.
+ */
 static void
 return_recalled(
     struct loom_rights *rights, struct rights_team *team, uint64_t now_us)
--- a/src/decide/loan.c
+++ b/src/decide/loan.c
@@ -323,17 +323,24 @@
 	uint64_t plenty = plenty_threshold(request, low_level);
 	uint64_t lent =
 	    loom_capacity_utok(team, request->lent_to_others.capacity);
-	uint64_t need, prefetch, plenty_max, held, free, left, level, room;
+	uint64_t need, prefetch, plenty_max, held, lendable, left, level, room;
 
 	held = request->held_utok;
-	free = less(loom_capacity_utok(team, request->lendable.capacity), held);
+	lendable =
+	    less(loom_capacity_utok(team, request->lendable.capacity), held);
+	/*
+	 * Waiting calls come first. Their tokens need a loan of capacity only
+	 * if they stay in the borrower's bucket; otherwise they are used on
+	 * arrival.
+	 */
 	need = tokens_for_waiting_calls(
-	    request, min_u64(request->level_utok, free));
+	    request, min_u64(request->level_utok, lendable));
 	decision.unmet_utok = request->need_utok - need;
 	if (request->borrower_is_pool || need < request->first_utok)
 		held += need;
 	else
 		decision.transit_utok = need;
+	/* Capacity that may still be lent in advance. */
 	left =
 	    less(less((uint64_t)(CAPACITY_LENT_MAX_PART * (double)whole), lent),
 		held);
@@ -344,6 +351,7 @@
 	prefetch = tokens_to_prefetch(
 	    request, level, low_level, plenty, plenty_max, left);
 	held += prefetch;
+	/* The loan: refill, and capacity for it and for the tokens held. */
 	room = min_u64(left - prefetch, refill_capacity_utok(team, request));
 	decision.share.refill = refill_share(
 	    team, request, refill_part(request->borrower_is_pool, held + room));
@@ -358,6 +366,10 @@
 	left = less(request->spare_utok,
 	    loom_capacity_utok(team,
 		less(decision.share.capacity, request->committed.capacity)));
+	/*
+	 * Then fill the lent capacity: with the tokens that the pool has no
+	 * capacity left for, but at least to the same fraction as the pool.
+	 */
 	level -= prefetch;
 	room = less(loom_capacity_utok(team, decision.share.capacity), held);
 	room = min_u64(room,
