--- a/include/loom/age.h
+++ b/include/loom/age.h
@@ -23,11 +23,11 @@
  * a call to it was begun whose answer is held, or that which the word of a peer
  * proves whose values are held.
  */
-void loom_age_hold(struct loom_age *, uint64_t moment_us);
+void loom_age_hold(struct loom_age *, uint64_t as_of_us);
 
 /* The moment that a peer's word proves: asked_us is when it was asked, by the
  * own clock, told_us the age that it answered with.  0 for none. */
-uint64_t loom_age_proof(uint64_t asked_us, uint64_t told_us);
+uint64_t loom_age_proof(uint64_t asked_us, uint64_t peer_age_us);
 
 /* UINT64_MAX when nothing is held. */
 uint64_t loom_age_us(const struct loom_age *, uint64_t now_us);
--- a/src/control/spread.c
+++ b/src/control/spread.c
@@ -6,9 +6,9 @@
 
 #define TICK_US (100 * LOOM_US_PER_MS)
 /* A push waits so long for further changes: one message then names many. */
-#define PUSH_GAP_US (200 * LOOM_US_PER_MS)
+#define PUSH_INTERVAL_US (200 * LOOM_US_PER_MS)
 /* A tick that comes so late tells of a pause of the process. */
-#define PAUSE_US (2 * LOOM_US_PER_S)
+#define PAUSE_THRESHOLD_US (2 * LOOM_US_PER_S)
 
 /*
  * All readers of a data centre read a change at about the same time, and each
@@ -17,67 +17,74 @@
  * each value twice or more and need a sixth more bytes.
  */
 static bool
-pushes_widely(const struct loom_spread *spread, uint64_t id)
+pushes_to_all(const struct loom_spread *spread, uint64_t id)
 {
 	return !spread->watching || spread->rank >= LOOM_SPREAD_READERS ||
 	    id % LOOM_SPREAD_READERS == spread->rank;
 }
 
 static void
-push_news(struct loom_spread *spread, uint64_t now_us)
+push_changes(struct loom_spread *spread, uint64_t now_us)
 {
-	struct spread_have all = { .kind = SPREAD_PUSH };
-	struct spread_have wide = { .kind = SPREAD_PUSH };
-	struct spread_id news;
-	uint32_t taken, i;
+	struct spread_have for_first = { .kind = SPREAD_PUSH };
+	struct spread_have for_all = { .kind = SPREAD_PUSH };
+	struct spread_id change;
+	uint32_t count, i;
 	uint64_t id;
 
-	if (spread->news->len == 0 || now_us - spread->pushed_us < PUSH_GAP_US)
+	if (spread->push_queue->len == 0 ||
+	    now_us - spread->last_push_us < PUSH_INTERVAL_US)
 		return;
-	spread->pushed_us = now_us;
-	taken = MIN(spread->news->len, SPREAD_HAVE_IDS_MAX);
-	for (i = 0; i < taken; i++) {
-		id = g_array_index(spread->news, uint64_t, i);
-		news = spread_id_of(spread_store_find(spread->store, id));
-		all.ids[all.nids++] = news;
-		if (pushes_widely(spread, id))
-			wide.ids[wide.nids++] = news;
+	spread->last_push_us = now_us;
+	count = MIN(spread->push_queue->len, SPREAD_HAVE_IDS_MAX);
+	for (i = 0; i < count; i++) {
+		id = g_array_index(spread->push_queue, uint64_t, i);
+		change = spread_id_of(spread_store_find(spread->store, id));
+		for_first.ids[for_first.nids++] = change;
+		if (pushes_to_all(spread, id))
+			for_all.ids[for_all.nids++] = change;
 	}
-	g_array_remove_range(spread->news, 0, taken);
+	g_array_remove_range(spread->push_queue, 0, count);
 	if (spread->nneighbours > 0)
-		spread_send_have(spread, spread->neighbours[0], &all, now_us);
-	if (wide.nids == 0)
+		spread_send_have(
+		    spread, spread->neighbours[0], &for_first, now_us);
+	if (for_all.nids == 0)
 		return;
 	for (i = 1; i < spread->nneighbours; i++)
-		spread_send_have(spread, spread->neighbours[i], &wide, now_us);
+		spread_send_have(
+		    spread, spread->neighbours[i], &for_all, now_us);
 	/* Those that watch tell one daemon of another data centre too, whose
 	 * own readers may all be cut off or gone. */
 	if (spread->watching)
-		spread_send_have(spread, spread->bridge, &wide, now_us);
+		spread_send_have(spread, spread->remote_peer, &for_all, now_us);
 }
 
 /* Starting, or awake after a pause: ask several at once, all of whom answer
  * with their root and their latest ids. */
 static void
-ask_around(struct loom_spread *spread, uint64_t now_us)
+query_peers(struct loom_spread *spread, uint64_t now_us)
 {
-	spread_send_summary(spread, spread_peers_seed(spread), true, now_us);
-	spread_send_summary(spread, spread_peers_local(spread), true, now_us);
-	spread_send_summary(spread, spread_peers_remote(spread), true, now_us);
+	spread_send_summary(
+	    spread, spread_peers_random_seed(spread), true, now_us);
+	spread_send_summary(
+	    spread, spread_peers_random_local(spread), true, now_us);
+	spread_send_summary(
+	    spread, spread_peers_random_remote(spread), true, now_us);
 }
 
 /* While starting: the platform first, since peers then need to give only what
  * it lacks, and peers, until ready. */
 static void
-seek(struct loom_spread *spread, uint64_t now_us)
+startup_tick(struct loom_spread *spread, uint64_t now_us)
 {
 	spread_fetch_while_starting(spread, now_us);
-	if (now_us < spread->ask_us)
+	if (now_us < spread->next_startup_query_us)
 		return;
-	if (spread->ask_us != 0)
-		ask_around(spread, now_us);
-	spread->ask_us = now_us + SPREAD_ASK_GAP_US / 2 +
-	    loom_random_below(&spread->random, SPREAD_ASK_GAP_US);
+	if (spread->next_startup_query_us != 0)
+		query_peers(spread, now_us);
+	spread->next_startup_query_us = now_us +
+	    SPREAD_STARTUP_INTERVAL_US / 2 +
+	    loom_random_below(&spread->random, SPREAD_STARTUP_INTERVAL_US);
 }
 
 static void
@@ -85,22 +92,23 @@
 {
 	struct loom_spread *spread = part;
 
-	if (spread->ticked_us != 0 && now_us - spread->ticked_us > PAUSE_US) {
+	if (spread->last_tick_us != 0 &&
+	    now_us - spread->last_tick_us > PAUSE_THRESHOLD_US) {
 		/* Others may have moved on far: look at once. */
-		spread->exchange_us = 0;
-		ask_around(spread, now_us);
+		spread->last_exchange_us = 0;
+		query_peers(spread, now_us);
 		spread->ops->fetch(spread->arg);
 	}
-	spread->ticked_us = now_us;
+	spread->last_tick_us = now_us;
 	spread_peers_rotate(spread, now_us);
 	spread_pull_tick(spread, now_us);
-	spread_force_tick(spread, now_us);
-	push_news(spread, now_us);
+	spread_apply_tick(spread, now_us);
+	push_changes(spread, now_us);
 	spread_age_tick(spread, now_us);
 	if (atomic_load(&spread->ready))
-		spread_choose_role(spread);
+		spread_update_role(spread);
 	else
-		seek(spread, now_us);
+		startup_tick(spread, now_us);
 }
 
 static void
@@ -114,14 +122,14 @@
 loom_spread_platform_value(struct loom_spread *spread, const char *name,
     uint64_t revision, const char *text, size_t len, uint64_t now_us)
 {
-	spread_take_value(spread, name, revision, text, len, now_us);
+	spread_receive_value(spread, name, revision, text, len, now_us);
 }
 
 void
 loom_spread_platform_answered(struct loom_spread *spread,
     enum loom_spread_kind kind, uint64_t sent_us, uint64_t now_us)
 {
-	uint64_t all_us = sent_us;
+	uint64_t oldest_us = sent_us;
 	unsigned i;
 
 	if (spread->answered_us[kind] == 0)
@@ -129,8 +137,8 @@
 	spread->answered_us[kind] = now_us;
 	spread->sent_us[kind] = sent_us;
 	for (i = 0; i < LOOM_SPREAD_KINDS; i++)
-		all_us = MIN(all_us, spread->sent_us[i]);
-	loom_age_hold(&spread->age, all_us);
+		oldest_us = MIN(oldest_us, spread->sent_us[i]);
+	loom_age_hold(&spread->age, oldest_us);
 }
 
 uint64_t
@@ -146,7 +154,7 @@
 }
 
 static void
-set_counters(struct spread_counters *counters)
+register_counters(struct spread_counters *counters)
 {
 	counters->accepted = loom_counter("loom_spread_accepted_total", NULL,
 	    "Versions newer than the one held.");
@@ -172,11 +180,11 @@
 spread_destroy(struct loom_spread *spread)
 {
 	spread_pull_free(spread);
-	spread_force_free(spread);
+	spread_apply_free(spread);
 	g_array_free(spread->local, TRUE);
 	g_array_free(spread->live, TRUE);
 	g_array_free(spread->remote, TRUE);
-	g_array_free(spread->news, TRUE);
+	g_array_free(spread->push_queue, TRUE);
 	return 0;
 }
 
@@ -202,10 +210,10 @@
 	spread->local = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	spread->live = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	spread->remote = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	spread->news = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	spread->push_queue = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	spread_pull_init(spread);
-	spread_force_init(spread);
-	set_counters(&spread->counters);
+	spread_apply_init(spread);
+	register_counters(&spread->counters);
 	talloc_set_destructor(spread, spread_destroy);
 	spread->store = spread_store_new(spread, ops, arg);
 	if (spread->store == NULL)
@@ -218,7 +226,7 @@
 	.first_type = SPREAD_HAVE,
 	.last_type = SPREAD_LAST,
 	.tick_us = TICK_US,
-	.message = spread_message,
+	.message = spread_handle_message,
 	.tick = on_tick,
 	.hosts_changed = on_hosts,
 };
--- a/src/control/spread_age.c
+++ b/src/control/spread_age.c
@@ -13,9 +13,9 @@
 /* Of those asked elsewhere: the first few ranks in turn, which read for
  * themselves before others do, then any. */
 #define FIRST_RANKS 4
-#define TURNS (FIRST_RANKS + 2)
+#define WIDE_ROUNDS (FIRST_RANKS + 2)
 /* So many are asked in the time of one beat. */
-#define ELSEWHERE_PACE 3
+#define WIDE_QUERY_RATE 3
 
 struct loom_age_plan
 loom_spread_plan(uint64_t within_us)
@@ -25,11 +25,12 @@
 }
 
 uint64_t
-spread_age_ask(struct loom_spread *spread, uint64_t host_id, uint64_t now_us)
+spread_age_note_query(
+    struct loom_spread *spread, uint64_t host_id, uint64_t now_us)
 {
-	uint64_t number = ++spread->last_question;
+	uint64_t number = ++spread->last_query_number;
 
-	spread->questions[number % SPREAD_QUESTIONS] = (struct spread_question){
+	spread->queries[number % SPREAD_QUERIES_MAX] = (struct spread_query){
 		.number = number,
 		.host_id = host_id,
 		.asked_us = now_us,
@@ -38,13 +39,13 @@
 }
 
 void
-spread_age_check(struct loom_spread *spread)
+spread_age_update(struct loom_spread *spread)
 {
-	if (spread->proof_us == 0 ||
-	    spread->proof_root != spread_store_root(spread->store))
+	if (spread->pending_as_of_us == 0 ||
+	    spread->pending_root != spread_store_root(spread->store))
 		return;
-	loom_age_hold(&spread->age, spread->proof_us);
-	spread->proof_us = 0;
+	loom_age_hold(&spread->age, spread->pending_as_of_us);
+	spread->pending_as_of_us = 0;
 }
 
 /*
@@ -52,30 +53,30 @@
  * of it is not held here yet has been asked for: the proof waits for it.
  */
 void
-spread_age_answered(struct loom_spread *spread, uint64_t host_id,
+spread_age_note_reply(struct loom_spread *spread, uint64_t host_id,
     const struct spread_have *have, uint64_t now_us)
 {
-	const struct spread_question *question =
-	    &spread->questions[have->answers % SPREAD_QUESTIONS];
-	uint64_t proof_us;
+	const struct spread_query *query =
+	    &spread->queries[have->in_reply_to % SPREAD_QUERIES_MAX];
+	uint64_t as_of_us;
 
-	if (have->answers == 0 || question->number != have->answers ||
-	    question->host_id != host_id)
+	if (have->in_reply_to == 0 || query->number != have->in_reply_to ||
+	    query->host_id != host_id)
 		return;
-	spread->heard_us = now_us;
-	if (have->age_ms == SPREAD_AGE_NEVER)
+	spread->last_reply_us = now_us;
+	if (have->age_ms == SPREAD_AGE_UNKNOWN)
 		return;
-	proof_us = loom_age_proof(
-	    question->asked_us, (uint64_t)have->age_ms * LOOM_US_PER_MS);
-	if (proof_us <= spread->age.held_us)
+	as_of_us = loom_age_proof(
+	    query->asked_us, (uint64_t)have->age_ms * LOOM_US_PER_MS);
+	if (as_of_us <= spread->age.held_us)
 		return;
-	spread->proof_root = have->root;
-	spread->proof_us = proof_us;
-	spread_age_check(spread);
+	spread->pending_root = have->root;
+	spread->pending_as_of_us = as_of_us;
+	spread_age_update(spread);
 }
 
 static uint64_t
-of_rank(const struct loom_spread *spread, uint32_t rank)
+host_at_rank(const struct loom_spread *spread, uint32_t rank)
 {
 	uint64_t id;
 
@@ -86,56 +87,56 @@
 }
 
 static uint64_t
-usual_target(struct loom_spread *spread)
+default_target(struct loom_spread *spread)
 {
 	uint32_t parent = loom_spread_parent(spread->rank);
 
 	/* A platform may be stale for all readers of a data centre. */
-	if (spread->watching && spread->turn % 2 == 0)
-		return spread->bridge;
+	if (spread->watching && spread->query_round % 2 == 0)
+		return spread->remote_peer;
 	/* Readers ask each other. */
 	if (parent == UINT32_MAX)
 		parent = (spread->rank + 1) % LOOM_SPREAD_READERS;
-	return of_rank(spread, parent);
+	return host_at_rank(spread, parent);
 }
 
 static uint64_t
-other_target(struct loom_spread *spread)
+wide_target(struct loom_spread *spread)
 {
-	uint32_t turn = spread->turn % TURNS;
+	uint32_t query_round = spread->query_round % WIDE_ROUNDS;
 
 	if (spread->live->len == 0)
-		return spread_peers_seed(spread);
-	if (turn < FIRST_RANKS)
-		return of_rank(spread, turn);
-	return turn == FIRST_RANKS ? spread_peers_local(spread)
-				   : spread_peers_remote(spread);
+		return spread_peers_random_seed(spread);
+	if (query_round < FIRST_RANKS)
+		return host_at_rank(spread, query_round);
+	return query_round == FIRST_RANKS ? spread_peers_random_local(spread)
+					  : spread_peers_random_remote(spread);
 }
 
 static void
-ask_peer(struct loom_spread *spread, uint64_t age_us, uint64_t now_us)
+query_peer(struct loom_spread *spread, uint64_t age_us, uint64_t now_us)
 {
-	const bool elsewhere = age_us >= spread->plan.elsewhere_us;
+	const bool wide = age_us >= spread->plan.elsewhere_us;
 	uint64_t gap_us = spread->plan.beat_us;
 	uint64_t target;
 
-	if (now_us < spread->beat_us)
+	if (now_us < spread->next_query_us)
 		return;
-	if (elsewhere)
-		gap_us /= ELSEWHERE_PACE;
-	spread->beat_us =
+	if (wide)
+		gap_us /= WIDE_QUERY_RATE;
+	spread->next_query_us =
 	    now_us + gap_us / 2 + loom_random_below(&spread->random, gap_us);
-	spread->turn++;
-	target = elsewhere ? other_target(spread) : usual_target(spread);
+	spread->query_round++;
+	target = wide ? wide_target(spread) : default_target(spread);
 	if (target == 0)
-		target = spread_peers_local(spread);
+		target = spread_peers_random_local(spread);
 	spread_send_summary(spread, target, true, now_us);
 }
 
 static bool
-is_alone(const struct loom_spread *spread, uint64_t now_us)
+is_isolated(const struct loom_spread *spread, uint64_t now_us)
 {
-	return now_us - spread->heard_us > spread->plan.elsewhere_us;
+	return now_us - spread->last_reply_us > spread->plan.elsewhere_us;
 }
 
 static uint64_t
@@ -145,7 +146,7 @@
 		.rank = spread->rank,
 		.readers = LOOM_SPREAD_READERS,
 		.hosts = spread->live->len,
-		.alone = is_alone(spread, now_us),
+		.alone = is_isolated(spread, now_us),
 	};
 
 	return loom_age_read_delay_us(&reader, &spread->plan, &spread->random);
@@ -153,40 +154,40 @@
 
 /* One that watches has a call under way already. */
 static void
-read_self(struct loom_spread *spread, uint64_t age_us, uint64_t now_us)
+read_platform(struct loom_spread *spread, uint64_t age_us, uint64_t now_us)
 {
 	if (age_us < spread->plan.self_us || spread->watching) {
-		spread->read_us = 0;
+		spread->next_read_us = 0;
 		return;
 	}
-	if (spread->read_us == 0)
-		spread->read_us = now_us + read_delay_us(spread, now_us);
-	if (now_us < spread->read_us)
+	if (spread->next_read_us == 0)
+		spread->next_read_us = now_us + read_delay_us(spread, now_us);
+	if (now_us < spread->next_read_us)
 		return;
 	loom_counter_add(spread->counters.own_readings, 1);
 	spread->ops->fetch(spread->arg);
-	spread->read_us =
+	spread->next_read_us =
 	    now_us + spread->plan.answer_us + read_delay_us(spread, now_us);
 }
 
 /* Late by a reading and the gap between two sets in force. */
 static void
-report(struct loom_spread *spread, uint64_t age_us, uint64_t now_us)
+log_staleness(struct loom_spread *spread, uint64_t age_us, uint64_t now_us)
 {
 	const uint64_t limit_us =
 	    spread->plan.self_us + 2 * spread->plan.answer_us;
-	const bool behind = age_us > limit_us;
+	const bool stale = age_us > limit_us;
 	const struct loom_event_field fields[] = {
-		LOOM_F_TEXT("what", behind ? "behind" : "in touch"),
+		LOOM_F_TEXT("what", stale ? "behind" : "in touch"),
 		LOOM_F_INT("age_ms", age_us / LOOM_US_PER_MS),
 		LOOM_F_INT("rank", spread->rank),
 		LOOM_F_BOOL("watching", spread->watching),
 		LOOM_F_END,
 	};
 
-	if (behind == spread->behind)
+	if (stale == spread->reported_stale)
 		return;
-	spread->behind = behind;
+	spread->reported_stale = stale;
 	if (loom_event_admit(NULL, now_us))
 		loom_event_write(LOOM_EVENT_PLATFORM, fields);
 }
@@ -202,7 +203,7 @@
 		age_us = now_us - spread->started_us;
 	loom_gauge_set(
 	    spread->counters.age_ms, (int64_t)(age_us / LOOM_US_PER_MS));
-	report(spread, age_us, now_us);
-	ask_peer(spread, age_us, now_us);
-	read_self(spread, age_us, now_us);
+	log_staleness(spread, age_us, now_us);
+	query_peer(spread, age_us, now_us);
+	read_platform(spread, age_us, now_us);
 }
--- a/src/control/spread_config.c
+++ b/src/control/spread_config.c
@@ -20,10 +20,10 @@
 };
 
 /* Brings the kinds from first to before end. */
-struct kinds_reader {
+struct prefix_reader {
 	struct loom_spread_config *config; /* borrowed */
-	unsigned first;
-	unsigned end;
+	unsigned first_kind;
+	unsigned end_kind;
 	struct loom_platform_reader *reader; /* owned */
 };
 
@@ -31,7 +31,7 @@
 	struct loom_control *control; /* borrowed */
 	struct loom_spread *spread; /* owned */
 	struct loom_multi *multi; /* owned */
-	struct kinds_reader readers[LOOM_SPREAD_KINDS];
+	struct prefix_reader readers[LOOM_SPREAD_KINDS];
 	unsigned nreaders;
 	struct loom_public_key *trusted; /* owned */
 	size_t ntrusted;
@@ -44,7 +44,7 @@
 };
 
 static bool
-refuse_document(const char *name, struct loom_problem *problems, GError **error)
+reject_document(const char *name, struct loom_problem *problems, GError **error)
 {
 	char *text = loom_problems_text(problems);
 
@@ -78,7 +78,7 @@
 	document = loom_document_parse(payload, payload_len, name, &problems);
 	g_free(payload);
 	if (document == NULL)
-		return refuse_document(name, problems, error);
+		return reject_document(name, problems, error);
 	if (strcmp(loom_document_name(document), own_name) != 0) {
 		loom_fail(error, LOOM_MANIFEST_SIGNATURE,
 		    "%s holds the document %s", name,
@@ -165,12 +165,13 @@
     const struct loom_spread_item *const *items, uint32_t n)
 {
 	GArray *all = g_array_new(FALSE, TRUE, sizeof(struct loom_host));
-	const GArray *one;
+	const GArray *service_hosts;
 	uint32_t i;
 
 	for (i = 0; i < n; i++) {
-		one = items[i]->object;
-		g_array_append_vals(all, one->data, one->len);
+		service_hosts = items[i]->object;
+		g_array_append_vals(
+		    all, service_hosts->data, service_hosts->len);
 	}
 	if (config->hosts != NULL)
 		loom_hosts_release(config->hosts);
@@ -185,14 +186,15 @@
     const struct loom_spread_item *const *items, uint32_t n, uint64_t now_us)
 {
 	struct loom_spread_config *config = arg;
-	bool good;
+	bool applied;
 
 	(void)now_us;
-	good = kind == LOOM_SPREAD_MANIFEST ? apply_manifest(config, items, n)
-					    : apply_hosts(config, items, n);
-	if (good)
+	applied = kind == LOOM_SPREAD_MANIFEST
+	    ? apply_manifest(config, items, n)
+	    : apply_hosts(config, items, n);
+	if (applied)
 		config->publish(config->arg, config->manifest, config->hosts);
-	return good;
+	return applied;
 }
 
 static void
@@ -226,7 +228,7 @@
 static void
 on_value(void *arg, const struct loom_platform_value *value)
 {
-	const struct kinds_reader *reader = arg;
+	const struct prefix_reader *reader = arg;
 
 	loom_spread_platform_value(reader->config->spread, value->name,
 	    value->revision, value->text, value->len, loom_now_us());
@@ -235,10 +237,10 @@
 static void
 on_answered(void *arg, uint64_t sent_us)
 {
-	const struct kinds_reader *reader = arg;
+	const struct prefix_reader *reader = arg;
 	unsigned kind;
 
-	for (kind = reader->first; kind < reader->end; kind++)
+	for (kind = reader->first_kind; kind < reader->end_kind; kind++)
 		loom_spread_platform_answered(reader->config->spread,
 		    (enum loom_spread_kind)kind, sent_us, loom_now_us());
 }
@@ -249,7 +251,7 @@
 };
 
 static bool
-make_readers(struct loom_spread_config *config,
+create_readers(struct loom_spread_config *config,
     const struct loom_spread_config_options *options)
 {
 	struct tevent_context *ev = loom_control_loop(options->control);
@@ -265,7 +267,7 @@
 	};
 	bool reads_all = options->source != NULL && options->source->reads_all;
 	const unsigned nreaders = reads_all ? 1 : LOOM_SPREAD_KINDS;
-	struct kinds_reader *reader;
+	struct prefix_reader *reader;
 	unsigned i;
 
 	config->multi = loom_multi_new(config, ev);
@@ -275,8 +277,8 @@
 	for (i = 0; i < nreaders; i++) {
 		reader = &config->readers[i];
 		reader->config = config;
-		reader->first = i;
-		reader->end = reads_all ? LOOM_SPREAD_KINDS : i + 1;
+		reader->first_kind = i;
+		reader->end_kind = reads_all ? LOOM_SPREAD_KINDS : i + 1;
 		platform.prefix = reads_all ? "" : prefixes[i];
 		reader->reader = loom_platform_reader_new(config, ev,
 		    config->multi, &platform, &reader_events, reader);
@@ -287,7 +289,7 @@
 }
 
 static bool
-make_spread(struct loom_spread_config *config,
+create_spread(struct loom_spread_config *config,
     const struct loom_spread_config_options *options)
 {
 	struct loom_spread_options spread = {
@@ -343,7 +345,8 @@
 	config->trusted = talloc_memdup(config, options->trusted,
 	    options->ntrusted * sizeof(*options->trusted));
 	talloc_set_destructor(config, config_destroy);
-	if (!make_spread(config, options) || !make_readers(config, options)) {
+	if (!create_spread(config, options) ||
+	    !create_readers(config, options)) {
 		talloc_free(config);
 		return NULL;
 	}
--- a/src/control/spread_force.c
+++ b/src/control/spread_force.c
@@ -31,7 +31,7 @@
 };
 
 void
-spread_force_init(struct loom_spread *spread)
+spread_apply_init(struct loom_spread *spread)
 {
 	g_mutex_init(&spread->status_lock);
 	spread->status =
@@ -39,14 +39,14 @@
 }
 
 void
-spread_force_free(struct loom_spread *spread)
+spread_apply_free(struct loom_spread *spread)
 {
 	g_array_free(spread->status, TRUE);
 	g_mutex_clear(&spread->status_lock);
 }
 
 static void
-note_in_force(const GPtrArray *items, uint64_t now_us)
+mark_applied(const GPtrArray *items, uint64_t now_us)
 {
 	struct loom_spread_item *item;
 	struct spread_id id;
@@ -107,57 +107,57 @@
     struct loom_spread *spread, enum loom_spread_kind kind, uint64_t now_us)
 {
 	GPtrArray *items = spread_store_items(spread->store, kind);
-	bool good;
+	bool ok;
 
-	good = spread->ops->apply(spread->arg, kind,
+	ok = spread->ops->apply(spread->arg, kind,
 	    (const struct loom_spread_item *const *)(void *)items->pdata,
 	    items->len, now_us);
-	if (good) {
-		note_in_force(items, now_us);
+	if (ok) {
+		mark_applied(items, now_us);
 		if (kind == LOOM_SPREAD_MANIFEST)
-			spread->in_force = true;
+			spread->has_manifest = true;
 	} else {
 		loom_counter_add(spread->counters.bad_set, 1);
 		loom_log(LOOM_LOG_WARN, "spread", LOOM_SPREAD_SET_REFUSED,
 		    "%s: the held set does not join; what is in force stays",
 		    kind_names[kind]);
 	}
-	spread->refused[kind] = !good;
+	spread->refused[kind] = !ok;
 	g_ptr_array_free(items, TRUE);
 }
 
 /* The row of a host; else a free one; else, for a host that is ready, one of
  * a host that is not: those cannot vouch alone, and must not crowd out. */
-static struct spread_agreeing *
-row_for(struct loom_spread *spread, uint64_t host_id, bool ready)
+static struct spread_peer_state *
+peer_state_slot(struct loom_spread *spread, uint64_t host_id, bool ready)
 {
-	struct spread_agreeing *row, *spare = NULL;
+	struct spread_peer_state *row, *spare = NULL;
 	uint32_t i;
 
-	for (i = 0; i < spread->nagreeing; i++) {
-		row = &spread->agreeing[i];
+	for (i = 0; i < spread->npeer_states; i++) {
+		row = &spread->peer_states[i];
 		if (row->host_id == host_id)
 			return row;
 		if (!row->ready)
 			spare = row;
 	}
-	if (spread->nagreeing < SPREAD_AGREEING_MAX)
-		return &spread->agreeing[spread->nagreeing++];
+	if (spread->npeer_states < SPREAD_PEER_STATES_MAX)
+		return &spread->peer_states[spread->npeer_states++];
 	return ready ? spare : NULL;
 }
 
 void
-spread_force_heard(
+spread_apply_note_peer(
     struct loom_spread *spread, uint64_t host_id, uint64_t root, bool ready)
 {
-	struct spread_agreeing *row;
+	struct spread_peer_state *row;
 
 	if (atomic_load(&spread->ready))
 		return;
-	spread->heard_peers = true;
-	row = row_for(spread, host_id, ready);
+	spread->any_peer_answered = true;
+	row = peer_state_slot(spread, host_id, ready);
 	if (row != NULL)
-		*row = (struct spread_agreeing){ host_id, root, ready };
+		*row = (struct spread_peer_state){ host_id, root, ready };
 }
 
 static uint32_t
@@ -174,7 +174,7 @@
  * that does not join, while a part of the set is in force.
  */
 static bool
-held_is_in_force(const struct loom_spread *spread)
+all_applied(const struct loom_spread *spread)
 {
 	unsigned kind;
 
@@ -182,16 +182,16 @@
 		if (spread->changed[kind] || spread->refused[kind])
 			return false;
 	}
-	return spread->in_force;
+	return spread->has_manifest;
 }
 
 static void
 check_ready(struct loom_spread *spread, uint64_t now_us)
 {
 	struct loom_spread_found found = {
-		.in_force = held_is_in_force(spread),
+		.in_force = all_applied(spread),
 		.known_peers = known_peers(spread),
-		.heard_peers = spread->heard_peers,
+		.heard_peers = spread->any_peer_answered,
 		.platform_is_current = spread->platform_is_current,
 	};
 	uint64_t root = spread_store_root(spread->store), first_us = 0;
@@ -204,11 +204,11 @@
 		first_us = MAX(first_us, spread->first_answer_us[kind]);
 	}
 	found.platform_us = now_us - first_us;
-	for (i = 0; i < spread->nagreeing; i++) {
-		if (!spread->agreeing[i].ready)
+	for (i = 0; i < spread->npeer_states; i++) {
+		if (!spread->peer_states[i].ready)
 			continue;
 		found.heard_ready++;
-		found.agreeing_ready += spread->agreeing[i].root == root;
+		found.agreeing_ready += spread->peer_states[i].root == root;
 	}
 	if (!loom_spread_ready(&found))
 		return;
@@ -220,12 +220,12 @@
 }
 
 void
-spread_force_tick(struct loom_spread *spread, uint64_t now_us)
+spread_apply_tick(struct loom_spread *spread, uint64_t now_us)
 {
 	bool any = false;
 	unsigned kind;
 
-	if (now_us - spread->applied_us >= APPLY_GAP_US) {
+	if (now_us - spread->last_apply_us >= APPLY_GAP_US) {
 		for (kind = 0; kind < LOOM_SPREAD_KINDS; kind++) {
 			if (!spread->changed[kind])
 				continue;
@@ -235,7 +235,7 @@
 		}
 	}
 	if (any) {
-		spread->applied_us = now_us;
+		spread->last_apply_us = now_us;
 		refresh_status(spread);
 	}
 	if (!atomic_load(&spread->ready))
@@ -243,7 +243,7 @@
 }
 
 static struct json_object *
-row_object(const struct spread_status_row *row, uint64_t now_us)
+row_to_json(const struct spread_status_row *row, uint64_t now_us)
 {
 	struct json_object *object = json_object_new_object();
 	char digest[17];
@@ -278,8 +278,8 @@
 	g_mutex_lock(&spread->status_lock);
 	for (i = 0; i < spread->status->len; i++)
 		json_object_array_add(list,
-		    row_object(&g_array_index(
-				   spread->status, struct spread_status_row, i),
+		    row_to_json(&g_array_index(spread->status,
+				    struct spread_status_row, i),
 			now_us));
 	g_mutex_unlock(&spread->status_lock);
 	json_object_object_add(object, "versions", list);
--- a/src/control/spread_messages.c
+++ b/src/control/spread_messages.c
@@ -16,8 +16,8 @@
 /* Between two exchanges of digests, each of which costs up to a few
  * kilobytes.  While changes come in, stores differ for a moment all the time
  * and the changes' own messages mend it, so that exchanges are rare then. */
-#define EXCHANGE_GAP_US (10 * LOOM_US_PER_S)
-#define EXCHANGE_BUSY_GAP_US (60 * LOOM_US_PER_S)
+#define EXCHANGE_INTERVAL_US (10 * LOOM_US_PER_S)
+#define EXCHANGE_BUSY_INTERVAL_US (60 * LOOM_US_PER_S)
 #define QUIET_US (3 * LOOM_US_PER_S)
 /* Bytes of one LIST. */
 #define SEND_BUFFER_BYTES (128 * 1024)
@@ -38,13 +38,14 @@
 
 /* Rounded up: it may not look younger than it is. */
 static uint32_t
-age_ms(const struct loom_spread *spread, uint64_t now_us)
+reported_age_ms(const struct loom_spread *spread, uint64_t now_us)
 {
 	uint64_t age_us = loom_age_us(&spread->age, now_us);
 
 	if (age_us == UINT64_MAX)
-		return SPREAD_AGE_NEVER;
-	return (uint32_t)MIN(age_us / LOOM_US_PER_MS + 1, SPREAD_AGE_NEVER - 1);
+		return SPREAD_AGE_UNKNOWN;
+	return (uint32_t)MIN(
+	    age_us / LOOM_US_PER_MS + 1, SPREAD_AGE_UNKNOWN - 1);
 }
 
 void
@@ -56,37 +57,38 @@
 
 	have->ready = atomic_load(&spread->ready);
 	have->root = spread_store_root(spread->store);
-	have->age_ms = age_ms(spread, now_us);
+	have->age_ms = reported_age_ms(spread, now_us);
 	len = spread_have_pack(have, buf, sizeof(buf));
 	spread_send(spread, host_id, SPREAD_HAVE, buf, len);
 }
 
 /* A summary: the root and the latest ids. */
 void
-spread_send_summary(
-    struct loom_spread *spread, uint64_t host_id, bool ask, uint64_t now_us)
+spread_send_summary(struct loom_spread *spread, uint64_t host_id,
+    bool wants_reply, uint64_t now_us)
 {
-	struct spread_have have = { .kind = SPREAD_SUMMARY, .ask = ask };
+	struct spread_have have = { .kind = SPREAD_SUMMARY,
+		.wants_reply = wants_reply };
 	uint64_t since_us =
 	    now_us > SPREAD_RECENT_US ? now_us - SPREAD_RECENT_US : 0;
 
 	if (host_id == 0)
 		return;
-	if (ask)
-		have.question = spread_age_ask(spread, host_id, now_us);
+	if (wants_reply)
+		have.query = spread_age_note_query(spread, host_id, now_us);
 	have.nids = spread_store_recent(
 	    spread->store, since_us, have.ids, SPREAD_RECENT_IDS);
 	spread_send_have(spread, host_id, &have, now_us);
 }
 
 static uint64_t
-exchange_gap(const struct loom_spread *spread, uint64_t now_us)
+exchange_interval_us(const struct loom_spread *spread, uint64_t now_us)
 {
 	if (!atomic_load(&spread->ready))
-		return SPREAD_ASK_GAP_US;
-	if (now_us - spread->accepted_us < QUIET_US)
-		return EXCHANGE_BUSY_GAP_US;
-	return EXCHANGE_GAP_US;
+		return SPREAD_STARTUP_INTERVAL_US;
+	if (now_us - spread->last_accepted_us < QUIET_US)
+		return EXCHANGE_BUSY_INTERVAL_US;
+	return EXCHANGE_INTERVAL_US;
 }
 
 /* Compare whole stores with a peer, not too often. */
@@ -96,10 +98,11 @@
 	uint8_t buf[SPREAD_NBUCKETS * sizeof(uint64_t) + LOOM_PACKED_HEAD_MAX];
 	size_t len;
 
-	if (spread->exchange_us != 0 &&
-	    now_us - spread->exchange_us < exchange_gap(spread, now_us))
+	if (spread->last_exchange_us != 0 &&
+	    now_us - spread->last_exchange_us <
+		exchange_interval_us(spread, now_us))
 		return;
-	spread->exchange_us = now_us;
+	spread->last_exchange_us = now_us;
 	loom_counter_add(spread->counters.exchanges, 1);
 	len = spread_buckets_pack(
 	    spread_store_buckets(spread->store), buf, sizeof(buf));
@@ -121,7 +124,7 @@
 }
 
 static bool
-names(const struct spread_have *have, uint64_t id)
+have_contains(const struct spread_have *have, uint64_t id)
 {
 	uint32_t i;
 
@@ -135,7 +138,7 @@
 /* The latest ids that a summary does not name: the peer may have missed
  * them.  Its links in are few, and all may have lost the push. */
 static void
-add_unnamed(struct loom_spread *spread, const struct spread_have *summary,
+add_recent(struct loom_spread *spread, const struct spread_have *summary,
     struct spread_have *reply, uint64_t now_us)
 {
 	struct spread_id recent[SPREAD_RECENT_IDS];
@@ -145,14 +148,14 @@
 	    now_us > SPREAD_RECENT_US ? now_us - SPREAD_RECENT_US : 0, recent,
 	    SPREAD_RECENT_IDS);
 	for (i = 0; i < n; i++) {
-		if (!names(summary, recent[i].id))
+		if (!have_contains(summary, recent[i].id))
 			reply->ids[reply->nids++] = recent[i];
 	}
 }
 
 static bool
-take_have(struct loom_spread *spread, uint64_t host_id, const uint8_t *payload,
-    size_t len, uint64_t now_us)
+receive_have(struct loom_spread *spread, uint64_t host_id,
+    const uint8_t *payload, size_t len, uint64_t now_us)
 {
 	struct spread_have have, reply = { .kind = SPREAD_REPLY };
 	bool differs;
@@ -160,15 +163,16 @@
 
 	if (!spread_have_unpack(&have, payload, len))
 		return false;
-	spread_force_heard(spread, host_id, have.root, have.ready);
-	spread_age_answered(spread, host_id, &have, now_us);
+	spread_apply_note_peer(spread, host_id, have.root, have.ready);
+	spread_age_note_reply(spread, host_id, &have, now_us);
 	differs = have.root != spread_store_root(spread->store);
-	newer = spread_pull_ask(spread, host_id, have.ids, have.nids, now_us);
+	newer =
+	    spread_pull_request(spread, host_id, have.ids, have.nids, now_us);
 	add_newer(spread, have.ids, have.nids, &reply);
 	if (have.kind == SPREAD_SUMMARY && differs)
-		add_unnamed(spread, &have, &reply, now_us);
-	reply.answers = have.question;
-	if (have.ask || reply.nids > 0)
+		add_recent(spread, &have, &reply, now_us);
+	reply.in_reply_to = have.query;
+	if (have.wants_reply || reply.nids > 0)
 		spread_send_have(spread, host_id, &reply, now_us);
 	if (differs && newer == 0 && reply.nids == 0)
 		start_exchange(spread, host_id, now_us);
@@ -176,14 +180,14 @@
 }
 
 static bool
-take_want(struct loom_spread *spread, uint64_t host_id, const uint8_t *payload,
-    size_t len, uint64_t now_us)
+receive_want(struct loom_spread *spread, uint64_t host_id,
+    const uint8_t *payload, size_t len, uint64_t now_us)
 {
 	struct spread_want want;
 
 	if (!spread_want_unpack(&want, payload, len))
 		return false;
-	spread_give(spread, host_id, &want, now_us);
+	spread_pull_serve(spread, host_id, &want, now_us);
 	return true;
 }
 
@@ -207,18 +211,18 @@
 
 /* Only the buckets that differ are listed. */
 static bool
-take_buckets(struct loom_spread *spread, uint64_t host_id,
+receive_buckets(struct loom_spread *spread, uint64_t host_id,
     const uint8_t *payload, size_t len)
 {
-	const uint64_t *own = spread_store_buckets(spread->store);
-	uint64_t theirs[SPREAD_NBUCKETS], mask = 0;
+	const uint64_t *own_buckets = spread_store_buckets(spread->store);
+	uint64_t peer_buckets[SPREAD_NBUCKETS], mask = 0;
 	GArray *ids;
 	unsigned i;
 
-	if (!spread_buckets_unpack(theirs, payload, len))
+	if (!spread_buckets_unpack(peer_buckets, payload, len))
 		return false;
 	for (i = 0; i < SPREAD_NBUCKETS; i++) {
-		if (theirs[i] != own[i])
+		if (peer_buckets[i] != own_buckets[i])
 			mask |= UINT64_C(1) << i;
 	}
 	if (mask == 0)
@@ -231,7 +235,7 @@
 }
 
 static bool
-listed(const struct spread_list *list, uint64_t id)
+list_contains(const struct spread_list *list, uint64_t id)
 {
 	uint32_t i;
 
@@ -255,29 +259,30 @@
 	spread_store_list(spread->store, list->mask, ids);
 	for (i = 0; i < ids->len && reply->nids < SPREAD_HAVE_IDS_MAX; i++) {
 		id = &g_array_index(ids, struct spread_id, i);
-		if (!listed(list, id->id))
+		if (!list_contains(list, id->id))
 			reply->ids[reply->nids++] = *id;
 	}
 	g_array_free(ids, TRUE);
 }
 
 static bool
-take_list(struct loom_spread *spread, uint64_t host_id, const uint8_t *payload,
-    size_t len, uint64_t now_us)
+receive_list(struct loom_spread *spread, uint64_t host_id,
+    const uint8_t *payload, size_t len, uint64_t now_us)
 {
 	struct spread_list *list = g_new(struct spread_list, 1);
 	struct spread_have reply = { .kind = SPREAD_REPLY };
-	bool good = spread_list_unpack(list, payload, len);
+	bool ok = spread_list_unpack(list, payload, len);
 
-	if (good) {
-		spread_pull_ask(spread, host_id, list->ids, list->nids, now_us);
+	if (ok) {
+		spread_pull_request(
+		    spread, host_id, list->ids, list->nids, now_us);
 		add_newer(spread, list->ids, list->nids, &reply);
 		add_missing(spread, list, &reply);
 		if (reply.nids > 0)
 			spread_send_have(spread, host_id, &reply, now_us);
 	}
 	g_free(list);
-	return good;
+	return ok;
 }
 
 static bool
@@ -300,8 +305,8 @@
  * anything else is believed of it, its version before it replaces another.
  */
 void
-spread_take_value(struct loom_spread *spread, const char *name, uint64_t number,
-    const char *text, size_t len, uint64_t now_us)
+spread_receive_value(struct loom_spread *spread, const char *name,
+    uint64_t number, const char *text, size_t len, uint64_t now_us)
 {
 	struct loom_spread_version version = { .number = number };
 	enum loom_spread_kind kind;
@@ -332,15 +337,15 @@
 	}
 	loom_counter_add(spread->counters.accepted, 1);
 	id = loom_name_id(name);
-	spread_pull_got(spread, id);
-	g_array_append_val(spread->news, id);
-	spread->accepted_us = now_us;
+	spread_pull_received(spread, id);
+	g_array_append_val(spread->push_queue, id);
+	spread->last_accepted_us = now_us;
 	spread->changed[kind] = true;
-	spread_age_check(spread);
+	spread_age_update(spread);
 }
 
 static bool
-take_give(struct loom_spread *spread, const uint8_t *payload, size_t len,
+receive_give(struct loom_spread *spread, const uint8_t *payload, size_t len,
     uint64_t now_us)
 {
 	struct loom_unpacker unpacker;
@@ -348,38 +353,38 @@
 
 	loom_unpack_init(&unpacker, payload, len);
 	while (spread_value_unpack(&unpacker, &value))
-		spread_take_value(spread, value.name, value.number, value.text,
-		    value.len, now_us);
+		spread_receive_value(spread, value.name, value.number,
+		    value.text, value.len, now_us);
 	return loom_unpack_end(&unpacker);
 }
 
 void
-spread_message(void *part, const struct loom_from *from, uint8_t type,
+spread_handle_message(void *part, const struct loom_from *from, uint8_t type,
     const uint8_t *payload, size_t len, uint64_t now_us)
 {
 	struct loom_spread *spread = part;
 	uint64_t host_id = from->host_id;
-	bool good = false;
+	bool ok = false;
 
 	switch (type) {
 	case SPREAD_HAVE:
-		good = take_have(spread, host_id, payload, len, now_us);
+		ok = receive_have(spread, host_id, payload, len, now_us);
 		break;
 	case SPREAD_WANT:
-		good = take_want(spread, host_id, payload, len, now_us);
+		ok = receive_want(spread, host_id, payload, len, now_us);
 		break;
 	case SPREAD_GIVE:
-		good = take_give(spread, payload, len, now_us);
+		ok = receive_give(spread, payload, len, now_us);
 		break;
 	case SPREAD_BUCKETS:
-		good = take_buckets(spread, host_id, payload, len);
+		ok = receive_buckets(spread, host_id, payload, len);
 		break;
 	case SPREAD_LIST:
-		good = take_list(spread, host_id, payload, len, now_us);
+		ok = receive_list(spread, host_id, payload, len, now_us);
 		break;
 	default:
 		break;
 	}
-	if (!good)
+	if (!ok)
 		loom_counter_add(spread->counters.malformed, 1);
 }
--- a/src/control/spread_peers.c
+++ b/src/control/spread_peers.c
@@ -10,7 +10,7 @@
 
 #include "control/spread_private.h"
 
-#define BRIDGE_US (60 * LOOM_US_PER_S)
+#define REMOTE_PEER_US (60 * LOOM_US_PER_S)
 
 static void
 choose_neighbours(struct loom_spread *spread)
@@ -52,20 +52,20 @@
 	    (uint64_t *)(void *)spread->live->data, spread->live->len);
 	choose_neighbours(spread);
 	choose_rank(spread);
-	spread->bridge_until_us = 0; /* it may be gone */
+	spread->remote_peer_until_us = 0; /* it may be gone */
 }
 
 void
 spread_peers_rotate(struct loom_spread *spread, uint64_t now_us)
 {
-	if (now_us >= spread->bridge_until_us) {
-		spread->bridge = spread_peers_remote(spread);
-		spread->bridge_until_us = now_us + BRIDGE_US;
+	if (now_us >= spread->remote_peer_until_us) {
+		spread->remote_peer = spread_peers_random_remote(spread);
+		spread->remote_peer_until_us = now_us + REMOTE_PEER_US;
 	}
 }
 
 static uint64_t
-pick(struct loom_spread *spread, const uint64_t *ids, uint32_t n)
+random_peer(struct loom_spread *spread, const uint64_t *ids, uint32_t n)
 {
 	uint64_t id;
 
@@ -76,21 +76,22 @@
 }
 
 uint64_t
-spread_peers_local(struct loom_spread *spread)
+spread_peers_random_local(struct loom_spread *spread)
 {
-	return pick(spread, (const uint64_t *)(void *)spread->local->data,
-	    spread->local->len);
+	return random_peer(spread,
+	    (const uint64_t *)(void *)spread->local->data, spread->local->len);
 }
 
 uint64_t
-spread_peers_remote(struct loom_spread *spread)
+spread_peers_random_remote(struct loom_spread *spread)
 {
-	return pick(spread, (const uint64_t *)(void *)spread->remote->data,
+	return random_peer(spread,
+	    (const uint64_t *)(void *)spread->remote->data,
 	    spread->remote->len);
 }
 
 uint64_t
-spread_peers_seed(struct loom_spread *spread)
+spread_peers_random_seed(struct loom_spread *spread)
 {
-	return pick(spread, spread->seeds, spread->nseeds);
+	return random_peer(spread, spread->seeds, spread->nseeds);
 }
--- a/src/control/spread_private.h
+++ b/src/control/spread_private.h
@@ -29,27 +29,27 @@
 #define SPREAD_RECENT_IDS 16
 
 /* While starting, and after a pause, peers are asked this often. */
-#define SPREAD_ASK_GAP_US (300 * LOOM_US_PER_MS)
+#define SPREAD_STARTUP_INTERVAL_US (300 * LOOM_US_PER_MS)
 
 /* Questions whose answers are waited for. */
-#define SPREAD_QUESTIONS 8
+#define SPREAD_QUERIES_MAX 8
 
 /* Agreeing peers that are remembered while starting. */
-#define SPREAD_AGREEING_MAX 8
+#define SPREAD_PEER_STATES_MAX 8
 
 /* A peer's bytes of values: 256 KB/s on average, and enough at once for all
  * documents of a fleet. */
 #define SPREAD_GIVE_BYTES_PER_S (256 * 1024)
 #define SPREAD_GIVE_BURST_BYTES (8 * 1024 * 1024)
 
-struct spread_agreeing {
+struct spread_peer_state {
 	uint64_t host_id;
 	uint64_t root; /* the last that it named */
 	bool ready;
 };
 
 /* A question to a peer on what it holds. */
-struct spread_question {
+struct spread_query {
 	uint64_t number; /* 0: none */
 	uint64_t host_id;
 	uint64_t asked_us;
@@ -86,54 +86,55 @@
 	uint32_t rank; /* in live; their number when not there */
 	uint64_t neighbours[SPREAD_FANOUT];
 	uint32_t nneighbours;
-	uint64_t bridge; /* id in another data centre; 0 for none */
-	uint64_t bridge_until_us;
-	uint32_t turn; /* whose turn it is for a summary */
+	uint64_t remote_peer; /* id in another data centre; 0 for none */
+	uint64_t remote_peer_until_us;
+	uint32_t query_round; /* whose turn it is for a summary */
 
 	/* what to tell */
-	GArray *news; /* uint64_t: names not pushed yet */
-	uint64_t pushed_us;
-	uint64_t exchange_us; /* when the last was started; 0 for never */
-	uint64_t accepted_us; /* when the last version came */
-	uint64_t ask_us; /* when to ask around next; 0 for never yet */
+	GArray *push_queue; /* uint64_t: names not pushed yet */
+	uint64_t last_push_us;
+	uint64_t last_exchange_us; /* when the last was started; 0 for never */
+	uint64_t last_accepted_us; /* when the last version came */
+	uint64_t next_startup_query_us; /* when to ask around next; 0 for never
+					   yet */
 
 	/* what was asked for */
 	GHashTable *pending; /* name's id: struct pending */
-	double give_bytes; /* tokens left */
-	uint64_t give_us;
+	double give_tokens; /* tokens left */
+	uint64_t give_refilled_us;
 
 	/* how old the knowledge is */
 	struct loom_age_plan plan;
 	struct loom_age age;
-	struct spread_question questions[SPREAD_QUESTIONS];
-	uint64_t last_question; /* its number */
-	uint64_t beat_us; /* when the next is due */
-	uint64_t heard_us; /* when a peer last answered one */
+	struct spread_query queries[SPREAD_QUERIES_MAX];
+	uint64_t last_query_number; /* its number */
+	uint64_t next_query_us; /* when the next is due */
+	uint64_t last_reply_us; /* when a peer last answered one */
 	/* what a peer's word proves as soon as all that it holds is held */
-	uint64_t proof_root;
-	uint64_t proof_us; /* 0: none */
-	uint64_t read_us; /* when to read the platform for it; 0: not */
-	bool behind; /* older than the plan's own reading, in the log */
+	uint64_t pending_root;
+	uint64_t pending_as_of_us; /* 0: none */
+	uint64_t next_read_us; /* when to read the platform for it; 0: not */
+	bool reported_stale; /* older than the plan's own reading, in the log */
 
 	/* the platform */
 	uint64_t sent_us[LOOM_SPREAD_KINDS]; /* of the call last answered */
 	uint64_t answered_us[LOOM_SPREAD_KINDS]; /* 0 for never */
 	uint64_t first_answer_us[LOOM_SPREAD_KINDS];
 	bool watching;
-	uint64_t fetch_us; /* when to ask next while starting */
-	uint64_t fetch_gap_us;
+	uint64_t next_fetch_us; /* when to ask next while starting */
+	uint64_t fetch_delay_us;
 
 	/* in force */
 	bool changed[LOOM_SPREAD_KINDS];
-	uint64_t applied_us;
+	uint64_t last_apply_us;
 	uint64_t started_us;
-	uint64_t ticked_us;
-	bool in_force; /* a manifest is */
+	uint64_t last_tick_us;
+	bool has_manifest; /* a manifest is */
 	bool refused[LOOM_SPREAD_KINDS]; /* the held set does not join */
 	atomic_bool ready;
-	bool heard_peers; /* any answered */
-	struct spread_agreeing agreeing[SPREAD_AGREEING_MAX];
-	uint32_t nagreeing;
+	bool any_peer_answered; /* any answered */
+	struct spread_peer_state peer_states[SPREAD_PEER_STATES_MAX];
+	uint32_t npeer_states;
 	GMutex status_lock;
 	GArray *status; /* struct spread_status_row; under status_lock */
 };
@@ -143,29 +144,29 @@
 /* Choose another bridge when its time is over. */
 void spread_peers_rotate(struct loom_spread *, uint64_t now_us);
 /* A random id of the data centre, of the others, of the seeds; 0 for none. */
-uint64_t spread_peers_local(struct loom_spread *);
-uint64_t spread_peers_remote(struct loom_spread *);
-uint64_t spread_peers_seed(struct loom_spread *);
+uint64_t spread_peers_random_local(struct loom_spread *);
+uint64_t spread_peers_random_remote(struct loom_spread *);
+uint64_t spread_peers_random_seed(struct loom_spread *);
 
 /* spread_pull.c */
 void spread_pull_init(struct loom_spread *);
 void spread_pull_free(struct loom_spread *);
 /* Ask host for what it has newer; ids are what it said.  Returns how many of
  * them are newer than what is held. */
-uint32_t spread_pull_ask(struct loom_spread *, uint64_t host_id,
+uint32_t spread_pull_request(struct loom_spread *, uint64_t host_id,
     const struct spread_id *ids, uint32_t n, uint64_t now_us);
 /* Ask again for what did not come. */
 void spread_pull_tick(struct loom_spread *, uint64_t now_us);
-void spread_pull_got(struct loom_spread *, uint64_t id);
-void spread_give(struct loom_spread *, uint64_t host_id,
+void spread_pull_received(struct loom_spread *, uint64_t id);
+void spread_pull_serve(struct loom_spread *, uint64_t host_id,
     const struct spread_want *, uint64_t now_us);
 
 /* spread_force.c */
-void spread_force_init(struct loom_spread *);
-void spread_force_free(struct loom_spread *);
-void spread_force_tick(struct loom_spread *, uint64_t now_us);
+void spread_apply_init(struct loom_spread *);
+void spread_apply_free(struct loom_spread *);
+void spread_apply_tick(struct loom_spread *, uint64_t now_us);
 /* A peer named its root. */
-void spread_force_heard(
+void spread_apply_note_peer(
     struct loom_spread *, uint64_t host_id, uint64_t root, bool ready);
 
 /* spread_messages.c */
@@ -176,28 +177,28 @@
     struct spread_have *, uint64_t now_us);
 /* A summary: the root and the latest ids.  ask for an answer in any case. */
 void spread_send_summary(
-    struct loom_spread *, uint64_t host_id, bool ask, uint64_t now_us);
+    struct loom_spread *, uint64_t host_id, bool wants_reply, uint64_t now_us);
 /* A copy from the platform or a peer. */
-void spread_take_value(struct loom_spread *, const char *name, uint64_t number,
-    const char *text, size_t len, uint64_t now_us);
+void spread_receive_value(struct loom_spread *, const char *name,
+    uint64_t number, const char *text, size_t len, uint64_t now_us);
 /* The part's message function. */
-void spread_message(void *part, const struct loom_from *, uint8_t type,
+void spread_handle_message(void *part, const struct loom_from *, uint8_t type,
     const uint8_t *payload, size_t len, uint64_t now_us);
 
 /* spread_age.c */
 /* Ask peers, and the platform, as the age wants it. */
 void spread_age_tick(struct loom_spread *, uint64_t now_us);
 /* Note a question; returns its number. */
-uint64_t spread_age_ask(
+uint64_t spread_age_note_query(
     struct loom_spread *, uint64_t host_id, uint64_t now_us);
 /* A peer answered a question. */
-void spread_age_answered(struct loom_spread *, uint64_t host_id,
+void spread_age_note_reply(struct loom_spread *, uint64_t host_id,
     const struct spread_have *, uint64_t now_us);
 /* What is held has changed. */
-void spread_age_check(struct loom_spread *);
+void spread_age_update(struct loom_spread *);
 
 /* spread_role.c */
-void spread_choose_role(struct loom_spread *);
+void spread_update_role(struct loom_spread *);
 void spread_fetch_while_starting(struct loom_spread *, uint64_t now_us);
 
 #endif
--- a/src/control/spread_pull.c
+++ b/src/control/spread_pull.c
@@ -11,18 +11,18 @@
 #include "control/spread_private.h"
 
 /* A request or its answer was lost, or the peer is gone. */
-#define RETRY_US (500 * LOOM_US_PER_MS)
+#define RETRY_INTERVAL_US (500 * LOOM_US_PER_MS)
 /* Then a later summary names the value again. */
-#define TRIES_MAX 6
+#define ATTEMPTS_MAX 6
 /* Values in one message, unless a single one is larger. */
-#define GIVE_BYTES (64 * 1024)
+#define GIVE_MESSAGE_BYTES (64 * 1024)
 
-struct pending {
+struct pending_request {
 	uint64_t id; /* the key */
 	struct spread_id wanted;
 	uint64_t host_id; /* the latest that named it */
 	uint64_t asked_us;
-	uint32_t tries;
+	uint32_t attempts;
 };
 
 void
@@ -30,7 +30,7 @@
 {
 	spread->pending =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-	spread->give_bytes = SPREAD_GIVE_BURST_BYTES;
+	spread->give_tokens = SPREAD_GIVE_BURST_BYTES;
 }
 
 void
@@ -40,9 +40,10 @@
 }
 
 void
-spread_pull_got(struct loom_spread *spread, uint64_t id)
+spread_pull_received(struct loom_spread *spread, uint64_t id)
 {
-	struct pending *pending = g_hash_table_lookup(spread->pending, &id);
+	struct pending_request *pending =
+	    g_hash_table_lookup(spread->pending, &id);
 
 	if (pending != NULL &&
 	    spread_store_compare(spread->store, &pending->wanted) >= 0)
@@ -58,10 +59,10 @@
 
 /* True when the host shall be asked now. */
 static bool
-note_pending(struct loom_spread *spread, uint64_t host_id,
+add_pending(struct loom_spread *spread, uint64_t host_id,
     const struct spread_id *id, uint64_t now_us)
 {
-	struct pending *pending;
+	struct pending_request *pending;
 
 	pending = g_hash_table_lookup(spread->pending, &id->id);
 	if (pending != NULL && !id_newer(id, &pending->wanted)) {
@@ -71,14 +72,14 @@
 		return false;
 	}
 	if (pending == NULL) {
-		pending = g_new0(struct pending, 1);
+		pending = g_new0(struct pending_request, 1);
 		pending->id = id->id;
 		g_hash_table_insert(spread->pending, &pending->id, pending);
 	}
 	pending->wanted = *id;
 	pending->host_id = host_id;
 	pending->asked_us = now_us;
-	pending->tries = 1;
+	pending->attempts = 1;
 	return true;
 }
 
@@ -96,7 +97,7 @@
 }
 
 uint32_t
-spread_pull_ask(struct loom_spread *spread, uint64_t host_id,
+spread_pull_request(struct loom_spread *spread, uint64_t host_id,
     const struct spread_id *ids, uint32_t n, uint64_t now_us)
 {
 	struct spread_want want = { .nids = 0 };
@@ -106,7 +107,7 @@
 		if (spread_store_compare(spread->store, &ids[i]) >= 0)
 			continue;
 		newer++;
-		if (!note_pending(spread, host_id, &ids[i], now_us))
+		if (!add_pending(spread, host_id, &ids[i], now_us))
 			continue;
 		want.ids[want.nids++] = ids[i].id;
 		if (want.nids == SPREAD_WANT_IDS_MAX) {
@@ -122,20 +123,20 @@
 spread_pull_tick(struct loom_spread *spread, uint64_t now_us)
 {
 	struct spread_want want = { .nids = 1 };
-	struct pending *pending;
+	struct pending_request *pending;
 	GHashTableIter iter;
 	gpointer value;
 
 	g_hash_table_iter_init(&iter, spread->pending);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		pending = value;
-		if (now_us - pending->asked_us < RETRY_US)
+		if (now_us - pending->asked_us < RETRY_INTERVAL_US)
 			continue;
-		if (pending->tries == TRIES_MAX) {
+		if (pending->attempts == ATTEMPTS_MAX) {
 			g_hash_table_iter_remove(&iter);
 			continue;
 		}
-		pending->tries++;
+		pending->attempts++;
 		pending->asked_us = now_us;
 		want.ids[0] = pending->id;
 		send_want(spread, pending->host_id, &want);
@@ -147,18 +148,18 @@
 static bool
 take_tokens(struct loom_spread *spread, size_t bytes, uint64_t now_us)
 {
-	double since_s =
-	    (double)(now_us - spread->give_us) / (double)LOOM_US_PER_S;
-
-	spread->give_us = now_us;
-	spread->give_bytes += since_s * SPREAD_GIVE_BYTES_PER_S;
-	spread->give_bytes =
-	    MIN(spread->give_bytes, (double)SPREAD_GIVE_BURST_BYTES);
-	if (spread->give_bytes < (double)bytes) {
+	double elapsed_s =
+	    (double)(now_us - spread->give_refilled_us) / (double)LOOM_US_PER_S;
+
+	spread->give_refilled_us = now_us;
+	spread->give_tokens += elapsed_s * SPREAD_GIVE_BYTES_PER_S;
+	spread->give_tokens =
+	    MIN(spread->give_tokens, (double)SPREAD_GIVE_BURST_BYTES);
+	if (spread->give_tokens < (double)bytes) {
 		loom_counter_add(spread->counters.held_back, 1);
 		return false;
 	}
-	spread->give_bytes -= (double)bytes;
+	spread->give_tokens -= (double)bytes;
 	return true;
 }
 
@@ -185,25 +186,25 @@
 }
 
 void
-spread_give(struct loom_spread *spread, uint64_t host_id,
+spread_pull_serve(struct loom_spread *spread, uint64_t host_id,
     const struct spread_want *want, uint64_t now_us)
 {
 	struct loom_spread_item *items[SPREAD_WANT_IDS_MAX], *item;
-	size_t size = 0, one;
+	size_t size = 0, value_size;
 	uint32_t n = 0, i;
 
 	for (i = 0; i < want->nids; i++) {
 		item = spread_store_find(spread->store, want->ids[i]);
 		if (item == NULL)
 			continue;
-		one = spread_value_size(item->name, item->len);
-		if (n > 0 && size + one > GIVE_BYTES) {
+		value_size = spread_value_size(item->name, item->len);
+		if (n > 0 && size + value_size > GIVE_MESSAGE_BYTES) {
 			send_values(spread, host_id, items, n, size, now_us);
 			size = 0;
 			n = 0;
 		}
 		items[n++] = item;
-		size += one;
+		size += value_size;
 	}
 	send_values(spread, host_id, items, n, size, now_us);
 }
--- a/src/control/spread_role.c
+++ b/src/control/spread_role.c
@@ -6,15 +6,15 @@
 #include "control/spread_private.h"
 
 /* Between two fetches of a starting daemon, doubling. */
-#define FETCH_GAP_US (500 * LOOM_US_PER_MS)
-#define FETCH_GAP_MAX_US (30 * LOOM_US_PER_S)
+#define FETCH_DELAY_US (500 * LOOM_US_PER_MS)
+#define FETCH_DELAY_MAX_US (30 * LOOM_US_PER_S)
 /* While it answers with too little to serve by: a change must be in force
  * everywhere within seconds, also the first one. */
-#define FETCH_EMPTY_MAX_US (2 * LOOM_US_PER_S)
+#define FETCH_EMPTY_DELAY_MAX_US (2 * LOOM_US_PER_S)
 
 /* One that is not listed has the rank behind the last. */
 void
-spread_choose_role(struct loom_spread *spread)
+spread_update_role(struct loom_spread *spread)
 {
 	bool watch = spread->rank < MIN(LOOM_SPREAD_READERS, spread->live->len);
 
@@ -50,15 +50,17 @@
 spread_fetch_while_starting(struct loom_spread *spread, uint64_t now_us)
 {
 	bool answered = platform_answered(spread);
-	uint64_t gap_max_us = answered ? FETCH_EMPTY_MAX_US : FETCH_GAP_MAX_US;
+	uint64_t delay_max_us =
+	    answered ? FETCH_EMPTY_DELAY_MAX_US : FETCH_DELAY_MAX_US;
 
 	if (answered)
-		spread_choose_role(spread);
-	if ((answered && spread->in_force) || now_us < spread->fetch_us)
+		spread_update_role(spread);
+	if ((answered && spread->has_manifest) ||
+	    now_us < spread->next_fetch_us)
 		return;
 	spread->ops->fetch(spread->arg);
-	spread->fetch_gap_us =
-	    MIN(MAX(2 * spread->fetch_gap_us, FETCH_GAP_US), gap_max_us);
-	spread->fetch_us = now_us + spread->fetch_gap_us / 2 +
-	    loom_random_below(&spread->random, spread->fetch_gap_us);
+	spread->fetch_delay_us =
+	    MIN(MAX(2 * spread->fetch_delay_us, FETCH_DELAY_US), delay_max_us);
+	spread->next_fetch_us = now_us + spread->fetch_delay_us / 2 +
+	    loom_random_below(&spread->random, spread->fetch_delay_us);
 }
--- a/src/control/spread_store.c
+++ b/src/control/spread_store.c
@@ -16,7 +16,7 @@
 
 struct arrival {
 	uint64_t id;
-	uint64_t at_us;
+	uint64_t arrived_us;
 };
 
 struct spread_store {
@@ -25,11 +25,11 @@
 	GHashTable *items; /* id: struct loom_spread_item */
 	uint64_t buckets[SPREAD_NBUCKETS];
 	struct arrival recent[RECENT_MAX]; /* a ring */
-	uint64_t arrivals;
+	uint64_t narrivals;
 };
 
 static void
-item_clear(struct spread_store *store, struct loom_spread_item *item)
+item_release_value(struct spread_store *store, struct loom_spread_item *item)
 {
 	g_free(item->text);
 	if (item->object != NULL)
@@ -46,7 +46,7 @@
 	g_hash_table_iter_init(&iter, store->items);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		item = value;
-		item_clear(store, item);
+		item_release_value(store, item);
 		g_free(item->name);
 		g_free(item);
 	}
@@ -97,7 +97,7 @@
 }
 
 static uint64_t
-mix(uint64_t x)
+mix_bits(uint64_t x)
 {
 	x = (x ^ x >> 32) * UINT64_C(0xd6e8feb86659fd93);
 	x = (x ^ x >> 32) * UINT64_C(0xd6e8feb86659fd93);
@@ -105,10 +105,11 @@
 }
 
 static void
-toggle(struct spread_store *store, const struct loom_spread_item *item)
+toggle_digest(struct spread_store *store, const struct loom_spread_item *item)
 {
 	struct spread_id id = spread_id_of(item);
-	uint64_t word = mix(mix(mix(id.id) + id.number) + id.digest);
+	uint64_t word =
+	    mix_bits(mix_bits(mix_bits(id.id) + id.number) + id.digest);
 
 	store->buckets[id.id % SPREAD_NBUCKETS] ^= word;
 }
@@ -117,10 +118,10 @@
 note_arrival(struct spread_store *store, uint64_t id, uint64_t now_us)
 {
 	struct arrival *arrival =
-	    &store->recent[store->arrivals++ % RECENT_MAX];
+	    &store->recent[store->narrivals++ % RECENT_MAX];
 
 	arrival->id = id;
-	arrival->at_us = now_us;
+	arrival->arrived_us = now_us;
 }
 
 static struct loom_spread_item *
@@ -148,8 +149,8 @@
 		/* Never back: a stale platform or peer may come any time. */
 		if (loom_spread_compare(version, &item->version) <= 0)
 			return false;
-		toggle(store, item);
-		item_clear(store, item);
+		toggle_digest(store, item);
+		item_release_value(store, item);
 	} else {
 		item = item_new(store, kind, name, id);
 	}
@@ -158,7 +159,7 @@
 	item->len = len;
 	item->object = object;
 	item->since_us = now_us;
-	toggle(store, item);
+	toggle_digest(store, item);
 	note_arrival(store, id, now_us);
 	return true;
 }
@@ -215,16 +216,15 @@
     struct spread_id *out, uint32_t max)
 {
 	const struct arrival *arrival;
-	uint64_t left = MIN(store->arrivals, RECENT_MAX);
+	uint64_t left = MIN(store->narrivals, RECENT_MAX);
 	uint32_t n = 0;
 
 	while (left-- > 0 && n < max) {
-		arrival =
-		    &store
-			 ->recent[(store->arrivals -
-				      MIN(store->arrivals, RECENT_MAX) + left) %
-			     RECENT_MAX];
-		if (arrival->at_us < since_us)
+		arrival = &store->recent[(store->narrivals -
+					     MIN(store->narrivals, RECENT_MAX) +
+					     left) %
+		    RECENT_MAX];
+		if (arrival->arrived_us < since_us)
 			break;
 		out[n++] = spread_id_of(spread_store_find(store, arrival->id));
 	}
--- a/src/control/spread_wire.c
+++ b/src/control/spread_wire.c
@@ -11,8 +11,8 @@
 
 enum have_flag {
 	HAVE_READY = 1,
-	HAVE_ASK = 2,
-	HAVE_FLAGS = HAVE_READY | HAVE_ASK,
+	HAVE_WANTS_REPLY = 2,
+	HAVE_FLAGS = HAVE_READY | HAVE_WANTS_REPLY,
 };
 
 static void
@@ -43,7 +43,7 @@
 }
 
 static size_t
-packed(const struct loom_packer *packer)
+packed_len(const struct loom_packer *packer)
 {
 	return loom_pack_ok(packer) ? packer->len : 0;
 }
@@ -56,13 +56,14 @@
 	loom_pack_init(&packer, buf, size);
 	loom_pack_u64(&packer, have->kind);
 	loom_pack_u64(&packer,
-	    (have->ready ? HAVE_READY : 0) | (have->ask ? HAVE_ASK : 0));
+	    (have->ready ? HAVE_READY : 0) |
+		(have->wants_reply ? HAVE_WANTS_REPLY : 0));
 	loom_pack_u64(&packer, have->root);
 	loom_pack_u64(&packer, have->age_ms);
-	loom_pack_u64(&packer, have->question);
-	loom_pack_u64(&packer, have->answers);
+	loom_pack_u64(&packer, have->query);
+	loom_pack_u64(&packer, have->in_reply_to);
 	pack_ids(&packer, have->ids, have->nids);
-	return packed(&packer);
+	return packed_len(&packer);
 }
 
 bool
@@ -76,11 +77,11 @@
 	    (enum spread_have_kind)loom_unpack_u64(&unpacker, SPREAD_REPLY);
 	flags = loom_unpack_u64(&unpacker, HAVE_FLAGS);
 	have->ready = flags & HAVE_READY;
-	have->ask = flags & HAVE_ASK;
+	have->wants_reply = flags & HAVE_WANTS_REPLY;
 	have->root = loom_unpack_u64(&unpacker, UINT64_MAX);
 	have->age_ms = (uint32_t)loom_unpack_u64(&unpacker, UINT32_MAX);
-	have->question = loom_unpack_u64(&unpacker, UINT64_MAX);
-	have->answers = loom_unpack_u64(&unpacker, UINT64_MAX);
+	have->query = loom_unpack_u64(&unpacker, UINT64_MAX);
+	have->in_reply_to = loom_unpack_u64(&unpacker, UINT64_MAX);
 	have->nids = unpack_ids(&unpacker, have->ids, SPREAD_HAVE_IDS_MAX);
 	return loom_unpack_end(&unpacker);
 }
@@ -95,7 +96,7 @@
 	loom_pack_u64(&packer, want->nids);
 	for (i = 0; i < want->nids; i++)
 		loom_pack_u64(&packer, want->ids[i]);
-	return packed(&packer);
+	return packed_len(&packer);
 }
 
 bool
@@ -122,7 +123,7 @@
 		words[i] = GUINT64_TO_BE(buckets[i]);
 	loom_pack_init(&packer, buf, size);
 	loom_pack_bin(&packer, words, sizeof(words));
-	return packed(&packer);
+	return packed_len(&packer);
 }
 
 bool
@@ -147,7 +148,7 @@
 	loom_pack_init(&packer, buf, size);
 	loom_pack_u64(&packer, list->mask);
 	pack_ids(&packer, list->ids, list->nids);
-	return packed(&packer);
+	return packed_len(&packer);
 }
 
 bool
--- a/src/control/spread_wire.h
+++ b/src/control/spread_wire.h
@@ -30,7 +30,7 @@
 #define SPREAD_LIST_IDS_MAX 4096
 #define SPREAD_GIVE_VALUES_MAX 256
 /* The age of one that holds nothing. */
-#define SPREAD_AGE_NEVER UINT32_MAX
+#define SPREAD_AGE_UNKNOWN UINT32_MAX
 
 /* One version of one name, in 27 bytes at most. */
 struct spread_id {
@@ -48,11 +48,11 @@
 struct spread_have {
 	enum spread_have_kind kind;
 	bool ready; /* the sender serves */
-	bool ask; /* answer even when nothing differs */
+	bool wants_reply; /* answer even when nothing differs */
 	uint64_t root; /* digest over all that the sender holds */
 	uint32_t age_ms; /* of all that the sender holds (loom/age.h) */
-	uint64_t question; /* its number; 0 for none */
-	uint64_t answers; /* the question of the receiver; 0 for none */
+	uint64_t query; /* its number; 0 for none */
+	uint64_t in_reply_to; /* the question of the receiver; 0 for none */
 	uint32_t nids;
 	struct spread_id ids[SPREAD_HAVE_IDS_MAX];
 };
--- a/src/decide/age.c
+++ b/src/decide/age.c
@@ -13,15 +13,15 @@
 #include "loom/age.h"
 
 /* Clocks of two daemons differ in speed by less than one in so many. */
-#define CLOCK_SPEED_PART 256
+#define CLOCK_DRIFT_DIVISOR 256
 
 /* Of the bound; the sum of a lost watch, its time for an answer and one more
  * reading stays below it. */
-#define WAIT_PART 6
-#define ANSWER_PART 5
-#define BEAT_PART 12
-#define ELSEWHERE_TENTHS 5
-#define SELF_TENTHS 6
+#define LONG_POLL_DIVISOR 6
+#define RESPONSE_DIVISOR 5
+#define QUERY_INTERVAL_DIVISOR 12
+#define WIDE_QUERY_TENTHS 5
+#define PLATFORM_READ_TENTHS 6
 #define TENTHS 10
 
 /* The first few to step in are known to the others, who ask them. */
@@ -29,23 +29,23 @@
 #define STANDBY_STEP_US (100 * LOOM_US_PER_MS)
 /* All others of a data centre together read at most once in this time, when
  * the first few have had theirs. */
-#define READ_GAP_US (50 * LOOM_US_PER_MS)
+#define READ_INTERVAL_US (50 * LOOM_US_PER_MS)
 
 void
-loom_age_hold(struct loom_age *age, uint64_t moment_us)
+loom_age_hold(struct loom_age *age, uint64_t as_of_us)
 {
-	age->held_us = MAX(age->held_us, moment_us);
+	age->held_us = MAX(age->held_us, as_of_us);
 }
 
 uint64_t
-loom_age_proof(uint64_t asked_us, uint64_t told_us)
+loom_age_proof(uint64_t asked_us, uint64_t peer_age_us)
 {
-	uint64_t longest_us;
+	uint64_t max_age_us;
 
-	if (told_us > UINT64_MAX - told_us / CLOCK_SPEED_PART - 1)
+	if (peer_age_us > UINT64_MAX - peer_age_us / CLOCK_DRIFT_DIVISOR - 1)
 		return 0;
-	longest_us = told_us + told_us / CLOCK_SPEED_PART + 1;
-	return asked_us > longest_us ? asked_us - longest_us : 0;
+	max_age_us = peer_age_us + peer_age_us / CLOCK_DRIFT_DIVISOR + 1;
+	return asked_us > max_age_us ? asked_us - max_age_us : 0;
 }
 
 uint64_t
@@ -60,11 +60,11 @@
 loom_age_plan(uint64_t within_us)
 {
 	return (struct loom_age_plan){
-		.wait_us = within_us / WAIT_PART,
-		.answer_us = within_us / ANSWER_PART,
-		.beat_us = within_us / BEAT_PART,
-		.elsewhere_us = within_us * ELSEWHERE_TENTHS / TENTHS,
-		.self_us = within_us * SELF_TENTHS / TENTHS,
+		.wait_us = within_us / LONG_POLL_DIVISOR,
+		.answer_us = within_us / RESPONSE_DIVISOR,
+		.beat_us = within_us / QUERY_INTERVAL_DIVISOR,
+		.elsewhere_us = within_us * WIDE_QUERY_TENTHS / TENTHS,
+		.self_us = within_us * PLATFORM_READ_TENTHS / TENTHS,
 	};
 }
 
@@ -81,5 +81,6 @@
 		return 1 + place * STANDBY_STEP_US;
 	}
 	return plan->answer_us +
-	    loom_random_below(random, (uint64_t)reader->hosts * READ_GAP_US);
+	    loom_random_below(
+		random, (uint64_t)reader->hosts * READ_INTERVAL_US);
 }
--- a/src/decide/spread.c
+++ b/src/decide/spread.c
@@ -27,7 +27,7 @@
 /* And so long for agreement with those that serve.  By then all they have was
  * asked for many times; what still differs is what this daemon's own checks
  * refuse, as a newer release may, and waiting on would keep it out for ever. */
-#define AGREE_WAIT_US (30 * LOOM_US_PER_S)
+#define AGREEMENT_WAIT_US (30 * LOOM_US_PER_S)
 
 int
 loom_spread_compare(
@@ -40,16 +40,16 @@
 
 /* One step of splitmix64. */
 static uint64_t
-mix(uint64_t x)
+hash_id(uint64_t x)
 {
 	return mix_split(x + UINT64_C(0x9e3779b97f4a7c15));
 }
 
 static int
-compare_places(const void *a, const void *b)
+compare_hashes(const void *a, const void *b)
 {
-	uint64_t left = mix(*(const uint64_t *)a);
-	uint64_t right = mix(*(const uint64_t *)b);
+	uint64_t left = hash_id(*(const uint64_t *)a);
+	uint64_t right = hash_id(*(const uint64_t *)b);
 
 	return left == right ? 0 : left > right ? -1 : 1;
 }
@@ -57,7 +57,7 @@
 void
 loom_spread_order(uint64_t *ids, uint32_t n)
 {
-	qsort(ids, n, sizeof(*ids), compare_places);
+	qsort(ids, n, sizeof(*ids), compare_hashes);
 }
 
 uint32_t
@@ -83,13 +83,13 @@
 static uint64_t
 successor(const uint64_t *ids, uint32_t n, uint64_t self, uint32_t ring)
 {
-	uint64_t salt = ring == 0 ? 0 : mix(ring);
-	uint64_t own = mix(self ^ salt), best = self, best_gap = UINT64_MAX;
+	uint64_t salt = ring == 0 ? 0 : hash_id(ring);
+	uint64_t own = hash_id(self ^ salt), best = self, best_gap = UINT64_MAX;
 	uint64_t gap;
 	uint32_t i;
 
 	for (i = 0; i < n; i++) {
-		gap = mix(ids[i] ^ salt) - own; /* wraps round the ring */
+		gap = hash_id(ids[i] ^ salt) - own; /* wraps round the ring */
 		if (ids[i] != self && gap <= best_gap) {
 			best = ids[i];
 			best_gap = gap;
@@ -99,7 +99,7 @@
 }
 
 static bool
-holds(const uint64_t *ids, uint32_t n, uint64_t id)
+contains(const uint64_t *ids, uint32_t n, uint64_t id)
 {
 	uint32_t i;
 
@@ -123,7 +123,7 @@
 
 	for (ring = 0; ring < max; ring++) {
 		id = successor(ids, n, self, ring);
-		if (id != self && !holds(out, count, id))
+		if (id != self && !contains(out, count, id))
 			out[count++] = id;
 	}
 	return count;
@@ -153,7 +153,7 @@
 	if (found->agreeing_ready > 0 || found->platform_is_current)
 		return true;
 	if (found->heard_ready > 0)
-		return found->platform_us >= AGREE_WAIT_US;
+		return found->platform_us >= AGREEMENT_WAIT_US;
 	return found->platform_us >=
 	    (found->heard_peers ? NO_READY_WAIT_US : NO_PEER_WAIT_US);
 }
--- a/tests/control/test_spread.c
+++ b/tests/control/test_spread.c
@@ -13,13 +13,13 @@
 
 #define S LOOM_US_PER_S
 /* What the operators are promised. */
-#define IN_FORCE_US (11 * S)
+#define CHANGE_WITHIN_US (11 * S)
 
 static void
 finish(struct spread_fleet *fleet, const char *what)
 {
-	TEST_CHECK(spread_fleet_went_back(fleet) == 0, "%s: %u went back", what,
-	    spread_fleet_went_back(fleet));
+	TEST_CHECK(spread_fleet_regressions(fleet) == 0, "%s: %u went back",
+	    what, spread_fleet_regressions(fleet));
 	spread_fleet_stop(fleet);
 }
 
@@ -36,8 +36,8 @@
 		    .dcs = 5,
 		    .seed = 6,
 		    .loss_permille = 50,
-		    .repeat_permille = 50,
-		    .late_permille = 100 },
+		    .duplicate_permille = 50,
+		    .delay_permille = 100 },
 	};
 	struct spread_fleet fleet;
 	uint64_t put_us;
@@ -50,9 +50,11 @@
 		spread_fleet_run(&fleet, fleet.now_us + 5 * S);
 		put_us = fleet.now_us;
 		spread_fleet_put(&fleet, 0, 2, 'a', 400);
-		TEST_CHECK(spread_fleet_run_until(&fleet, 0, 2, IN_FORCE_US),
+		TEST_CHECK(
+		    spread_fleet_run_until(&fleet, 0, 2, CHANGE_WITHIN_US),
 		    "case %zu", i);
-		TEST_CHECK(fleet.now_us - put_us < IN_FORCE_US, "case %zu", i);
+		TEST_CHECK(
+		    fleet.now_us - put_us < CHANGE_WITHIN_US, "case %zu", i);
 		finish(&fleet, "change");
 	}
 }
@@ -64,9 +66,10 @@
 static void
 test_race(void)
 {
-	struct spread_fleet_options options = {
-		.nodes = 60, .dcs = 3, .loss_permille = 50, .late_permille = 200
-	};
+	struct spread_fleet_options options = { .nodes = 60,
+		.dcs = 3,
+		.loss_permille = 50,
+		.delay_permille = 200 };
 	struct spread_fleet fleet;
 	uint32_t i;
 
@@ -82,7 +85,7 @@
 		}
 		spread_fleet_put(
 		    &fleet, 0, 2, options.seed % 2 ? 'b' : 'a', 100);
-		spread_fleet_run(&fleet, fleet.now_us + IN_FORCE_US);
+		spread_fleet_run(&fleet, fleet.now_us + CHANGE_WITHIN_US);
 		TEST_CHECK(
 		    spread_fleet_agrees(&fleet), "seed %u", options.seed);
 		finish(&fleet, "race");
@@ -112,7 +115,7 @@
 		fleet.nodes[i].stale_revision = spread_fleet_revision(&fleet);
 	}
 	spread_fleet_put(&fleet, 0, 2, 'a', 400);
-	CU_ASSERT(spread_fleet_run_until(&fleet, 0, 2, IN_FORCE_US));
+	CU_ASSERT(spread_fleet_run_until(&fleet, 0, 2, CHANGE_WITHIN_US));
 	finish(&fleet, "stale");
 }
 
@@ -134,17 +137,17 @@
 		spread_fleet_start(&fleet, &options);
 		CU_ASSERT(spread_fleet_run_ready(&fleet, 20 * S));
 		spread_fleet_put(&fleet, 0, 2, 'a', 400);
-		CU_ASSERT(spread_fleet_run_until(&fleet, 0, 2, IN_FORCE_US));
+		CU_ASSERT(
+		    spread_fleet_run_until(&fleet, 0, 2, CHANGE_WITHIN_US));
 		node = &fleet.nodes[options.seed % options.nodes];
 		node->platform = FLEET_STALE;
 		node->stale_revision = 1;
 		spread_fleet_restart(&fleet, options.seed % options.nodes);
 		while (node->ready_us == 0) {
 			spread_fleet_run(&fleet, fleet.now_us + S / 20);
-			TEST_CHECK(
-			    node->ready_us == 0 || node->in_force[0] == 2,
+			TEST_CHECK(node->ready_us == 0 || node->applied[0] == 2,
 			    "seed %u: ready on version %u", options.seed,
-			    (unsigned)node->in_force[0]);
+			    (unsigned)node->applied[0]);
 		}
 		finish(&fleet, "restart");
 	}
@@ -197,7 +200,7 @@
 	spread_fleet_start(&fleet, &options);
 	CU_ASSERT(spread_fleet_run_ready(&fleet, 20 * S));
 	spread_fleet_put(&fleet, 0, 2, 'a', 400);
-	CU_ASSERT(spread_fleet_run_until(&fleet, 0, 2, IN_FORCE_US));
+	CU_ASSERT(spread_fleet_run_until(&fleet, 0, 2, CHANGE_WITHIN_US));
 	spread_fleet_platform(&fleet, FLEET_DOWN);
 	for (i = 2; i < options.nodes; i++)
 		spread_fleet_restart(&fleet, i);
@@ -225,7 +228,8 @@
 		spread_fleet_start(&fleet, &options);
 		CU_ASSERT(spread_fleet_run_ready(&fleet, 20 * S));
 		spread_fleet_put(&fleet, 0, 2, 'a', 400);
-		CU_ASSERT(spread_fleet_run_until(&fleet, 0, 2, IN_FORCE_US));
+		CU_ASSERT(
+		    spread_fleet_run_until(&fleet, 0, 2, CHANGE_WITHIN_US));
 		for (i = 2; i < options.nodes; i++) {
 			node = &fleet.nodes[i];
 			node->platform = FLEET_STALE;
@@ -239,10 +243,10 @@
 				node = &fleet.nodes[i];
 				ready += node->ready_us != 0;
 				TEST_CHECK(node->ready_us == 0 ||
-					node->in_force[0] == 2,
+					node->applied[0] == 2,
 				    "seed %u: %u ready on version %u",
 				    options.seed, i,
-				    (unsigned)node->in_force[0]);
+				    (unsigned)node->applied[0]);
 			}
 		}
 		CU_ASSERT_EQUAL(ready, options.nodes);
@@ -277,16 +281,16 @@
 	}
 	CU_ASSERT_EQUAL(killed, LOOM_SPREAD_READERS);
 	spread_fleet_put(&fleet, 0, 2, 'a', 400);
-	CU_ASSERT(spread_fleet_run_until(&fleet, 0, 2, IN_FORCE_US));
-	spread_fleet_cut(&fleet, 0, 1, true);
-	spread_fleet_cut(&fleet, 0, 2, true);
+	CU_ASSERT(spread_fleet_run_until(&fleet, 0, 2, CHANGE_WITHIN_US));
+	spread_fleet_set_partitioned(&fleet, 0, 1, true);
+	spread_fleet_set_partitioned(&fleet, 0, 2, true);
 	calls = fleet.calls;
 	spread_fleet_run(&fleet, fleet.now_us + 90 * S);
 	spread_fleet_put(&fleet, 0, 3, 'a', 400);
-	CU_ASSERT(spread_fleet_run_until(&fleet, 0, 3, IN_FORCE_US));
-	TEST_CHECK(spread_fleet_oldest_us(&fleet) < IN_FORCE_US,
+	CU_ASSERT(spread_fleet_run_until(&fleet, 0, 3, CHANGE_WITHIN_US));
+	TEST_CHECK(spread_fleet_max_age_us(&fleet) < CHANGE_WITHIN_US,
 	    "one is %u ms behind",
-	    (unsigned)(spread_fleet_oldest_us(&fleet) / 1000));
+	    (unsigned)(spread_fleet_max_age_us(&fleet) / 1000));
 	TEST_CHECK(fleet.calls - calls < 300, "%u calls",
 	    (unsigned)(fleet.calls - calls));
 	finish(&fleet, "readers die");
@@ -308,8 +312,8 @@
 
 	spread_fleet_start(&fleet, &options);
 	CU_ASSERT(spread_fleet_run_ready(&fleet, 20 * S));
-	spread_fleet_cut(&fleet, 0, 1, true);
-	spread_fleet_cut(&fleet, 0, 2, true);
+	spread_fleet_set_partitioned(&fleet, 0, 1, true);
+	spread_fleet_set_partitioned(&fleet, 0, 2, true);
 	for (i = 0; i < options.nodes; i++) {
 		if (fleet.nodes[i].dc == 0)
 			fleet.nodes[i].platform = FLEET_DOWN;
@@ -319,10 +323,10 @@
 		spread_fleet_run(&fleet, fleet.now_us + 3 * S);
 	}
 	CU_ASSERT(!spread_fleet_agrees(&fleet));
-	CU_ASSERT_EQUAL(fleet.nodes[0].in_force[0], 1);
-	spread_fleet_cut(&fleet, 0, 1, false);
-	spread_fleet_cut(&fleet, 0, 2, false);
-	spread_fleet_run(&fleet, fleet.now_us + IN_FORCE_US);
+	CU_ASSERT_EQUAL(fleet.nodes[0].applied[0], 1);
+	spread_fleet_set_partitioned(&fleet, 0, 1, false);
+	spread_fleet_set_partitioned(&fleet, 0, 2, false);
+	spread_fleet_run(&fleet, fleet.now_us + CHANGE_WITHIN_US);
 	CU_ASSERT(spread_fleet_agrees(&fleet));
 	finish(&fleet, "partition");
 }
@@ -332,28 +336,28 @@
 test_pause(void)
 {
 	struct spread_fleet_options options = {
-		.nodes = 60, .dcs = 3, .seed = 10, .late_permille = 100
+		.nodes = 60, .dcs = 3, .seed = 10, .delay_permille = 100
 	};
 	struct spread_fleet fleet;
-	uint64_t woke_us;
+	uint64_t resume_us;
 	uint32_t round;
 
 	spread_fleet_start(&fleet, &options);
 	CU_ASSERT(spread_fleet_run_ready(&fleet, 20 * S));
-	woke_us = fleet.now_us + 180 * S;
-	spread_fleet_pause(&fleet, 5, woke_us);
+	resume_us = fleet.now_us + 180 * S;
+	spread_fleet_pause(&fleet, 5, resume_us);
 	for (round = 2; round <= 60; round++) {
 		spread_fleet_put(&fleet, round % FLEET_NAMES, round, 'a', 400);
 		spread_fleet_run(&fleet, fleet.now_us + 3 * S);
 	}
-	spread_fleet_run(&fleet, woke_us + 2 * S);
+	spread_fleet_run(&fleet, resume_us + 2 * S);
 	CU_ASSERT(spread_fleet_agrees(&fleet));
 	finish(&fleet, "pause");
 }
 
 /* One turn of trouble, drawn by the seed. */
 static void
-trouble(struct spread_fleet *fleet, uint64_t *version)
+inject_fault(struct spread_fleet *fleet, uint64_t *version)
 {
 	uint32_t n = fleet->options.nodes, dcs = fleet->options.dcs;
 	uint32_t node = (uint32_t)loom_random_below(&fleet->random, n);
@@ -371,7 +375,8 @@
 		break;
 	case 2:
 		if (a != b)
-			spread_fleet_cut(fleet, a, b, !fleet->cut[a][b]);
+			spread_fleet_set_partitioned(
+			    fleet, a, b, !fleet->partitioned[a][b]);
 		break;
 	case 3:
 		at->platform = FLEET_STALE;
@@ -405,8 +410,8 @@
 	struct spread_fleet_options options = { .nodes = 40,
 		.dcs = 4,
 		.loss_permille = 100,
-		.repeat_permille = 100,
-		.late_permille = 200 };
+		.duplicate_permille = 100,
+		.delay_permille = 200 };
 	struct spread_fleet fleet;
 	uint64_t version;
 	uint32_t turn, a, b;
@@ -415,14 +420,14 @@
 		spread_fleet_start(&fleet, &options);
 		version = 1;
 		for (turn = 0; turn < 150; turn++) {
-			trouble(&fleet, &version);
+			inject_fault(&fleet, &version);
 			spread_fleet_run(&fleet,
 			    fleet.now_us +
 				loom_random_below(&fleet.random, 2 * S));
 		}
 		for (a = 0; a < options.dcs; a++) {
 			for (b = 0; b < options.dcs; b++)
-				fleet.cut[a][b] = false;
+				fleet.partitioned[a][b] = false;
 		}
 		spread_fleet_platform(&fleet, FLEET_UP);
 		spread_fleet_run(&fleet, fleet.now_us + 60 * S);
@@ -468,7 +473,7 @@
 	}
 	spread_fleet_run(&fleet, fleet.now_us + 20 * S);
 	spread_fleet_put(&fleet, 0, 2, 'a', 100);
-	CU_ASSERT(spread_fleet_run_until(&fleet, 0, 2, IN_FORCE_US));
+	CU_ASSERT(spread_fleet_run_until(&fleet, 0, 2, CHANGE_WITHIN_US));
 	finish(&fleet, "hostile");
 }
 
@@ -494,7 +499,7 @@
 
 /* When the last node had the version in force, after the put. */
 static uint64_t
-last_in_force_us(const struct spread_fleet *fleet, unsigned name,
+last_applied_us(const struct spread_fleet *fleet, unsigned name,
     uint64_t version, uint64_t put_us)
 {
 	const struct spread_fleet_node *node;
@@ -503,10 +508,10 @@
 
 	for (i = 0; i < fleet->options.nodes; i++) {
 		node = &fleet->nodes[i];
-		TEST_CHECK(node->in_force[name] == version,
-		    "node %u holds %u of %u", i, (unsigned)node->in_force[name],
+		TEST_CHECK(node->applied[name] == version,
+		    "node %u holds %u of %u", i, (unsigned)node->applied[name],
 		    (unsigned)version);
-		last = MAX(last, node->in_force_us[name]);
+		last = MAX(last, node->applied_us[name]);
 	}
 	return last - put_us;
 }
@@ -519,7 +524,7 @@
  */
 #define MEASURE_ROUNDS 60
 #define MEASURE_GAP_US 1416000 /* 61,000 a day */
-#define MEASURE_LAG 8 /* rounds until one is looked at: 11 s */
+#define MEASURE_DELAY_ROUNDS 8 /* rounds until one is looked at: 11 s */
 
 static void
 measure(uint32_t nodes, uint32_t dcs)
@@ -528,8 +533,8 @@
 		.nodes = nodes, .dcs = dcs, .seed = 21, .loss_permille = 10
 	};
 	uint64_t put_us[MEASURE_ROUNDS], last_us, worst_us = 0, sum_us = 0;
-	uint64_t start_us, bytes = 0, most = 0, calls;
-	uint32_t round, i, looked = 0;
+	uint64_t start_us, bytes = 0, max_bytes = 0, calls;
+	uint32_t round, i, checked = 0;
 	struct spread_fleet fleet;
 	double seconds;
 
@@ -545,27 +550,27 @@
 		spread_fleet_put(
 		    &fleet, round % FLEET_NAMES, round + 2, 'a', 500);
 		spread_fleet_run(&fleet, fleet.now_us + MEASURE_GAP_US);
-		if (round + 1 < MEASURE_LAG)
+		if (round + 1 < MEASURE_DELAY_ROUNDS)
 			continue;
-		i = round + 1 - MEASURE_LAG;
+		i = round + 1 - MEASURE_DELAY_ROUNDS;
 		last_us =
-		    last_in_force_us(&fleet, i % FLEET_NAMES, i + 2, put_us[i]);
+		    last_applied_us(&fleet, i % FLEET_NAMES, i + 2, put_us[i]);
 		worst_us = MAX(worst_us, last_us);
 		sum_us += last_us;
-		looked++;
+		checked++;
 	}
 	seconds = (double)(fleet.now_us - start_us) / (double)S;
 	for (i = 0; i < nodes; i++) {
 		bytes += fleet.nodes[i].bytes;
-		most = MAX(most, fleet.nodes[i].bytes);
+		max_bytes = MAX(max_bytes, fleet.nodes[i].bytes);
 	}
 	printf("point spread nodes=%u dcs=%u changes_per_s=%.2f "
 	       "last_in_force_mean_ms=%u last_in_force_worst_ms=%u "
 	       "bytes_per_s_mean=%u bytes_per_s_most=%u calls_per_s=%.2f\n",
 	    nodes, dcs, MEASURE_ROUNDS / seconds,
-	    (unsigned)(sum_us / looked / 1000), (unsigned)(worst_us / 1000),
+	    (unsigned)(sum_us / checked / 1000), (unsigned)(worst_us / 1000),
 	    (unsigned)((double)bytes / nodes / seconds),
-	    (unsigned)((double)most / seconds),
+	    (unsigned)((double)max_bytes / seconds),
 	    (double)(fleet.calls - calls) / seconds);
 	finish(&fleet, "measure");
 }
@@ -592,7 +597,7 @@
 		watching += fleet.nodes[i].watching;
 	TEST_CHECK(watching == LOOM_SPREAD_READERS, "%u watch", watching);
 	/* a watch, its gap and a tick */
-	per_s = (double)S / (double)(loom_age_plan(IN_FORCE_US).wait_us);
+	per_s = (double)S / (double)(loom_age_plan(CHANGE_WITHIN_US).wait_us);
 	TEST_CHECK(fleet.calls - calls <=
 		(uint64_t)(LOOM_SPREAD_READERS * (120 * per_s + 1)),
 	    "%u calls", (unsigned)(fleet.calls - calls));
--- a/tests/control/test_spread_config.c
+++ b/tests/control/test_spread_config.c
@@ -120,7 +120,8 @@
 }
 
 static void
-call(struct fixture *f, const char *method, const char *path, const char *body)
+call_standin(
+    struct fixture *f, const char *method, const char *path, const char *body)
 {
 	char *answer = test_standin_call(&f->standin, method, path, body);
 
@@ -135,7 +136,7 @@
 	char *path = g_strconcat("/test/values/manifest/", name, NULL);
 	char *text = loom_envelope_seal(key, document, strlen(document), NULL);
 
-	call(f, "PUT", path, text);
+	call_standin(f, "PUT", path, text);
 	g_free(text);
 	g_free(path);
 }
@@ -169,7 +170,7 @@
 		    i > 0 ? "," : "", f->daemons[i].name,
 		    f->daemons[i].address);
 	g_string_append_c(text, ']');
-	call(f, "PUT", "/test/values/hosts/orders", text->str);
+	call_standin(f, "PUT", "/test/values/hosts/orders", text->str);
 	g_string_free(text, TRUE);
 }
 
@@ -219,7 +220,7 @@
 }
 
 static bool
-all_serve(struct fixture *f, unsigned burst)
+all_ready_with(struct fixture *f, unsigned burst)
 {
 	unsigned i;
 
@@ -257,9 +258,9 @@
 	unsigned i;
 
 	setup(&f);
-	WAIT(all_serve(&f, 10));
+	WAIT(all_ready_with(&f, 10));
 	put_team(&f, &f.secret_key, "teams", 2, 20, true);
-	WAIT(all_serve(&f, 20));
+	WAIT(all_ready_with(&f, 20));
 	for (i = 0; i < DAEMONS; i++) {
 		daemon = &f.daemons[i];
 		g_mutex_lock(&daemon->lock);
@@ -286,18 +287,18 @@
 static void
 test_refused(void)
 {
-	struct loom_secret_key stranger;
-	struct loom_public_key unused;
-	int64_t refused, old, bad;
+	struct loom_secret_key untrusted;
+	struct loom_public_key untrusted_public;
+	int64_t refused, old, bad_sets;
 	struct fixture f;
 
 	setup(&f);
-	loom_key_pair(&unused, &stranger);
-	WAIT(all_serve(&f, 10));
+	loom_key_pair(&untrusted_public, &untrusted);
+	WAIT(all_ready_with(&f, 10));
 	put_team(&f, &f.secret_key, "teams", 2, 20, false);
-	WAIT(all_serve(&f, 20));
+	WAIT(all_ready_with(&f, 20));
 	refused = count("loom_spread_refused_total");
-	put_team(&f, &stranger, "teams", 3, 30, false);
+	put_team(&f, &untrusted, "teams", 3, 30, false);
 	WAIT(count("loom_spread_refused_total") > refused);
 	refused = count("loom_spread_refused_total");
 	put_team(&f, &f.secret_key, "other", 3, 30, false);
@@ -305,17 +306,17 @@
 	old = count("loom_spread_old_total");
 	put_team(&f, &f.secret_key, "teams", 1, 10, false);
 	WAIT(count("loom_spread_old_total") > old);
-	bad = count("loom_spread_bad_sets_total");
+	bad_sets = count("loom_spread_bad_sets_total");
 	put_signed(&f, &f.secret_key, "routes",
 	    "{\"document\": \"routes\", \"version\": 1, \"routes\": [{"
 	    "\"name\": \"r\", \"service\": \"none\", \"method\": \"GET\", "
 	    "\"path\": \"/r\"}]}");
-	WAIT(count("loom_spread_bad_sets_total") >= bad + DAEMONS);
-	CU_ASSERT(all_serve(&f, 20));
+	WAIT(count("loom_spread_bad_sets_total") >= bad_sets + DAEMONS);
+	CU_ASSERT(all_ready_with(&f, 20));
 	put_team(&f, &f.secret_key, "teams", 4, 40, false);
 	put_signed(&f, &f.secret_key, "routes",
 	    "{\"document\": \"routes\", \"version\": 2}");
-	WAIT(all_serve(&f, 40));
+	WAIT(all_ready_with(&f, 40));
 	teardown(&f);
 }
 
@@ -329,15 +330,15 @@
 	struct fixture f;
 
 	setup(&f);
-	WAIT(all_serve(&f, 10));
-	call(&f, "POST", "/test/fault?mode=down", "");
+	WAIT(all_ready_with(&f, 10));
+	call_standin(&f, "POST", "/test/fault?mode=down", "");
 	stop_daemon(&f.daemons[2]);
 	bind_daemon(&f, 2);
 	run_daemon(&f, 2);
-	WAIT(all_serve(&f, 10));
-	call(&f, "POST", "/test/fault?mode=none", "");
+	WAIT(all_ready_with(&f, 10));
+	call_standin(&f, "POST", "/test/fault?mode=none", "");
 	put_team(&f, &f.secret_key, "teams", 2, 20, false);
-	WAIT(all_serve(&f, 20));
+	WAIT(all_ready_with(&f, 20));
 	teardown(&f);
 }
 
--- a/tests/decide/test_age.c
+++ b/tests/decide/test_age.c
@@ -14,10 +14,10 @@
 /* An answer proves nothing later than its question, less the age it told, and
  * less what the two clocks may differ in that time. */
 static void
-test_proof(void)
+test_peer_as_of(void)
 {
 	static const struct {
-		uint64_t asked_us, told_us, proof_us;
+		uint64_t asked_us, peer_age_us, as_of_us;
 	} rows[] = {
 		{ MS(10000), 0, MS(10000) - 1 },
 		{ MS(10000), MS(256), MS(10000) - MS(257) - 1 },
@@ -29,13 +29,13 @@
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(rows); i++)
-		TEST_CHECK(loom_age_proof(rows[i].asked_us, rows[i].told_us) ==
-			rows[i].proof_us,
+		TEST_CHECK(loom_age_proof(rows[i].asked_us,
+			       rows[i].peer_age_us) == rows[i].as_of_us,
 		    "row %zu", i);
 }
 
 static void
-test_never_back(void)
+test_monotonic(void)
 {
 	struct loom_age age = { .held_us = 0 };
 
@@ -101,11 +101,11 @@
 static void
 finish(struct spread_fleet *fleet, const char *what)
 {
-	TEST_CHECK(spread_fleet_too_young(fleet) == 0,
+	TEST_CHECK(spread_fleet_understated_ages(fleet) == 0,
 	    "%s: %u ages younger than the truth", what,
-	    spread_fleet_too_young(fleet));
-	TEST_CHECK(spread_fleet_went_back(fleet) == 0, "%s: %u went back", what,
-	    spread_fleet_went_back(fleet));
+	    spread_fleet_understated_ages(fleet));
+	TEST_CHECK(spread_fleet_regressions(fleet) == 0, "%s: %u went back",
+	    what, spread_fleet_regressions(fleet));
 	spread_fleet_stop(fleet);
 }
 
@@ -129,16 +129,16 @@
 
 /* The oldest over a stretch of time, by tenths of a second. */
 static uint64_t
-oldest_over(struct spread_fleet *fleet, uint64_t for_us)
+max_age_over(struct spread_fleet *fleet, uint64_t for_us)
 {
 	const uint64_t until_us = fleet->now_us + for_us;
-	uint64_t oldest_us = 0;
+	uint64_t max_age_us = 0;
 
 	while (fleet->now_us < until_us) {
 		spread_fleet_run(fleet, fleet->now_us + MS(100));
-		oldest_us = MAX(oldest_us, spread_fleet_oldest_us(fleet));
+		max_age_us = MAX(max_age_us, spread_fleet_max_age_us(fleet));
 	}
-	return oldest_us;
+	return max_age_us;
 }
 
 static void
@@ -156,13 +156,13 @@
 
 /* While changes come and after them nobody is further behind than the bound. */
 static void
-check_in_touch(struct spread_fleet *fleet)
+check_age_bound(struct spread_fleet *fleet)
 {
-	uint64_t version = 1, oldest_us;
+	uint64_t version = 1, max_age_us;
 
 	put_changes(fleet, &version, 3 * S);
-	oldest_us = oldest_over(fleet, 15 * S);
-	TEST_CHECK(oldest_us <= 3 * S, "%u ms", (unsigned)(oldest_us / 1000));
+	max_age_us = max_age_over(fleet, 15 * S);
+	TEST_CHECK(max_age_us <= 3 * S, "%u ms", (unsigned)(max_age_us / 1000));
 }
 
 /* With nothing wrong nobody needs a reading of its own: a fixed few a data
@@ -173,14 +173,14 @@
 	const struct loom_age_plan plan = loom_age_plan(3 * S);
 	const uint64_t a_minute = 60 * S / plan.wait_us;
 	struct spread_fleet fleet;
-	uint64_t calls, oldest_us;
+	uint64_t calls, max_age_us;
 
 	start(&fleet, 95, 1, 0);
 	calls = fleet.calls;
-	oldest_us = oldest_over(&fleet, 30 * S);
+	max_age_us = max_age_over(&fleet, 30 * S);
 	calls = fleet.calls - calls;
 	TEST_CHECK(
-	    oldest_us < plan.self_us, "%u ms", (unsigned)(oldest_us / 1000));
+	    max_age_us < plan.self_us, "%u ms", (unsigned)(max_age_us / 1000));
 	TEST_CHECK(calls <= 5 * LOOM_SPREAD_READERS * a_minute / 2, "%u calls",
 	    (unsigned)calls);
 	finish(&fleet, "calm");
@@ -199,7 +199,7 @@
 		if (fleet.nodes[i].dc == 0 && fleet.nodes[i].watching)
 			spread_fleet_pause(&fleet, i, fleet.now_us + 30 * S);
 	}
-	check_in_touch(&fleet);
+	check_age_bound(&fleet);
 	finish(&fleet, "readers stop");
 }
 
@@ -209,7 +209,7 @@
 test_outage(void)
 {
 	struct spread_fleet fleet;
-	uint64_t version = 1, calls, oldest_us;
+	uint64_t version = 1, calls, max_age_us;
 
 	start(&fleet, 300, 3, 10);
 	spread_fleet_platform(&fleet, FLEET_DOWN);
@@ -223,8 +223,8 @@
 	calls = fleet.calls;
 	spread_fleet_run(&fleet, fleet.now_us + 2 * S);
 	calls = fleet.calls - calls;
-	oldest_us = spread_fleet_oldest_us(&fleet);
-	TEST_CHECK(oldest_us <= 3 * S, "%u ms", (unsigned)(oldest_us / 1000));
+	max_age_us = spread_fleet_max_age_us(&fleet);
+	TEST_CHECK(max_age_us <= 3 * S, "%u ms", (unsigned)(max_age_us / 1000));
 	TEST_CHECK(calls <= 2 * 5 * 30, "%u calls after it", (unsigned)calls);
 	finish(&fleet, "outage");
 }
@@ -239,12 +239,12 @@
 
 	start(&fleet, 95, 4, 10);
 	for (i = 1; i < 5; i++)
-		spread_fleet_cut(&fleet, 0, i, true);
+		spread_fleet_set_partitioned(&fleet, 0, i, true);
 	for (i = 0; i < fleet.options.nodes; i++) {
 		if (fleet.nodes[i].dc == 0 && fleet.nodes[i].watching)
 			fleet.nodes[i].platform = FLEET_DOWN;
 	}
-	check_in_touch(&fleet);
+	check_age_bound(&fleet);
 	finish(&fleet, "cut readers");
 }
 
@@ -257,8 +257,8 @@
 		.nodes = 60,
 		.dcs = 3,
 		.loss_permille = 50,
-		.repeat_permille = 50,
-		.late_permille = 200,
+		.duplicate_permille = 50,
+		.delay_permille = 200,
 		.within_us = 3 * S,
 		.checks_age = true,
 	};
@@ -289,7 +289,7 @@
 				spread_fleet_platform(&fleet, FLEET_UP);
 				break;
 			default:
-				spread_fleet_cut(&fleet, node % 3,
+				spread_fleet_set_partitioned(&fleet, node % 3,
 				    (node + 1) % 3, node % 2 == 0);
 				break;
 			}
@@ -300,8 +300,8 @@
 }
 
 static const struct test_case tests[] = {
-	{ "proof", test_proof },
-	{ "never back", test_never_back },
+	{ "proof", test_peer_as_of },
+	{ "never back", test_monotonic },
 	{ "plan", test_plan },
 	{ "delay of an own reading", test_read_delay },
 	{ "calm", test_calm },
--- a/tests/decide/test_spread.c
+++ b/tests/decide/test_spread.c
@@ -43,7 +43,7 @@
 #define IDS 100
 
 static void
-fill(uint64_t *ids)
+fill_ids(uint64_t *ids)
 {
 	uint32_t i;
 
@@ -56,11 +56,11 @@
 static void
 test_rank(void)
 {
-	uint64_t ids[IDS], left[IDS], lost;
+	uint64_t ids[IDS], remaining[IDS], removed;
 	uint32_t ranks[IDS], i, rank;
 	bool seen[IDS] = { false };
 
-	fill(ids);
+	fill_ids(ids);
 	loom_spread_order(ids, IDS);
 	for (i = 0; i < IDS; i++) {
 		ranks[i] = loom_spread_rank(ids, IDS, ids[i]);
@@ -70,17 +70,17 @@
 	}
 	CU_ASSERT_EQUAL(loom_spread_rank(ids, IDS, 5), IDS);
 	CU_ASSERT_EQUAL(loom_spread_rank(ids, 0, 5), 0);
-	memcpy(left, ids, sizeof(left));
-	lost = left[IDS / 2];
-	left[IDS / 2] = left[IDS - 1];
-	loom_spread_order(left, IDS - 1);
+	memcpy(remaining, ids, sizeof(remaining));
+	removed = remaining[IDS / 2];
+	remaining[IDS / 2] = remaining[IDS - 1];
+	loom_spread_order(remaining, IDS - 1);
 	for (i = 0; i < IDS; i++) {
-		if (ids[i] == lost)
+		if (ids[i] == removed)
 			continue;
-		rank = loom_spread_rank(left, IDS - 1, ids[i]);
+		rank = loom_spread_rank(remaining, IDS - 1, ids[i]);
 		CU_ASSERT(rank == ranks[i] || rank + 1 == ranks[i]);
 	}
-	CU_ASSERT_EQUAL(loom_spread_rank(left, IDS - 1, lost), IDS - 1);
+	CU_ASSERT_EQUAL(loom_spread_rank(remaining, IDS - 1, removed), IDS - 1);
 }
 
 /* Followed along first neighbours, the ring passes every daemon, so none is
@@ -99,9 +99,9 @@
 		{ IDS, 0, 0 },
 	};
 	uint64_t ids[IDS], out[3], at;
-	uint32_t told[IDS] = { 0 }, i, j, count, steps;
+	uint32_t ntold[IDS] = { 0 }, i, j, count, steps;
 
-	fill(ids);
+	fill_ids(ids);
 	for (i = 0; i < G_N_ELEMENTS(cases); i++)
 		TEST_CHECK(loom_spread_neighbours(ids, cases[i].n, ids[0], out,
 			       cases[i].max) == cases[i].count,
@@ -113,13 +113,13 @@
 		for (i = 0; i < count; i++) {
 			CU_ASSERT(out[i] != at);
 			for (j = 0; j < IDS; j++)
-				told[j] += ids[j] == out[i];
+				ntold[j] += ids[j] == out[i];
 		}
 		at = out[0];
 		CU_ASSERT((at == ids[0]) == (steps == IDS - 1));
 	}
 	for (j = 0; j < IDS; j++)
-		CU_ASSERT(told[j] >= 1 && told[j] <= 3);
+		CU_ASSERT(ntold[j] >= 1 && ntold[j] <= 3);
 }
 
 /* Each but the readers asks one before it, nobody is asked by more than are
--- a/tests/support/spread_fleet.c
+++ b/tests/support/spread_fleet.c
@@ -9,11 +9,11 @@
 #include "support/spread_fleet.h"
 
 #define TICK_US 100000
-#define GAP_US 200000
+#define CALL_GAP_US 200000
 #define BACKOFF_US 1000000 /* readers ask again within a second */
-#define IDLE_US 60000000
+#define CONNECTION_IDLE_US 60000000
 #define PLATFORM_ANSWER_US 5000
-#define SEEDS 3
+#define NODE_SEEDS 3
 
 /* One put at the platform; its revision is its index plus one. */
 struct spread_fleet_put {
@@ -43,39 +43,39 @@
 }
 
 static void
-heap_push(GPtrArray *heap, struct spread_fleet_event *event)
+queue_push(GPtrArray *events, struct spread_fleet_event *event)
 {
 	guint i, parent;
 
-	g_ptr_array_add(heap, event);
-	for (i = heap->len - 1; i > 0; i = parent) {
+	g_ptr_array_add(events, event);
+	for (i = events->len - 1; i > 0; i = parent) {
 		parent = (i - 1) / 2;
-		if (!earlier(event, heap->pdata[parent]))
+		if (!earlier(event, events->pdata[parent]))
 			break;
-		heap->pdata[i] = heap->pdata[parent];
+		events->pdata[i] = events->pdata[parent];
 	}
-	heap->pdata[i] = event;
+	events->pdata[i] = event;
 }
 
 static struct spread_fleet_event *
-heap_pop(GPtrArray *heap)
+queue_pop(GPtrArray *events)
 {
-	struct spread_fleet_event *first = heap->pdata[0];
-	struct spread_fleet_event *last = heap->pdata[heap->len - 1];
+	struct spread_fleet_event *first = events->pdata[0];
+	struct spread_fleet_event *last = events->pdata[events->len - 1];
 	guint i = 0, child;
 
-	g_ptr_array_set_size(heap, (gint)heap->len - 1);
-	while ((child = 2 * i + 1) < heap->len) {
-		if (child + 1 < heap->len &&
-		    earlier(heap->pdata[child + 1], heap->pdata[child]))
+	g_ptr_array_set_size(events, (gint)events->len - 1);
+	while ((child = 2 * i + 1) < events->len) {
+		if (child + 1 < events->len &&
+		    earlier(events->pdata[child + 1], events->pdata[child]))
 			child++;
-		if (!earlier(heap->pdata[child], last))
+		if (!earlier(events->pdata[child], last))
 			break;
-		heap->pdata[i] = heap->pdata[child];
+		events->pdata[i] = events->pdata[child];
 		i = child;
 	}
-	if (heap->len > 0)
-		heap->pdata[i] = last;
+	if (events->len > 0)
+		events->pdata[i] = last;
 	return first;
 }
 
@@ -85,11 +85,11 @@
 {
 	event->at_us = at_us;
 	event->sequence = fleet->sequence++;
-	heap_push(fleet->heap, event);
+	queue_push(fleet->events, event);
 }
 
 static bool
-chance(struct spread_fleet *fleet, uint32_t permille)
+happens(struct spread_fleet *fleet, uint32_t permille)
 {
 	return loom_random_below(&fleet->random, 1000) < permille;
 }
@@ -100,7 +100,7 @@
 	uint64_t delay = across ? 5000 : 200;
 
 	delay += loom_random_below(&fleet->random, across ? 20000 : 800);
-	if (chance(fleet, fleet->options.late_permille))
+	if (happens(fleet, fleet->options.delay_permille))
 		delay += loom_random_below(&fleet->random, 500000);
 	return delay;
 }
@@ -120,7 +120,7 @@
 		used[0] = pair;
 		g_hash_table_insert(fleet->connections, used, used);
 	}
-	if (used[1] == 0 || fleet->now_us - used[1] > IDLE_US)
+	if (used[1] == 0 || fleet->now_us - used[1] > CONNECTION_IDLE_US)
 		bytes += FLEET_CONNECT_BYTES;
 	used[1] = fleet->now_us;
 	from->bytes += bytes;
@@ -157,11 +157,11 @@
 	if (to == NULL || to == from)
 		return;
 	count_bytes(from, to, len);
-	if (fleet->cut[from->dc][to->dc] ||
-	    chance(fleet, fleet->options.loss_permille))
+	if (fleet->partitioned[from->dc][to->dc] ||
+	    happens(fleet, fleet->options.loss_permille))
 		return;
 	deliver_later(from, to, type, payload, len);
-	if (chance(fleet, fleet->options.repeat_permille))
+	if (happens(fleet, fleet->options.duplicate_permille))
 		deliver_later(from, to, type, payload, len);
 }
 
@@ -212,10 +212,10 @@
 	(void)kind;
 	for (i = 0; i < n; i++) {
 		name = index_of(items[i]->name);
-		if (node->in_force[name] == items[i]->version.number)
+		if (node->applied[name] == items[i]->version.number)
 			continue;
-		node->in_force[name] = items[i]->version.number;
-		node->in_force_us[name] = now_us;
+		node->applied[name] = items[i]->version.number;
+		node->applied_us[name] = now_us;
 	}
 	return true;
 }
@@ -251,11 +251,11 @@
 		g_snprintf(name, sizeof(name), "manifest/%u", i);
 		item = loom_spread_find(node->spread, name);
 		if (item == NULL) {
-			node->went_back += node->held[i].number != 0;
+			node->regressions += node->held[i].number != 0;
 			continue;
 		}
 		if (loom_spread_compare(&item->version, &node->held[i]) < 0)
-			node->went_back++;
+			node->regressions++;
 		node->held[i] = item->version;
 	}
 }
@@ -287,7 +287,7 @@
 
 	if (node->platform == FLEET_STALE)
 		last = MIN(last, node->stale_revision);
-	for (at = node->after; at < last; at++) {
+	for (at = node->next_revision; at < last; at++) {
 		if (!is_latest(fleet, at, last))
 			continue;
 		put = &g_array_index(fleet->puts, struct spread_fleet_put, at);
@@ -296,7 +296,7 @@
 		    put->text, strlen(put->text), fleet->now_us);
 		any = true;
 	}
-	node->after = last;
+	node->next_revision = last;
 	return any;
 }
 
@@ -318,7 +318,7 @@
 		node->fetching = false;
 		node->call_end_us = 0;
 		node->next_call_us =
-		    fleet->now_us + (node->watching ? BACKOFF_US : GAP_US);
+		    fleet->now_us + (node->watching ? BACKOFF_US : CALL_GAP_US);
 		return;
 	}
 	any = read_values(node);
@@ -330,9 +330,9 @@
 	 * more than what was there when it was sent */
 	sent_us = node->fetching || first ? fleet->now_us : node->sent_us;
 	node->fetching = false;
-	node->sent_us = fleet->now_us + GAP_US;
-	node->call_end_us = fleet->now_us + GAP_US + plan.wait_us;
-	node->next_call_us = fleet->now_us + GAP_US;
+	node->sent_us = fleet->now_us + CALL_GAP_US;
+	node->call_end_us = fleet->now_us + CALL_GAP_US + plan.wait_us;
+	node->next_call_us = fleet->now_us + CALL_GAP_US;
 	loom_spread_platform_answered(
 	    node->spread, LOOM_SPREAD_MANIFEST, sent_us, fleet->now_us);
 	loom_spread_platform_answered(
@@ -362,7 +362,7 @@
 		g_snprintf(name, sizeof(name), "manifest/%u", put->name);
 		item = loom_spread_find(node->spread, name);
 		if (item == NULL || item->version.number < put->version)
-			node->too_young++;
+			node->understated_ages++;
 	}
 }
 
@@ -394,11 +394,11 @@
 }
 
 static void
-play(struct spread_fleet *fleet, struct spread_fleet_event *event)
+run_event(struct spread_fleet *fleet, struct spread_fleet_event *event)
 {
 	struct spread_fleet_node *node = event->to;
 
-	if (!node->up ||
+	if (!node->running ||
 	    (event->tick && event->incarnation != node->incarnation)) {
 		g_free(event);
 		return;
@@ -419,35 +419,35 @@
 }
 
 static bool
-step(struct spread_fleet *fleet, uint64_t until_us)
+run_next_event(struct spread_fleet *fleet, uint64_t until_us)
 {
-	const struct spread_fleet_event *first = fleet->heap->pdata[0];
+	const struct spread_fleet_event *first = fleet->events->pdata[0];
 
 	if (first->at_us > until_us) {
 		fleet->now_us = until_us;
 		return false;
 	}
 	fleet->now_us = first->at_us;
-	play(fleet, heap_pop(fleet->heap));
+	run_event(fleet, queue_pop(fleet->events));
 	return true;
 }
 
 void
 spread_fleet_run(struct spread_fleet *fleet, uint64_t until_us)
 {
-	while (step(fleet, until_us))
+	while (run_next_event(fleet, until_us))
 		continue;
 }
 
 static bool
-all_in_force(const struct spread_fleet *fleet, unsigned name, uint64_t version)
+all_applied(const struct spread_fleet *fleet, unsigned name, uint64_t version)
 {
 	const struct spread_fleet_node *node;
 	uint32_t i;
 
 	for (i = 0; i < fleet->options.nodes; i++) {
 		node = &fleet->nodes[i];
-		if (node->up && node->in_force[name] < version)
+		if (node->running && node->applied[name] < version)
 			return false;
 	}
 	return true;
@@ -460,11 +460,11 @@
 	uint64_t end_us = fleet->now_us + limit_us;
 
 	while (fleet->now_us < end_us) {
-		if (all_in_force(fleet, name, version))
+		if (all_applied(fleet, name, version))
 			return true;
 		spread_fleet_run(fleet, fleet->now_us + TICK_US / 2);
 	}
-	return all_in_force(fleet, name, version);
+	return all_applied(fleet, name, version);
 }
 
 bool
@@ -476,7 +476,8 @@
 	while (fleet->now_us < end_us) {
 		spread_fleet_run(fleet, fleet->now_us + TICK_US / 2);
 		for (i = 0; i < fleet->options.nodes; i++) {
-			if (fleet->nodes[i].up && fleet->nodes[i].ready_us == 0)
+			if (fleet->nodes[i].running &&
+			    fleet->nodes[i].ready_us == 0)
 				break;
 		}
 		if (i == fleet->options.nodes)
@@ -487,7 +488,7 @@
 
 void
 spread_fleet_put(struct spread_fleet *fleet, unsigned name, uint64_t version,
-    char who, uint32_t size)
+    char writer, uint32_t size)
 {
 	struct spread_fleet_put put = {
 		.name = name,
@@ -497,7 +498,7 @@
 	GString *text = g_string_new(NULL);
 
 	g_string_append_printf(
-	    text, "%" G_GUINT64_FORMAT " %c ", (guint64)version, who);
+	    text, "%" G_GUINT64_FORMAT " %c ", (guint64)version, writer);
 	while (text->len < size)
 		g_string_append_c(text, 'x');
 	put.text = g_string_free(text, FALSE);
@@ -520,13 +521,13 @@
 		    .incarnation = ++node->incarnation },
 		.sender = { .send = node_send, .arg = node },
 		.random = fleet->random,
-		.nseeds = SEEDS,
+		.nseeds = NODE_SEEDS,
 		.within_us = fleet->options.within_us,
 	};
-	uint64_t seeds[SEEDS];
+	uint64_t seeds[NODE_SEEDS];
 	uint32_t i;
 
-	for (i = 0; i < SEEDS; i++)
+	for (i = 0; i < NODE_SEEDS; i++)
 		seeds[i] = fleet
 			       ->nodes[loom_random_below(
 				   &fleet->random, fleet->options.nodes)]
@@ -534,16 +535,16 @@
 	options.seeds = seeds;
 	node->spread =
 	    loom_spread_new(NULL, &options, &node_ops, node, fleet->now_us);
-	node->up = true;
+	node->running = true;
 	node->watching = false;
 	node->fetching = false;
-	node->after = 0;
+	node->next_revision = 0;
 	node->next_call_us = fleet->now_us + PLATFORM_ANSWER_US;
 	node->call_end_us = 0;
 	node->ready_us = 0;
 	node->paused_until_us = 0;
 	memset(node->held, 0, sizeof(node->held));
-	memset(node->in_force, 0, sizeof(node->in_force));
+	memset(node->applied, 0, sizeof(node->applied));
 	loom_spread_part.hosts_changed(
 	    node->spread, fleet->hosts, fleet->now_us);
 	start_ticks(node);
@@ -552,14 +553,14 @@
 void
 spread_fleet_kill(struct spread_fleet *fleet, uint32_t i)
 {
-	fleet->nodes[i].up = false;
+	fleet->nodes[i].running = false;
 	TALLOC_FREE(fleet->nodes[i].spread);
 }
 
 void
 spread_fleet_restart(struct spread_fleet *fleet, uint32_t i)
 {
-	if (fleet->nodes[i].up)
+	if (fleet->nodes[i].running)
 		spread_fleet_kill(fleet, i);
 	node_start(fleet, &fleet->nodes[i]);
 }
@@ -571,10 +572,11 @@
 }
 
 void
-spread_fleet_cut(struct spread_fleet *fleet, uint32_t a, uint32_t b, bool cut)
+spread_fleet_set_partitioned(
+    struct spread_fleet *fleet, uint32_t a, uint32_t b, bool partitioned)
 {
-	fleet->cut[a][b] = cut;
-	fleet->cut[b][a] = cut;
+	fleet->partitioned[a][b] = partitioned;
+	fleet->partitioned[b][a] = partitioned;
 }
 
 void
@@ -634,7 +636,7 @@
 	fleet->connections =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
 	fleet->puts = g_array_new(FALSE, TRUE, sizeof(struct spread_fleet_put));
-	fleet->heap = g_ptr_array_new();
+	fleet->events = g_ptr_array_new();
 	make_hosts(fleet);
 	spread_fleet_put(fleet, 0, 1, 'a', 400);
 	for (i = 0; i < options->nodes; i++)
@@ -648,12 +650,12 @@
 
 	for (i = 0; i < fleet->options.nodes; i++)
 		talloc_free(fleet->nodes[i].spread);
-	for (i = 0; i < fleet->heap->len; i++)
-		g_free(fleet->heap->pdata[i]);
+	for (i = 0; i < fleet->events->len; i++)
+		g_free(fleet->events->pdata[i]);
 	for (i = 0; i < fleet->puts->len; i++)
 		g_free(g_array_index(fleet->puts, struct spread_fleet_put, i)
 			   .text);
-	g_ptr_array_free(fleet->heap, TRUE);
+	g_ptr_array_free(fleet->events, TRUE);
 	g_array_free(fleet->puts, TRUE);
 	g_hash_table_destroy(fleet->by_id);
 	g_hash_table_destroy(fleet->connections);
@@ -663,19 +665,19 @@
 }
 
 uint64_t
-spread_fleet_oldest_us(const struct spread_fleet *fleet)
+spread_fleet_max_age_us(const struct spread_fleet *fleet)
 {
 	const struct spread_fleet_node *node;
-	uint64_t oldest_us = 0;
+	uint64_t max_age_us = 0;
 	uint32_t i;
 
 	for (i = 0; i < fleet->options.nodes; i++) {
 		node = &fleet->nodes[i];
-		if (node->up && fleet->now_us >= node->paused_until_us)
-			oldest_us = MAX(oldest_us,
+		if (node->running && fleet->now_us >= node->paused_until_us)
+			max_age_us = MAX(max_age_us,
 			    loom_spread_age_us(node->spread, fleet->now_us));
 	}
-	return oldest_us;
+	return max_age_us;
 }
 
 static unsigned
@@ -690,15 +692,16 @@
 }
 
 unsigned
-spread_fleet_too_young(const struct spread_fleet *fleet)
+spread_fleet_understated_ages(const struct spread_fleet *fleet)
 {
-	return sum_of(fleet, offsetof(struct spread_fleet_node, too_young));
+	return sum_of(
+	    fleet, offsetof(struct spread_fleet_node, understated_ages));
 }
 
 unsigned
-spread_fleet_went_back(const struct spread_fleet *fleet)
+spread_fleet_regressions(const struct spread_fleet *fleet)
 {
-	return sum_of(fleet, offsetof(struct spread_fleet_node, went_back));
+	return sum_of(fleet, offsetof(struct spread_fleet_node, regressions));
 }
 
 bool
@@ -709,7 +712,7 @@
 
 	for (i = 0; i < fleet->options.nodes; i++) {
 		node = &fleet->nodes[i];
-		if (!node->up)
+		if (!node->running)
 			continue;
 		if (first == NULL)
 			first = node;
--- a/tests/support/spread_fleet.h
+++ b/tests/support/spread_fleet.h
@@ -38,11 +38,11 @@
 	uint64_t host_id;
 	uint64_t incarnation;
 	uint64_t paused_until_us;
-	bool up;
+	bool running;
 	/* its view of the platform */
 	enum spread_fleet_platform platform;
 	uint64_t stale_revision;
-	uint64_t after;
+	uint64_t next_revision;
 	uint64_t next_call_us;
 	uint64_t call_end_us;
 	uint64_t sent_us; /* when the running watch was sent */
@@ -50,12 +50,12 @@
 	bool fetching;
 	/* what was seen of it */
 	struct loom_spread_version held[FLEET_NAMES];
-	uint64_t in_force[FLEET_NAMES];
-	uint64_t in_force_us[FLEET_NAMES];
+	uint64_t applied[FLEET_NAMES];
+	uint64_t applied_us[FLEET_NAMES];
 	uint64_t ready_us;
 	uint64_t bytes;
-	unsigned went_back;
-	unsigned too_young; /* told ages, by the oracle */
+	unsigned regressions;
+	unsigned understated_ages; /* told ages, by the oracle */
 };
 
 struct spread_fleet_options {
@@ -63,8 +63,8 @@
 	uint32_t dcs;
 	uint32_t seed;
 	uint32_t loss_permille;
-	uint32_t repeat_permille;
-	uint32_t late_permille; /* delayed by up to half a second more */
+	uint32_t duplicate_permille;
+	uint32_t delay_permille; /* delayed by up to half a second more */
 	uint64_t within_us; /* of the parts; 0 for their default */
 	bool checks_age; /* by the oracle, at each tick */
 };
@@ -77,12 +77,12 @@
 	GHashTable *by_id;
 	struct loom_hosts *hosts;
 	GArray *puts; /* struct spread_fleet_put */
-	GPtrArray *heap; /* struct spread_fleet_event */
+	GPtrArray *events; /* struct spread_fleet_event */
 	GHashTable *connections; /* pair of nodes: time of last use */
 	uint64_t sequence;
 	uint64_t calls; /* to the platform */
 	uint64_t messages;
-	bool cut[8][8]; /* between data centres */
+	bool partitioned[8][8]; /* between data centres */
 };
 
 void spread_fleet_start(
@@ -101,7 +101,7 @@
 /* The operators ship a version of a document of about size bytes; who tells
  * two texts of one version apart. */
 void spread_fleet_put(struct spread_fleet *, unsigned name, uint64_t version,
-    char who, uint32_t size);
+    char writer, uint32_t size);
 /* The platform lists hosts anew: a value with a revision alone. */
 uint64_t spread_fleet_revision(const struct spread_fleet *);
 
@@ -109,17 +109,17 @@
 void spread_fleet_kill(struct spread_fleet *, uint32_t node);
 void spread_fleet_pause(
     struct spread_fleet *, uint32_t node, uint64_t until_us);
-void spread_fleet_cut(
-    struct spread_fleet *, uint32_t dc_a, uint32_t dc_b, bool cut);
+void spread_fleet_set_partitioned(
+    struct spread_fleet *, uint32_t dc_a, uint32_t dc_b, bool partitioned);
 void spread_fleet_platform(struct spread_fleet *, enum spread_fleet_platform);
 
 /* The age of the one that is furthest behind, of those that run. */
-uint64_t spread_fleet_oldest_us(const struct spread_fleet *);
+uint64_t spread_fleet_max_age_us(const struct spread_fleet *);
 /* Ages told that were younger than the truth. */
-unsigned spread_fleet_too_young(const struct spread_fleet *);
+unsigned spread_fleet_understated_ages(const struct spread_fleet *);
 
 /* All nodes' versions that went back, ever. */
-unsigned spread_fleet_went_back(const struct spread_fleet *);
+unsigned spread_fleet_regressions(const struct spread_fleet *);
 /* Do all nodes that are up hold the same versions? */
 bool spread_fleet_agrees(const struct spread_fleet *);
 
