--- a/include/loom/age.h
+++ b/include/loom/age.h
@@ -2,11 +2,12 @@
 #define LOOM_AGE_H
 
 /*
- * How old the knowledge of a daemon is: the moment, by its own clock, up to
- * which it holds all that the platform had acknowledged.  The moment never
- * moves back, and is never later than the truth: messages that are late,
- * processes that are stopped and clocks that run at other speeds only make
- * knowledge look older than it is.
+ * Age of the data that a daemon holds: the time, by its own clock, up to which
+ * it holds everything that the platform had acknowledged.
+ *
+ * This time never moves back and is never later than the truth: late messages,
+ * stopped processes and clocks that run at different speeds only make the data
+ * look older than it is.
  */
 
 #include <stdbool.h>
@@ -15,48 +16,55 @@
 #include "loom/clock.h"
 
 struct loom_age {
-	uint64_t held_us; /* 0: nothing yet */
+	uint64_t held_us; /* no data is missing up to here; 0: no data yet */
 };
 
 /*
- * All is held that the platform had acknowledged at this moment: that at which
- * a call to it was begun whose answer is held, or that which the word of a peer
- * proves whose values are held.
+ * Records that everything the platform had acknowledged by as_of_us is held:
+ * either a call to the platform began then and its answer is held, or a peer's
+ * answer proves it (loom_age_proof()) and the peer's values are held.  Ignores
+ * a time earlier than the one recorded.
  */
 void loom_age_hold(struct loom_age *, uint64_t as_of_us);
 
-/* The moment that a peer's word proves: asked_us is when it was asked, by the
- * own clock, told_us the age that it answered with.  0 for none. */
+/*
+ * Returns the time up to which a peer's data was complete: asked_us is when the
+ * peer was asked, by the own clock, and peer_age_us the age that it answered
+ * with.  0 if the answer proves nothing.
+ */
 uint64_t loom_age_proof(uint64_t asked_us, uint64_t peer_age_us);
 
-/* UINT64_MAX when nothing is held. */
+/* Returns UINT64_MAX when nothing is held yet. */
 uint64_t loom_age_us(const struct loom_age *, uint64_t now_us);
 
 /*
- * The times by which daemons keep within a bound, all parts of it.  A reader
- * whose watch is lost, or a daemon whose reader is gone, must have read anew
- * before the bound is over.
+ * Timing that keeps the age within a bound; every value is a fraction of it.
+ * When a reader's watch is lost, or a daemon's reader is gone, the platform
+ * must have been read again before the bound has passed.
  */
 struct loom_age_plan {
-	uint64_t wait_us; /* a reader's watch at the platform */
-	uint64_t answer_us; /* for its answer besides */
-	uint64_t beat_us; /* between two questions to a peer */
-	uint64_t elsewhere_us; /* at this age others are asked as well */
-	uint64_t self_us; /* and at this one the platform itself */
+	uint64_t wait_us; /* duration of a reader's watch */
+	uint64_t answer_us; /* further time allowed for the answer */
+	uint64_t beat_us; /* between two queries to peers */
+	uint64_t elsewhere_us; /* at this age other peers are queried too */
+	uint64_t self_us; /* at this age the daemon reads the platform */
 };
 
 struct loom_age_plan loom_age_plan(uint64_t within_us);
 
-/* Who reads the platform for want of a peer that knows more. */
+/* A daemon that has to read the platform since no peer has newer data. */
 struct loom_age_reader {
-	uint32_t rank; /* in the data centre */
-	uint32_t readers; /* ranks below it watch */
-	uint32_t hosts; /* of the data centre */
-	bool alone; /* no peer has answered lately */
+	uint32_t rank; /* position in the order of its data centre */
+	uint32_t readers; /* daemons of a lower rank watch the platform */
+	uint32_t hosts; /* in the data centre */
+	bool alone; /* no peer has answered recently */
 };
 
-/* How long after self_us it reads, and again if that failed: one after
- * another, at a pace that the size of the data centre does not raise. */
+/*
+ * Returns how long after reaching self_us the daemon reads the platform; also
+ * the extra delay before each retry.  Delays are staggered, so that the rate of
+ * reads does not grow with the size of the data centre.
+ */
 uint64_t loom_age_read_delay_us(const struct loom_age_reader *,
     const struct loom_age_plan *, const struct loom_random *);
 
--- a/include/loom/spread_policy.h
+++ b/include/loom/spread_policy.h
@@ -2,10 +2,10 @@
 #define LOOM_SPREAD_POLICY_H
 
 /*
- * Decisions of the spread of versions: which copy wins, who reads the
- * platform, who tells whom, and when a starting daemon knows enough.  Every
- * daemon decides by its own view; two views that differ cost a few calls or
- * bytes, never a version.
+ * Decisions of the gossip protocol that distributes configuration: which copy
+ * wins, who reads the platform, which peers are notified, and when a starting
+ * daemon may serve.  Every daemon decides from its own view of the fleet.
+ * Views that differ cost a few extra calls or bytes but never lose a version.
  */
 
 #include <stdbool.h>
@@ -14,12 +14,13 @@
 
 #define LOOM_SPREAD_DIGEST_SIZE 32
 
-/* Daemons of a data centre that watch the platform.  Two: one may be gone, and
- * while both are, others read for themselves (loom/age.h). */
+/* Daemons per data centre that watch the platform.  Two, since one may be gone;
+ * while both are, other daemons read the platform themselves (loom/age.h). */
 #define LOOM_SPREAD_READERS 2
-/* Daemons that ask one and the same other one how old its knowledge is. */
+/* Daemons that query the same parent for its age, at most. */
 #define LOOM_SPREAD_CHILDREN 16
-/* Peers that a starting daemon must agree with when the platform is down. */
+/* Serving peers that a starting daemon must agree with while the platform is
+ * down. */
 #define LOOM_SPREAD_START_PEERS 2
 
 struct loom_spread_version {
@@ -27,44 +28,49 @@
 	uint8_t digest[LOOM_SPREAD_DIGEST_SIZE];
 };
 
-/* Below 0, 0, above 0 as a is older than, the same as, newer than b: by
- * number, then by digest, so that a race ends the same everywhere. */
+/*
+ * Returns below 0, 0 or above 0 if a is older than, the same as or newer than
+ * b: by number, then by digest, so that concurrent writes of the same number
+ * resolve alike everywhere.
+ */
 int loom_spread_compare(
     const struct loom_spread_version *a, const struct loom_spread_version *b);
 
-/* Bring the ids of a data centre into the order of their ranks.  A new or lost
- * host moves others by at most one place. */
+/* Sorts the host ids of a data centre by rank.  A host that is added or removed
+ * moves the rank of others by at most one. */
 void loom_spread_order(uint64_t *ids, uint32_t n);
 
-/* The place of self among ids in order, 0 first; n when it is not there. */
+/* Returns the rank of self, from 0, in ids that loom_spread_order() sorted; n
+ * if it is not among them. */
 uint32_t loom_spread_rank(const uint64_t *ids, uint32_t n, uint64_t self);
 
-/* The rank that one of this rank asks: readers have none, UINT32_MAX, and
- * nobody is asked by more than LOOM_SPREAD_CHILDREN. */
+/* Returns the rank of the parent that a daemon of this rank queries; UINT32_MAX
+ * for a reader.  No parent has more than LOOM_SPREAD_CHILDREN children. */
 uint32_t loom_spread_parent(uint32_t rank);
 
 /*
- * The ids that self tells of a change: its successors on max rings, each of
- * which orders the ids by another hash, so that each listed daemon is told by
- * as many as it tells.  Returns how many were written, fewer when rings agree;
- * never self, none twice.
+ * Writes the ids that self notifies of a change: its successors on max rings,
+ * each of which orders the ids by another hash, so that each daemon is notified
+ * by as many as it notifies.  Returns how many were written, fewer than max if
+ * rings give the same id.  The result has no duplicates and never contains
+ * self.
  */
 uint32_t loom_spread_neighbours(const uint64_t *ids, uint32_t n, uint64_t self,
     uint64_t *out, uint32_t max);
 
-/* What a starting daemon has found. */
+/* What a starting daemon has learnt from the platform and from peers. */
 struct loom_spread_found {
-	bool in_force; /* its documents join into a manifest */
-	bool platform; /* the platform answered for all prefixes */
-	uint64_t platform_us; /* since then */
-	bool platform_is_current; /* it cannot have answered with an old set */
-	uint32_t known_peers; /* other hosts that it knows of */
-	bool heard_peers; /* any of them answered */
-	uint32_t heard_ready; /* that are ready themselves */
-	uint32_t agreeing_ready; /* of those, hold the same versions */
+	bool in_force; /* its manifest and hosts are in effect */
+	bool platform; /* the platform has answered for all prefixes */
+	uint64_t platform_us; /* time since then */
+	bool platform_is_current; /* the platform is never stale */
+	uint32_t known_peers; /* other hosts known */
+	bool heard_peers; /* at least one peer has answered */
+	uint32_t heard_ready; /* peers that answered and are ready */
+	uint32_t agreeing_ready; /* of those, how many hold the same versions */
 };
 
-/* May a starting daemon serve? */
+/* Returns whether a starting daemon may serve. */
 bool loom_spread_ready(const struct loom_spread_found *);
 
 #endif
--- a/src/decide/age.c
+++ b/src/decide/age.c
@@ -1,22 +1,25 @@
 /*
- * The age of what a daemon holds; see the header.
+ * Age of the data that a daemon holds; see the header.
  *
- * Load pattern: few daemons read the platform, and all others know by their
- * word.  A reader that is stopped, cut off or out of processor time looks no
- * different from a platform on which nothing changes, and its data centre goes
- * on with withdrawn keys and hosts that left.  So every daemon asks, and takes
- * an answer for no younger than the question.
+ * Few daemons read the platform, and all others depend on what those pass on.
+ * A reader that is stopped, cut off or out of processor time looks just like a
+ * platform on which nothing changes, and its data centre would go on using
+ * withdrawn keys and hosts that have left.  So every daemon queries its peers,
+ * and treats an answer as no newer than the time of the query.
  */
 
 #include <glib.h>
 
 #include "loom/age.h"
 
-/* Clocks of two daemons differ in speed by less than one in so many. */
+/* The speeds of two daemons' clocks differ by less than 1 in 256. */
 #define CLOCK_DRIFT_DIVISOR 256
 
-/* Of the bound; the sum of a lost watch, its time for an answer and one more
- * reading stays below it. */
+/*
+ * Fractions of the bound.  A change may be missed for the length of a lost
+ * watch, the time allowed for its answer and one more read; their sum is below
+ * the bound.
+ */
 #define LONG_POLL_DIVISOR 6
 #define RESPONSE_DIVISOR 5
 #define QUERY_INTERVAL_DIVISOR 12
@@ -24,11 +27,15 @@
 #define PLATFORM_READ_TENTHS 6
 #define TENTHS 10
 
-/* The first few to step in are known to the others, who ask them. */
+/*
+ * The daemons ranked next after the readers read the platform first, one after
+ * another.  Other daemons query the first of them, and so seldom have to read
+ * the platform themselves.
+ */
 #define STANDBYS 4
 #define STANDBY_STEP_US (100 * LOOM_US_PER_MS)
-/* All others of a data centre together read at most once in this time, when
- * the first few have had theirs. */
+/* After that, all other daemons of a data centre together read the platform
+ * about once per interval. */
 #define READ_INTERVAL_US (50 * LOOM_US_PER_MS)
 
 void
@@ -72,13 +79,13 @@
 loom_age_read_delay_us(const struct loom_age_reader *reader,
     const struct loom_age_plan *plan, const struct loom_random *random)
 {
-	uint32_t place;
+	uint32_t position;
 
 	if (reader->alone)
 		return 1 + loom_random_below(random, plan->beat_us);
 	if (reader->rank < reader->readers + STANDBYS) {
-		place = reader->rank - MIN(reader->rank, reader->readers);
-		return 1 + place * STANDBY_STEP_US;
+		position = reader->rank - MIN(reader->rank, reader->readers);
+		return 1 + position * STANDBY_STEP_US;
 	}
 	return plan->answer_us +
 	    loom_random_below(
--- a/src/decide/spread.c
+++ b/src/decide/spread.c
@@ -1,10 +1,11 @@
 /*
- * Decisions of the spread of versions; see the header.
+ * Decisions of the gossip protocol; see the header.
  *
- * Load that this answers: 61,000 changes a day to 17,000 daemons past a
- * platform that takes 2,000 calls a second.  If all daemons watched, each
- * change would cost 17,000 calls, six times the platform's budget on average.
- * So two in each data centre watch and the rest learn from each other.
+ * Designed for 61,000 changes a day, 17,000 daemons and a platform that handles
+ * 2,000 calls a second.  If all daemons watched the platform, each change would
+ * cost 17,000 calls, on average six times what the platform can handle.  So two
+ * daemons in each data centre watch it, and the others get changes from their
+ * peers.
  */
 
 #include <glib.h>
@@ -15,18 +16,25 @@
 #include "loom/clock.h"
 #include "loom/spread_policy.h"
 
-/* A starting daemon waits so long for a peer after the platform's answer.
- * The platform may be stale, and any one peer would tell; but the first
- * daemon of a fleet has no peer and must start too. */
+/*
+ * How long a starting daemon waits for a peer after the platform has answered.
+ * The platform may be stale, which any peer would show; but the first daemon of
+ * a fleet has no peers and must start as well.
+ */
 #define NO_PEER_WAIT_US (2 * LOOM_US_PER_S)
-/* And so long for a peer that serves, while all that answer are starting as
- * well: a whole fleet may start at once.  Starting daemons ask three others
- * each 0.3 s, and what one of them learns the others learn from it: ten such
- * rounds carry it from one daemon to more than a fleet of 17,000. */
+/*
+ * How long it waits for a serving peer while all peers that answer are starting
+ * too, as when a whole fleet starts at once.  Starting daemons query three
+ * others every 0.3 s, and these pass on what they learn: in ten such rounds
+ * data from one daemon reaches more than a fleet of 17,000.
+ */
 #define NO_READY_WAIT_US (3 * LOOM_US_PER_S)
-/* And so long for agreement with those that serve.  By then all they have was
- * asked for many times; what still differs is what this daemon's own checks
- * refuse, as a newer release may, and waiting on would keep it out for ever. */
+/*
+ * How long it waits to agree with the serving peers.  By then it has requested
+ * all that they hold many times.  What still differs are values that its own
+ * checks reject, as those of a newer release may; waiting longer would keep it
+ * from ever serving.
+ */
 #define AGREEMENT_WAIT_US (30 * LOOM_US_PER_S)
 
 int
@@ -38,7 +46,7 @@
 	return memcmp(a->digest, b->digest, sizeof(a->digest));
 }
 
-/* One step of splitmix64. */
+/* Advances the splitmix64 generator by one step. */
 static uint64_t
 hash_id(uint64_t x)
 {
@@ -78,8 +86,8 @@
 	return (rank - LOOM_SPREAD_READERS) / LOOM_SPREAD_CHILDREN;
 }
 
-/* The id with the next higher place on a ring; self when it is alone.  Each
- * ring orders the ids by a hash of its own. */
+/* Returns the id with the next higher hash on a ring, or self if there is no
+ * other.  Each ring orders the ids by its own hash. */
 static uint64_t
 successor(const uint64_t *ids, uint32_t n, uint64_t self, uint32_t ring)
 {
@@ -89,7 +97,7 @@
 	uint32_t i;
 
 	for (i = 0; i < n; i++) {
-		gap = hash_id(ids[i] ^ salt) - own; /* wraps round the ring */
+		gap = hash_id(ids[i] ^ salt) - own; /* wraps around */
 		if (ids[i] != self && gap <= best_gap) {
 			best = ids[i];
 			best_gap = gap;
@@ -111,8 +119,9 @@
 }
 
 /*
- * Rings and not ids drawn by chance: chance gives some daemons five links in,
- * whose bytes were over the budget, and others one.
+ * Rings are used instead of random neighbours: with random ones some daemons
+ * had five incoming links, which exceeded their bandwidth budget, and others
+ * just one.
  */
 uint32_t
 loom_spread_neighbours(
@@ -130,12 +139,14 @@
 }
 
 /*
- * A daemon that starts on an old set serves keys that were withdrawn.  Either
- * enough daemons that serve already vouch for the set, or the platform and
- * one of them do.  Daemons that are starting themselves vouch for nothing:
- * they read the same platform, and if it is stale they all agree on the old
- * set.  Only when nobody who serves is found, as at the first start of a
- * fleet, is the platform's word alone enough.
+ * A daemon that starts with stale documents accepts keys that were withdrawn.
+ * So the data must be confirmed by enough serving peers, or by the platform and
+ * one serving peer.  Peers that are starting themselves do not count: they read
+ * the same platform, and if it is stale they all agree on the same stale data.
+ * The platform's answer alone is enough only when no serving peer is found, as
+ * at the first start of a fleet, or when the platform is known never to be
+ * stale; if serving peers answer but none agrees, it becomes enough after
+ * AGREEMENT_WAIT_US.
  */
 bool
 loom_spread_ready(const struct loom_spread_found *found)
