--- a/include/loom/spread.h
+++ b/include/loom/spread.h
@@ -2,12 +2,12 @@
 #define LOOM_SPREAD_H
 
 /*
- * The spread of versions: the part that brings each signed document and each
- * host list to every daemon, newest version only (docs/design/spread.md).
+ * Gossip protocol that distributes each signed document and each host list, in
+ * its newest version, to every daemon (docs/design/spread.md).
  *
- * It runs on the control thread and knows neither JSON nor signatures nor
- * the platform's protocol: the owner checks copies, joins them and reads the
- * platform, through struct loom_spread_ops.
+ * It runs on the control thread and knows neither JSON nor signatures nor the
+ * platform's protocol: its owner checks values, combines and applies them, and
+ * reads the platform, through struct loom_spread_ops.
  */
 
 #include <glib.h>
@@ -19,12 +19,12 @@
 #include "loom/spread_policy.h"
 
 #define LOOM_SPREAD_NAME_MAX 255
-/* A change that the platform acknowledged is in force everywhere so soon,
- * unless the settings say otherwise. */
+/* Default for within_us: the time in which a change that the platform
+ * acknowledged is in effect on every daemon. */
 #define LOOM_SPREAD_WITHIN_US (11 * LOOM_US_PER_S)
-/* The times that follow from such a bound, 0 for LOOM_SPREAD_WITHIN_US. */
+/* Returns the timing for such a bound; 0 for LOOM_SPREAD_WITHIN_US. */
 struct loom_age_plan loom_spread_plan(uint64_t within_us);
-/* The largest value, in bytes: what the platform holds. */
+/* The largest value that the platform stores, in bytes. */
 #define LOOM_SPREAD_TEXT_MAX UINT32_C(1000000)
 
 enum loom_spread_kind {
@@ -33,7 +33,7 @@
 	LOOM_SPREAD_KINDS,
 };
 
-/* One value, in its newest version known here. */
+/* A value in the newest version that this daemon holds. */
 struct loom_spread_item {
 	uint64_t id; /* loom_name_id(name) */
 	char *name; /* owned, with its prefix */
@@ -41,32 +41,33 @@
 	struct loom_spread_version version;
 	char *text; /* owned */
 	size_t len;
-	void *object; /* owned: what check() made of it */
-	uint64_t since_us; /* when this version came */
-	uint64_t force_number; /* the version in force; 0 for none */
+	void *object; /* owned: what check() returned */
+	uint64_t since_us; /* when this version arrived */
+	uint64_t force_number; /* the version in effect; 0 for none */
 	uint64_t force_digest; /* first 8 bytes */
 	uint64_t force_since_us;
 };
 
 struct loom_spread_ops {
 	/*
-	 * Check a copy, from the platform or a peer.  version->number holds
-	 * the number that came with it, a host list's revision; a document's
-	 * own version replaces it.  On success the digest is set and *object
-	 * is owned by the part.
+	 * Checks a copy from the platform or a peer.  On entry version->number
+	 * is the number that came with it, for a host list its revision; a
+	 * document's own version replaces it.  On success the digest is set and
+	 * *object belongs to the gossip protocol, which frees it with
+	 * release().
 	 */
 	bool (*check)(void *arg, enum loom_spread_kind, const char *name,
 	    const char *text, size_t len, struct loom_spread_version *version,
 	    void **object, GError **error);
 	void (*release)(void *arg, enum loom_spread_kind, void *object);
-	/* Join all items of a kind and put them in force.  False when the set
-	 * is refused: then nothing in force changes. */
+	/* Combines all items of a kind and puts them into effect.  Returns
+	 * false if the set is rejected; nothing in effect has changed then. */
 	bool (*apply)(void *arg, enum loom_spread_kind,
 	    const struct loom_spread_item *const *items, uint32_t n,
 	    uint64_t now_us);
-	/* Watch the platform, or stop. */
+	/* Starts or stops watching the platform. */
 	void (*watch)(void *arg, bool on);
-	/* Ask the platform once. */
+	/* Reads the platform once. */
 	void (*fetch)(void *arg);
 };
 
@@ -74,10 +75,10 @@
 	struct loom_self self; /* strings borrowed */
 	struct loom_sender sender; /* arg borrowed */
 	struct loom_random random; /* arg borrowed */
-	const uint64_t *seeds; /* host ids to ask at the start; copied */
+	const uint64_t *seeds; /* hosts to query at the start; copied */
 	uint32_t nseeds;
 	uint64_t within_us; /* 0 for LOOM_SPREAD_WITHIN_US */
-	bool platform_is_current; /* its word alone is enough to start by */
+	bool platform_is_current; /* its answer alone is enough to start */
 };
 
 struct loom_spread;
@@ -87,31 +88,32 @@
     const struct loom_spread_options *, const struct loom_spread_ops *,
     void *arg, uint64_t now_us);
 
-/* For loom_control_add(), with the spread as the part. */
+/* For loom_control_add(), with a struct loom_spread as the part. */
 extern const struct loom_part_ops loom_spread_part;
 
-/* What the platform said; control thread. */
+/* Passes in a value that the platform answered with.  Control thread. */
 void loom_spread_platform_value(struct loom_spread *, const char *name,
     uint64_t revision, const char *text, size_t len, uint64_t now_us);
-/* sent_us is when the call was begun that is answered. */
+/* Records that a call to the platform, begun at sent_us, has been answered and
+ * its values passed in.  Control thread. */
 void loom_spread_platform_answered(struct loom_spread *, enum loom_spread_kind,
     uint64_t sent_us, uint64_t now_us);
 
-/* How old what is held is (loom/age.h); UINT64_MAX before the first word.
- * Control thread. */
+/* Returns the age of what is held (loom/age.h); UINT64_MAX before the first
+ * answer of the platform or proof by a peer.  Control thread. */
 uint64_t loom_spread_age_us(const struct loom_spread *, uint64_t now_us);
 
-/* May this daemon serve?  Once true it stays so.  Any thread. */
+/* Whether this daemon may serve; stays true once it is.  Any thread. */
 bool loom_spread_is_ready(const struct loom_spread *);
 
 /*
- * What is in force, as JSON text owned by the caller (g_free): name, version,
- * digest prefix, age in milliseconds, and what is held but refused.  Any
- * thread.
+ * Returns what is in effect as JSON text, to be freed with g_free(): name,
+ * version, digest prefix and age in milliseconds of each value, and the version
+ * held if it is not the one in effect.  Any thread.
  */
 char *loom_spread_status(struct loom_spread *, uint64_t now_us);
 
-/* The version held of a name; NULL for none.  Control thread; borrowed. */
+/* Returns the value held under a name, borrowed, or NULL.  Control thread. */
 const struct loom_spread_item *loom_spread_find(
     const struct loom_spread *, const char *name);
 
--- a/src/control/spread_private.h
+++ b/src/control/spread_private.h
@@ -2,11 +2,11 @@
 #define LOOM_SPREAD_PRIVATE_H
 
 /*
- * The state of the spread's part, shared by its files: spread.c (life and
- * ticks), spread_messages.c (messages), spread_peers.c (whom to tell),
- * spread_pull.c (asking for and giving values), spread_age.c (how old the
- * knowledge is), spread_role.c (calls to the platform), spread_force.c (putting
- * in force, readiness, status).
+ * State of the gossip protocol, shared by its files: spread.c (creation and
+ * ticks), spread_messages.c (messages), spread_peers.c (choice of peers),
+ * spread_pull.c (requesting and serving values), spread_age.c (age of the
+ * data), spread_role.c (reading the platform), spread_force.c (applying
+ * versions, readiness, status).
  */
 
 #include <stdatomic.h>
@@ -17,40 +17,43 @@
 #include "loom/counter.h"
 #include "loom/spread.h"
 
-/* Two rings.  One brings a change to the last of 3,000 daemons in 10.5 s at
- * worst, too near to the 11 s promised; two in 2.1 s; three in 1.5 s, for 12%
- * more bytes of a budget that is tighter than the time (docs/design/spread.md).
+/*
+ * Neighbours notified of a change.  With one, a change took up to 10.5 s to
+ * reach the last of 3,000 daemons, too close to the promised 11 s; with two it
+ * takes 2.1 s.  Three would take 1.5 s for 12% more bytes, and the bandwidth
+ * budget is tighter than the time limit (docs/design/spread.md).
  */
 #define SPREAD_FANOUT 2
 
-/* Changes this young are named in each summary, which repairs lost pushes
- * without comparing whole stores. */
+/* Changes at most this old are listed in each summary, so that a lost push is
+ * repaired without comparing whole stores. */
 #define SPREAD_RECENT_US (4 * LOOM_US_PER_S)
 #define SPREAD_RECENT_IDS 16
 
-/* While starting, and after a pause, peers are asked this often. */
+/* While starting: mean interval between queries to peers, and minimum interval
+ * between exchanges of digests. */
 #define SPREAD_STARTUP_INTERVAL_US (300 * LOOM_US_PER_MS)
 
-/* Questions whose answers are waited for. */
+/* Queries that can await a reply at the same time. */
 #define SPREAD_QUERIES_MAX 8
 
-/* Agreeing peers that are remembered while starting. */
+/* Peers whose state is remembered while starting. */
 #define SPREAD_PEER_STATES_MAX 8
 
-/* A peer's bytes of values: 256 KB/s on average, and enough at once for all
- * documents of a fleet. */
+/* Limit on the bytes of values sent to peers: 256 KB/s on average, and a burst
+ * that holds all documents of a fleet. */
 #define SPREAD_GIVE_BYTES_PER_S (256 * 1024)
 #define SPREAD_GIVE_BURST_BYTES (8 * 1024 * 1024)
 
 struct spread_peer_state {
 	uint64_t host_id;
-	uint64_t root; /* the last that it named */
+	uint64_t root; /* root digest in its latest message */
 	bool ready;
 };
 
-/* A question to a peer on what it holds. */
+/* A query to a peer about the data that it holds. */
 struct spread_query {
-	uint64_t number; /* 0: none */
+	uint64_t number; /* 0 if the slot is unused */
 	uint64_t host_id;
 	uint64_t asked_us;
 };
@@ -76,63 +79,63 @@
 	struct spread_store *store; /* owned */
 	struct spread_counters counters;
 
-	/* whom to tell */
+	/* peers */
 	uint64_t *seeds; /* owned */
 	uint32_t nseeds;
 	bool platform_is_current;
-	GArray *local; /* uint64_t: ids of this data centre, self too */
-	GArray *live; /* those of local that are not leaving, by rank */
-	GArray *remote; /* ids of the others */
-	uint32_t rank; /* in live; their number when not there */
+	GArray *local; /* uint64_t: ids of this data centre, with self */
+	GArray *live; /* uint64_t: those of local in state live, by rank */
+	GArray *remote; /* uint64_t: ids of other data centres */
+	uint32_t rank; /* of self in live; live->len if not in it */
 	uint64_t neighbours[SPREAD_FANOUT];
 	uint32_t nneighbours;
-	uint64_t remote_peer; /* id in another data centre; 0 for none */
+	uint64_t remote_peer; /* in another data centre; 0 for none */
 	uint64_t remote_peer_until_us;
-	uint32_t query_round; /* whose turn it is for a summary */
+	uint32_t query_round; /* number of queries sent; selects the target */
 
-	/* what to tell */
-	GArray *push_queue; /* uint64_t: names not pushed yet */
+	/* changes */
+	GArray *push_queue; /* uint64_t: ids of names to push */
 	uint64_t last_push_us;
-	uint64_t last_exchange_us; /* when the last was started; 0 for never */
-	uint64_t last_accepted_us; /* when the last version came */
-	uint64_t next_startup_query_us; /* when to ask around next; 0 for never
-					   yet */
-
-	/* what was asked for */
-	GHashTable *pending; /* name's id: struct pending */
-	double give_tokens; /* tokens left */
+	uint64_t last_exchange_us; /* start of the last one; 0 for never */
+	uint64_t last_accepted_us; /* when the last newer version arrived */
+	uint64_t next_startup_query_us; /* 0 until the first startup tick */
+
+	/* requests */
+	GHashTable *pending; /* name's id: struct pending_request */
+	double give_tokens; /* left in the token bucket */
 	uint64_t give_refilled_us;
 
-	/* how old the knowledge is */
+	/* age of the data */
 	struct loom_age_plan plan;
 	struct loom_age age;
 	struct spread_query queries[SPREAD_QUERIES_MAX];
-	uint64_t last_query_number; /* its number */
-	uint64_t next_query_us; /* when the next is due */
-	uint64_t last_reply_us; /* when a peer last answered one */
-	/* what a peer's word proves as soon as all that it holds is held */
+	uint64_t last_query_number; /* number of the last query */
+	uint64_t next_query_us; /* when the next query is due */
+	uint64_t last_reply_us; /* when a peer last replied to a query */
+	/* Once the root of the store is pending_root, the data is complete up
+	 * to pending_as_of_us, as a peer's reply proved. */
 	uint64_t pending_root;
-	uint64_t pending_as_of_us; /* 0: none */
-	uint64_t next_read_us; /* when to read the platform for it; 0: not */
-	bool reported_stale; /* older than the plan's own reading, in the log */
+	uint64_t pending_as_of_us; /* 0 for none */
+	uint64_t next_read_us; /* next read of the platform; 0 for none */
+	bool reported_stale; /* the last event logged says "behind" */
 
 	/* the platform */
-	uint64_t sent_us[LOOM_SPREAD_KINDS]; /* of the call last answered */
+	uint64_t sent_us[LOOM_SPREAD_KINDS]; /* start of the call answered */
 	uint64_t answered_us[LOOM_SPREAD_KINDS]; /* 0 for never */
 	uint64_t first_answer_us[LOOM_SPREAD_KINDS];
 	bool watching;
-	uint64_t next_fetch_us; /* when to ask next while starting */
+	uint64_t next_fetch_us; /* next fetch while starting */
 	uint64_t fetch_delay_us;
 
-	/* in force */
+	/* versions in effect */
 	bool changed[LOOM_SPREAD_KINDS];
 	uint64_t last_apply_us;
 	uint64_t started_us;
 	uint64_t last_tick_us;
-	bool has_manifest; /* a manifest is */
-	bool refused[LOOM_SPREAD_KINDS]; /* the held set does not join */
+	bool has_manifest; /* a manifest is in effect */
+	bool refused[LOOM_SPREAD_KINDS]; /* the versions held were rejected */
 	atomic_bool ready;
-	bool any_peer_answered; /* any answered */
+	bool any_peer_answered; /* any peer has sent its state */
 	struct spread_peer_state peer_states[SPREAD_PEER_STATES_MAX];
 	uint32_t npeer_states;
 	GMutex status_lock;
@@ -141,9 +144,10 @@
 
 /* spread_peers.c */
 void spread_peers_set(struct loom_spread *, const struct loom_hosts *);
-/* Choose another bridge when its time is over. */
+/* Chooses another remote_peer when the time of the present one is over. */
 void spread_peers_rotate(struct loom_spread *, uint64_t now_us);
-/* A random id of the data centre, of the others, of the seeds; 0 for none. */
+/* Return a random id of this data centre, of the others or of the seeds; 0 if
+ * there is none or it is this daemon. */
 uint64_t spread_peers_random_local(struct loom_spread *);
 uint64_t spread_peers_random_remote(struct loom_spread *);
 uint64_t spread_peers_random_seed(struct loom_spread *);
@@ -151,11 +155,14 @@
 /* spread_pull.c */
 void spread_pull_init(struct loom_spread *);
 void spread_pull_free(struct loom_spread *);
-/* Ask host for what it has newer; ids are what it said.  Returns how many of
- * them are newer than what is held. */
+/*
+ * Requests those versions from a host that are newer than the ones held; ids
+ * are what the host announced.  Returns how many of them are newer, whether
+ * requested now or before.
+ */
 uint32_t spread_pull_request(struct loom_spread *, uint64_t host_id,
     const struct spread_id *ids, uint32_t n, uint64_t now_us);
-/* Ask again for what did not come. */
+/* Repeats requests that were not answered. */
 void spread_pull_tick(struct loom_spread *, uint64_t now_us);
 void spread_pull_received(struct loom_spread *, uint64_t id);
 void spread_pull_serve(struct loom_spread *, uint64_t host_id,
@@ -165,36 +172,37 @@
 void spread_apply_init(struct loom_spread *);
 void spread_apply_free(struct loom_spread *);
 void spread_apply_tick(struct loom_spread *, uint64_t now_us);
-/* A peer named its root. */
+/* Notes the root that a peer sent, while starting. */
 void spread_apply_note_peer(
     struct loom_spread *, uint64_t host_id, uint64_t root, bool ready);
 
 /* spread_messages.c */
 void spread_send(struct loom_spread *, uint64_t host_id, uint8_t type,
     const void *payload, size_t len);
-/* Fill in the state of this daemon and send. */
+/* Fills in the state of this daemon and sends the message. */
 void spread_send_have(struct loom_spread *, uint64_t host_id,
     struct spread_have *, uint64_t now_us);
-/* A summary: the root and the latest ids.  ask for an answer in any case. */
+/* Sends a summary: the root and the latest ids.  With wants_reply the host
+ * answers in any case, and the reply shows its age. */
 void spread_send_summary(
     struct loom_spread *, uint64_t host_id, bool wants_reply, uint64_t now_us);
-/* A copy from the platform or a peer. */
+/* Handles a copy from the platform or a peer. */
 void spread_receive_value(struct loom_spread *, const char *name,
     uint64_t number, const char *text, size_t len, uint64_t now_us);
-/* The part's message function. */
+/* The message callback of loom_spread_part. */
 void spread_handle_message(void *part, const struct loom_from *, uint8_t type,
     const uint8_t *payload, size_t len, uint64_t now_us);
 
 /* spread_age.c */
-/* Ask peers, and the platform, as the age wants it. */
+/* Queries peers and reads the platform when the age calls for it. */
 void spread_age_tick(struct loom_spread *, uint64_t now_us);
-/* Note a question; returns its number. */
+/* Records a query; returns its number. */
 uint64_t spread_age_note_query(
     struct loom_spread *, uint64_t host_id, uint64_t now_us);
-/* A peer answered a question. */
+/* Handles the reply to a query. */
 void spread_age_note_reply(struct loom_spread *, uint64_t host_id,
     const struct spread_have *, uint64_t now_us);
-/* What is held has changed. */
+/* To be called after what is held has changed. */
 void spread_age_update(struct loom_spread *);
 
 /* spread_role.c */
