--- a/src/control/spread.c
+++ b/src/control/spread.c
@@ -1,20 +1,22 @@
 /*
- * The spread's part: its life and its ticks.
+ * The gossip protocol's creation, ticks and hooks for its owner.
  */
 
 #include "control/spread_private.h"
 
 #define TICK_US (100 * LOOM_US_PER_MS)
-/* A push waits so long for further changes: one message then names many. */
+/* Minimum interval between pushes; one message then announces many changes. */
 #define PUSH_INTERVAL_US (200 * LOOM_US_PER_MS)
-/* A tick that comes so late tells of a pause of the process. */
+/* A tick this late means that the process was paused. */
 #define PAUSE_THRESHOLD_US (2 * LOOM_US_PER_S)
 
 /*
- * All readers of a data centre read a change at about the same time, and each
- * name is one reader's to push widely.  The others tell one neighbour, which
- * is enough when that reader is gone; if all told all, a reader would give
- * each value twice or more and need a sixth more bytes.
+ * Returns whether this daemon pushes a change to all its neighbours.  All
+ * readers of a data centre get a change from the platform at about the same
+ * time, so each name is assigned to one reader that pushes it to all.  The
+ * others notify only their first neighbour, which is enough if the assigned
+ * reader is gone; if each notified all, a reader would send each value twice or
+ * more and need a sixth more bandwidth.
  */
 static bool
 pushes_to_all(const struct loom_spread *spread, uint64_t id)
@@ -53,14 +55,14 @@
 	for (i = 1; i < spread->nneighbours; i++)
 		spread_send_have(
 		    spread, spread->neighbours[i], &for_all, now_us);
-	/* Those that watch tell one daemon of another data centre too, whose
-	 * own readers may all be cut off or gone. */
+	/* Readers also notify one daemon of another data centre, whose own
+	 * readers may all be cut off or gone. */
 	if (spread->watching)
 		spread_send_have(spread, spread->remote_peer, &for_all, now_us);
 }
 
-/* Starting, or awake after a pause: ask several at once, all of whom answer
- * with their root and their latest ids. */
+/* Queries several peers at once, while starting or after a pause.  Each replies
+ * with its root and its latest ids. */
 static void
 query_peers(struct loom_spread *spread, uint64_t now_us)
 {
@@ -72,8 +74,8 @@
 	    spread, spread_peers_random_remote(spread), true, now_us);
 }
 
-/* While starting: the platform first, since peers then need to give only what
- * it lacks, and peers, until ready. */
+/* While starting, reads the platform first, since peers then need to send only
+ * what it lacks, and queries peers until ready. */
 static void
 startup_tick(struct loom_spread *spread, uint64_t now_us)
 {
@@ -94,7 +96,7 @@
 
 	if (spread->last_tick_us != 0 &&
 	    now_us - spread->last_tick_us > PAUSE_THRESHOLD_US) {
-		/* Others may have moved on far: look at once. */
+		/* Much may have changed meanwhile: catch up at once. */
 		spread->last_exchange_us = 0;
 		query_peers(spread, now_us);
 		spread->ops->fetch(spread->arg);
--- a/src/control/spread_age.c
+++ b/src/control/spread_age.c
@@ -1,20 +1,24 @@
 /*
- * How old the knowledge of this daemon is, and whom it asks to make it younger.
+ * Age of this daemon's data, and the queries that keep it low.
  *
- * A question goes to one peer each beat: to a reader, or in a large data centre
- * to one that asks a reader itself.  It names the latest changes, so that it
- * repairs lost pushes as well.  When the answers prove too little others are
- * asked, near and far, and at last the platform.
+ * Once per interval a query goes to one peer: to a reader, or in a large data
+ * centre to a peer that queries a reader itself.  It lists the latest changes,
+ * so that it repairs lost pushes as well.  If the replies do not keep the age
+ * low enough, other peers are queried, near and far, and at last the platform
+ * is read.
  */
 
 #include "control/spread_private.h"
 #include "loom/event.h"
 
-/* Of those asked elsewhere: the first few ranks in turn, which read for
- * themselves before others do, then any. */
+/*
+ * Targets at a high age, in turn: the daemons of the first ranks, which read
+ * the platform before others do, then a random one of the data centre and a
+ * random one of the others.
+ */
 #define FIRST_RANKS 4
 #define WIDE_ROUNDS (FIRST_RANKS + 2)
-/* So many are asked in the time of one beat. */
+/* At a high age, so many queries are sent per usual interval. */
 #define WIDE_QUERY_RATE 3
 
 struct loom_age_plan
@@ -49,8 +53,10 @@
 }
 
 /*
- * The answer's root names all that the peer held when it told its age.  What
- * of it is not held here yet has been asked for: the proof waits for it.
+ * The reply's root covers all that the peer held when it stated its age, which
+ * proves that this data was complete up to as_of_us.  What is missing of it
+ * here has been requested already, so the time is recorded once the store has
+ * the same root.
  */
 void
 spread_age_note_reply(struct loom_spread *spread, uint64_t host_id,
@@ -91,10 +97,11 @@
 {
 	uint32_t parent = loom_spread_parent(spread->rank);
 
-	/* A platform may be stale for all readers of a data centre. */
+	/* Readers query another data centre every other time, since the
+	 * platform may be stale for all readers of a data centre. */
 	if (spread->watching && spread->query_round % 2 == 0)
 		return spread->remote_peer;
-	/* Readers ask each other. */
+	/* Readers query each other. */
 	if (parent == UINT32_MAX)
 		parent = (spread->rank + 1) % LOOM_SPREAD_READERS;
 	return host_at_rank(spread, parent);
@@ -117,15 +124,15 @@
 query_peer(struct loom_spread *spread, uint64_t age_us, uint64_t now_us)
 {
 	const bool wide = age_us >= spread->plan.elsewhere_us;
-	uint64_t gap_us = spread->plan.beat_us;
+	uint64_t interval_us = spread->plan.beat_us;
 	uint64_t target;
 
 	if (now_us < spread->next_query_us)
 		return;
 	if (wide)
-		gap_us /= WIDE_QUERY_RATE;
-	spread->next_query_us =
-	    now_us + gap_us / 2 + loom_random_below(&spread->random, gap_us);
+		interval_us /= WIDE_QUERY_RATE;
+	spread->next_query_us = now_us + interval_us / 2 +
+	    loom_random_below(&spread->random, interval_us);
 	spread->query_round++;
 	target = wide ? wide_target(spread) : default_target(spread);
 	if (target == 0)
@@ -152,7 +159,8 @@
 	return loom_age_read_delay_us(&reader, &spread->plan, &spread->random);
 }
 
-/* One that watches has a call under way already. */
+/* Reads the platform at a high age.  A daemon that watches it has a call in
+ * progress already. */
 static void
 read_platform(struct loom_spread *spread, uint64_t age_us, uint64_t now_us)
 {
@@ -170,7 +178,11 @@
 	    now_us + spread->plan.answer_us + read_delay_us(spread, now_us);
 }
 
-/* Late by a reading and the gap between two sets in force. */
+/*
+ * Logs when the age passes a limit and when it is below it again.  The limit is
+ * the age that triggers a read of the platform, plus the time for that read and
+ * for applying its result.
+ */
 static void
 log_staleness(struct loom_spread *spread, uint64_t age_us, uint64_t now_us)
 {
--- a/src/control/spread_config.c
+++ b/src/control/spread_config.c
@@ -1,10 +1,10 @@
 /*
- * The spread's owner in a daemon: it checks signatures, parses, joins the
- * manifest and the hosts, and reads the platform.
+ * Owner of the gossip protocol in a daemon: verifies signatures, parses
+ * documents, builds the manifest and the hosts, and reads the platform.
  *
- * A document's name stands inside the signed text and must be the name it is
- * stored under: otherwise whoever can write to the platform could bring a
- * signed document of one team back under another's name.
+ * The signed text of a document contains its name, which must be the one that
+ * it is stored under.  Otherwise whoever can write to the platform could store
+ * a signed document of one team under the name of another.
  */
 
 #include <sodium.h>
@@ -19,7 +19,7 @@
 	[LOOM_SPREAD_HOSTS] = "hosts/",
 };
 
-/* Brings the kinds from first to before end. */
+/* Reads the values of the kinds from first_kind to before end_kind. */
 struct prefix_reader {
 	struct loom_spread_config *config; /* borrowed */
 	unsigned first_kind;
@@ -36,8 +36,8 @@
 	struct loom_public_key *trusted; /* owned */
 	size_t ntrusted;
 	bool is_unsigned;
-	struct loom_manifest *manifest; /* in force, acquired, or NULL */
-	struct loom_hosts *hosts; /* in force, acquired, or NULL */
+	struct loom_manifest *manifest; /* in effect, acquired, or NULL */
+	struct loom_hosts *hosts; /* in effect, acquired, or NULL */
 	uint64_t generation;
 	loom_spread_publish publish;
 	void *arg; /* borrowed */
@@ -81,7 +81,7 @@
 		return reject_document(name, problems, error);
 	if (strcmp(loom_document_name(document), own_name) != 0) {
 		loom_fail(error, LOOM_MANIFEST_SIGNATURE,
-		    "%s holds the document %s", name,
+		    "the document stored as %s is named %s", name,
 		    loom_document_name(document));
 		loom_document_release(document);
 		return false;
--- a/src/control/spread_force.c
+++ b/src/control/spread_force.c
@@ -1,10 +1,10 @@
 /*
- * From held to in force: joining, readiness and the status.
+ * Applying versions, readiness and the status.
  *
- * A version is held as soon as its own check passed, and passed on to peers;
- * it is in force once the whole set joins.  So a set that does not join yet,
- * since one document of two has not come, harms nobody, and a bad set spreads
- * no further than being held.
+ * A version is held as soon as its own check has passed, and is passed on to
+ * peers then; it takes effect once all versions held combine into a valid set.
+ * So an incomplete set, as when one of two related documents has not arrived,
+ * does no harm, and a bad set is held by every daemon but applied by none.
  */
 
 #include <json-c/json.h>
@@ -13,16 +13,16 @@
 #include "control/spread_private.h"
 #include "loom/log.h"
 
-/* Changes come in groups, and each join costs milliseconds for thousands of
- * hosts: at most one in this time. */
-#define APPLY_GAP_US (250 * LOOM_US_PER_MS)
+/* Minimum interval between applications.  Changes arrive in groups, and
+ * applying them takes milliseconds for thousands of hosts. */
+#define APPLY_INTERVAL_US (250 * LOOM_US_PER_MS)
 
 struct spread_status_row {
 	char name[LOOM_SPREAD_NAME_MAX + 1];
 	uint64_t force_number;
 	uint64_t force_digest;
 	uint64_t since_us;
-	uint64_t held_number; /* 0 when it is the one in force */
+	uint64_t held_number; /* 0 if it is the one in effect */
 };
 
 static const char *const kind_names[LOOM_SPREAD_KINDS] = {
@@ -119,15 +119,19 @@
 	} else {
 		loom_counter_add(spread->counters.bad_set, 1);
 		loom_log(LOOM_LOG_WARN, "spread", LOOM_SPREAD_SET_REFUSED,
-		    "%s: the held set does not join; what is in force stays",
+		    "%s: the versions held do not form a valid set; "
+		    "those in effect stay",
 		    kind_names[kind]);
 	}
 	spread->refused[kind] = !ok;
 	g_ptr_array_free(items, TRUE);
 }
 
-/* The row of a host; else a free one; else, for a host that is ready, one of
- * a host that is not: those cannot vouch alone, and must not crowd out. */
+/*
+ * Returns the entry of a host, or a free one.  If there is none, a ready host
+ * gets the entry of one that is not ready, since hosts that are not ready do
+ * not count and must not displace those that do; any other host gets NULL.
+ */
 static struct spread_peer_state *
 peer_state_slot(struct loom_spread *spread, uint64_t host_id, bool ready)
 {
@@ -169,9 +173,10 @@
 }
 
 /*
- * What agrees with the peers must be what requests are served by: a newer
- * version may be held that the next join has yet to bring in force, or one
- * that does not join, while a part of the set is in force.
+ * Returns whether all versions held are in effect.  A daemon compares what it
+ * holds with its peers but serves requests by what is in effect, which may be
+ * older: a newer version may not have been applied yet, or the set with it may
+ * have been rejected.
  */
 static bool
 all_applied(const struct loom_spread *spread)
@@ -225,7 +230,7 @@
 	bool any = false;
 	unsigned kind;
 
-	if (now_us - spread->last_apply_us >= APPLY_GAP_US) {
+	if (now_us - spread->last_apply_us >= APPLY_INTERVAL_US) {
 		for (kind = 0; kind < LOOM_SPREAD_KINDS; kind++) {
 			if (!spread->changed[kind])
 				continue;
--- a/src/control/spread_messages.c
+++ b/src/control/spread_messages.c
@@ -1,11 +1,11 @@
 /*
- * The spread's messages: what each brings and what it is answered with.
+ * Handling of the gossip protocol's messages.
  *
- * Three ways bring a change to a daemon, each covering for the one before:
- * a push of ids along neighbours at once, a summary with the latest ids to
- * one neighbour each two seconds, answered with what it does not name, and an
- * exchange of digests when stores differ for reasons that no id explains, as
- * after a pause or a partition.
+ * A change reaches a daemon in three ways, each of which makes up for failures
+ * of the one before: a push of ids to neighbours at once; a query with a
+ * summary of the latest ids, sent to one peer per interval, whose reply lists
+ * what the summary lacks; and an exchange of digests when two stores differ in
+ * what neither names, as after a pause or a partition.
  */
 
 #include <string.h>
@@ -13,13 +13,15 @@
 #include "control/spread_private.h"
 #include "loom/log.h"
 
-/* Between two exchanges of digests, each of which costs up to a few
- * kilobytes.  While changes come in, stores differ for a moment all the time
- * and the changes' own messages mend it, so that exchanges are rare then. */
+/*
+ * Minimum intervals between exchanges of digests, each of which costs up to a
+ * few kilobytes.  While changes arrive, stores differ for short times and the
+ * messages about the changes resolve it, so exchanges are made rarely then.
+ */
 #define EXCHANGE_INTERVAL_US (10 * LOOM_US_PER_S)
 #define EXCHANGE_BUSY_INTERVAL_US (60 * LOOM_US_PER_S)
 #define QUIET_US (3 * LOOM_US_PER_S)
-/* Bytes of one LIST. */
+/* Buffer for one LIST, in bytes. */
 #define SEND_BUFFER_BYTES (128 * 1024)
 
 static const char *const prefixes[LOOM_SPREAD_KINDS] = {
@@ -36,7 +38,7 @@
 		    spread->sender.arg, host_id, type, payload, len);
 }
 
-/* Rounded up: it may not look younger than it is. */
+/* Rounded up, since data must not look newer than it is. */
 static uint32_t
 reported_age_ms(const struct loom_spread *spread, uint64_t now_us)
 {
@@ -62,7 +64,6 @@
 	spread_send(spread, host_id, SPREAD_HAVE, buf, len);
 }
 
-/* A summary: the root and the latest ids. */
 void
 spread_send_summary(struct loom_spread *spread, uint64_t host_id,
     bool wants_reply, uint64_t now_us)
@@ -91,7 +92,8 @@
 	return EXCHANGE_INTERVAL_US;
 }
 
-/* Compare whole stores with a peer, not too often. */
+/* Starts comparing whole stores with a peer, unless the last exchange was too
+ * recent. */
 static void
 start_exchange(struct loom_spread *spread, uint64_t host_id, uint64_t now_us)
 {
@@ -109,7 +111,8 @@
 	spread_send(spread, host_id, SPREAD_BUCKETS, buf, len);
 }
 
-/* Of the ids that a peer named, those that are held newer here. */
+/* Adds to the reply those of a peer's ids of which this daemon holds a newer
+ * version. */
 static void
 add_newer(const struct loom_spread *spread, const struct spread_id *ids,
     uint32_t n, struct spread_have *reply)
@@ -135,8 +138,8 @@
 	return false;
 }
 
-/* The latest ids that a summary does not name: the peer may have missed
- * them.  Its links in are few, and all may have lost the push. */
+/* Adds the latest ids that a summary lacks: the peer may have missed them,
+ * since it has few incoming links and all may have lost the push. */
 static void
 add_recent(struct loom_spread *spread, const struct spread_have *summary,
     struct spread_have *reply, uint64_t now_us)
@@ -209,7 +212,7 @@
 	g_free(list);
 }
 
-/* Only the buckets that differ are listed. */
+/* Replies with the ids of the buckets that differ. */
 static bool
 receive_buckets(struct loom_spread *spread, uint64_t host_id,
     const uint8_t *payload, size_t len)
@@ -246,7 +249,7 @@
 	return false;
 }
 
-/* Names that the peer's list lacks altogether. */
+/* Adds the ids of the listed buckets whose names are not in the peer's list. */
 static void
 add_missing(const struct loom_spread *spread, const struct spread_list *list,
     struct spread_have *reply)
@@ -300,10 +303,8 @@
 	return false;
 }
 
-/*
- * A copy from the platform or a peer.  Its signature is checked before
- * anything else is believed of it, its version before it replaces another.
- */
+/* The signature is verified before any other field is used, and the version is
+ * compared before the value replaces another. */
 void
 spread_receive_value(struct loom_spread *spread, const char *name,
     uint64_t number, const char *text, size_t len, uint64_t now_us)
--- a/src/control/spread_peers.c
+++ b/src/control/spread_peers.c
@@ -1,9 +1,9 @@
 /*
- * Whom the spread tells.
+ * Choice of the peers that are notified or queried.
  *
- * Neighbours are kept for minutes and not drawn anew for each message: a new
- * connection costs about 1.5 KB of handshake, half of what a daemon may send
- * in a second.
+ * Neighbours are kept for minutes rather than drawn for each message: a new
+ * connection costs about 1.5 KB of handshake, half of what a daemon may send in
+ * a second.
  */
 
 #include <string.h>
@@ -52,7 +52,7 @@
 	    (uint64_t *)(void *)spread->live->data, spread->live->len);
 	choose_neighbours(spread);
 	choose_rank(spread);
-	spread->remote_peer_until_us = 0; /* it may be gone */
+	spread->remote_peer_until_us = 0; /* it may have left */
 }
 
 void
--- a/src/control/spread_pull.c
+++ b/src/control/spread_pull.c
@@ -1,26 +1,30 @@
 /*
- * Asking for values and giving them.
+ * Requesting values from peers and serving their requests.
  *
- * Ids travel first; a value is asked for once, from the first peer that named
- * it, and again from the latest one that did when it does not come.  So each
- * value crosses each daemon's wire about once, however many peers name it.
+ * Ids are sent first.  A value is requested once, from the first peer that
+ * announced it; if it does not arrive, it is requested again from the latest
+ * peer that announced it.  So each daemon receives each value about once,
+ * however many peers announce it.
  */
 
 #include <string.h>
 
 #include "control/spread_private.h"
 
-/* A request or its answer was lost, or the peer is gone. */
+/* After this time the request or its answer counts as lost, or the peer as
+ * gone. */
 #define RETRY_INTERVAL_US (500 * LOOM_US_PER_MS)
-/* Then a later summary names the value again. */
+/* After these a later summary will announce the value again. */
 #define ATTEMPTS_MAX 6
-/* Values in one message, unless a single one is larger. */
+/*
+ * Limit on the bytes of values in one message, unless a single one is larger.
+ */
 #define GIVE_MESSAGE_BYTES (64 * 1024)
 
 struct pending_request {
 	uint64_t id; /* the key */
 	struct spread_id wanted;
-	uint64_t host_id; /* the latest that named it */
+	uint64_t host_id; /* the latest peer that announced it */
 	uint64_t asked_us;
 	uint32_t attempts;
 };
@@ -57,7 +61,7 @@
 				      : a->digest > b->digest;
 }
 
-/* True when the host shall be asked now. */
+/* Returns whether to request the value from the host now. */
 static bool
 add_pending(struct loom_spread *spread, uint64_t host_id,
     const struct spread_id *id, uint64_t now_us)
@@ -66,7 +70,7 @@
 
 	pending = g_hash_table_lookup(spread->pending, &id->id);
 	if (pending != NULL && !id_newer(id, &pending->wanted)) {
-		/* Already asked for: remember another one to ask. */
+		/* Already requested: try this host next. */
 		if (!id_newer(&pending->wanted, id))
 			pending->host_id = host_id;
 		return false;
@@ -143,8 +147,8 @@
 	}
 }
 
-/* False when too much was given lately: a peer that asks for ever must not
- * take this daemon's bandwidth. */
+/* Returns false if the limit on bytes sent is reached: a peer that sends
+ * requests without end must not use up this daemon's bandwidth. */
 static bool
 take_tokens(struct loom_spread *spread, size_t bytes, uint64_t now_us)
 {
--- a/src/control/spread_role.c
+++ b/src/control/spread_role.c
@@ -1,18 +1,22 @@
 /*
- * When the spread's part calls the platform: as a reader, or while it starts.
- * What it reads for want of a peer that knows more is spread_age.c's.
+ * When the platform is read: by the readers, and while starting.  Reads due to
+ * a high age are in spread_age.c.
  */
 
 #include "control/spread_private.h"
 
-/* Between two fetches of a starting daemon, doubling. */
+/* Delay between the fetches of a starting daemon, doubled after each up to the
+ * maximum. */
 #define FETCH_DELAY_US (500 * LOOM_US_PER_MS)
 #define FETCH_DELAY_MAX_US (30 * LOOM_US_PER_S)
-/* While it answers with too little to serve by: a change must be in force
- * everywhere within seconds, also the first one. */
+/* Maximum while the platform answers but no manifest is in effect: even the
+ * first change must take effect everywhere within seconds. */
 #define FETCH_EMPTY_DELAY_MAX_US (2 * LOOM_US_PER_S)
 
-/* One that is not listed has the rank behind the last. */
+/*
+ * Starts or stops watching the platform, by whether this daemon is a reader.  A
+ * daemon that is not in the list of live hosts has rank live->len and is none.
+ */
 void
 spread_update_role(struct loom_spread *spread)
 {
@@ -37,14 +41,16 @@
 }
 
 /*
- * A whole fleet may start while the platform is down: the gap doubles up to
- * thirty seconds, which makes 17,000 daemons call 1,100 times a second.
+ * Reads the platform until a manifest is in effect.
+ *
+ * A whole fleet may start while the platform is down.  The delay doubles up to
+ * 30 s, at which 17,000 daemons make 1,100 calls a second.
  *
- * It may also start before its operator has shipped anything: the platform
- * then answers with nothing.  A daemon that took this for all there is would
- * not look again before its role is chosen, and serve half a minute late; so
- * it asks on, and as soon as a list of hosts is in force the readers among
- * the starting daemons watch for the rest.
+ * A fleet may also start before its operator has written anything, so that the
+ * platform's answer is empty.  A daemon that took this as complete would not
+ * read again before its role is chosen, and would be ready half a minute late.
+ * So it keeps reading; and as soon as a host list is in effect, the readers
+ * among the starting daemons watch the platform.
  */
 void
 spread_fetch_while_starting(struct loom_spread *spread, uint64_t now_us)
--- a/src/control/spread_store.c
+++ b/src/control/spread_store.c
@@ -1,17 +1,17 @@
 /*
- * The store of versions.
+ * Store of the newest versions.
  *
- * Each item's id, number and digest are hashed to one word; a bucket's digest
- * is the exclusive or of its items' words, so a change costs two operations
- * and the order of arrival does not matter.  Peers are authenticated, so the
- * words need not resist forgery.
+ * Each item's id, number and digest are hashed to 64 bits.  A bucket's digest
+ * is the exclusive or of its items' hashes, so that a change updates it with
+ * two operations and the order of arrival does not matter.  Peers are
+ * authenticated, so the hash need not resist forgery.
  */
 
 #include <string.h>
 
 #include "control/spread_store.h"
 
-/* Newest arrivals that are remembered for summaries. */
+/* The most recent arrivals are remembered for summaries. */
 #define RECENT_MAX 64
 
 struct arrival {
@@ -24,7 +24,7 @@
 	void *arg; /* borrowed */
 	GHashTable *items; /* id: struct loom_spread_item */
 	uint64_t buckets[SPREAD_NBUCKETS];
-	struct arrival recent[RECENT_MAX]; /* a ring */
+	struct arrival recent[RECENT_MAX]; /* ring buffer */
 	uint64_t narrivals;
 };
 
@@ -108,10 +108,10 @@
 toggle_digest(struct spread_store *store, const struct loom_spread_item *item)
 {
 	struct spread_id id = spread_id_of(item);
-	uint64_t word =
+	uint64_t hash =
 	    mix_bits(mix_bits(mix_bits(id.id) + id.number) + id.digest);
 
-	store->buckets[id.id % SPREAD_NBUCKETS] ^= word;
+	store->buckets[id.id % SPREAD_NBUCKETS] ^= hash;
 }
 
 static void
@@ -146,7 +146,8 @@
 	struct loom_spread_item *item = spread_store_find(store, id);
 
 	if (item != NULL) {
-		/* Never back: a stale platform or peer may come any time. */
+		/* A version is never replaced by an older one, which a stale
+		 * platform or peer may send at any time. */
 		if (loom_spread_compare(version, &item->version) <= 0)
 			return false;
 		toggle_digest(store, item);
--- a/src/control/spread_wire.c
+++ b/src/control/spread_wire.c
@@ -1,12 +1,13 @@
 /*
- * Messages of the spread, packed and unpacked.
+ * Packing and unpacking of the gossip protocol's messages.
  */
 
 #include <string.h>
 
 #include "control/spread_wire.h"
 
-/* Room for a GIVE's other values when one is as large as allowed. */
+/* Largest value accepted, as LOOM_SPREAD_TEXT_MAX; leaves room for other values
+ * in a GIVE message. */
 #define TEXT_MAX UINT32_C(1000000)
 
 enum have_flag {
--- a/src/control/spread_wire.h
+++ b/src/control/spread_wire.h
@@ -2,9 +2,10 @@
 #define LOOM_SPREAD_WIRE_H
 
 /*
- * Messages of the spread (docs/INNER.md): typed on this side, bytes on the
- * wire.  Each pack function returns the length, 0 when it does not fit; each
- * unpack function is false for a malformed message.
+ * Messages of the gossip protocol (docs/INNER.md): C structs on this side,
+ * bytes on the wire.  Each pack function returns the length, or 0 when the
+ * message does not fit the buffer; each unpack function returns false for a
+ * malformed message.
  */
 
 #include <glib.h>
@@ -16,11 +17,12 @@
 #include "loom/control.h"
 
 enum spread_message_type {
-	SPREAD_HAVE = LOOM_MESSAGE_SPREAD_FIRST, /* a summary and some ids */
-	SPREAD_WANT, /* send me these */
+	SPREAD_HAVE =
+	    LOOM_MESSAGE_SPREAD_FIRST, /* the sender's state and some ids */
+	SPREAD_WANT, /* requests the values of these ids */
 	SPREAD_GIVE, /* values */
-	SPREAD_BUCKETS, /* my digests: list me where yours differ */
-	SPREAD_LIST, /* all ids of some buckets */
+	SPREAD_BUCKETS, /* the sender's bucket digests */
+	SPREAD_LIST, /* reply: all ids of the buckets that differ */
 	SPREAD_LAST = SPREAD_LIST,
 };
 
@@ -29,30 +31,30 @@
 #define SPREAD_WANT_IDS_MAX 64
 #define SPREAD_LIST_IDS_MAX 4096
 #define SPREAD_GIVE_VALUES_MAX 256
-/* The age of one that holds nothing. */
+/* Age in a message from a daemon that has no data yet. */
 #define SPREAD_AGE_UNKNOWN UINT32_MAX
 
-/* One version of one name, in 27 bytes at most. */
+/* One version of one name; takes at most 27 bytes. */
 struct spread_id {
-	uint64_t id; /* of the name */
+	uint64_t id; /* of the name (loom_name_id()) */
 	uint64_t number;
-	uint64_t digest; /* first 8 bytes, big-endian: same order */
+	uint64_t digest; /* first 8 bytes, read big-endian to keep the order */
 };
 
 enum spread_have_kind {
-	SPREAD_PUSH, /* a change: ask for it, no more */
-	SPREAD_SUMMARY, /* now and then: say what I seem to lack */
-	SPREAD_REPLY, /* to a summary or a list; never answered again */
+	SPREAD_PUSH, /* announces changes to be requested */
+	SPREAD_SUMMARY, /* asks for what the sender may lack */
+	SPREAD_REPLY, /* to a HAVE or a LIST; wants no reply */
 };
 
 struct spread_have {
 	enum spread_have_kind kind;
-	bool ready; /* the sender serves */
-	bool wants_reply; /* answer even when nothing differs */
-	uint64_t root; /* digest over all that the sender holds */
-	uint32_t age_ms; /* of all that the sender holds (loom/age.h) */
-	uint64_t query; /* its number; 0 for none */
-	uint64_t in_reply_to; /* the question of the receiver; 0 for none */
+	bool ready; /* the sender is ready to serve */
+	bool wants_reply; /* reply even if nothing differs */
+	uint64_t root; /* digest of all that the sender holds */
+	uint32_t age_ms; /* age of that (loom/age.h) */
+	uint64_t query; /* number of this query; 0 for none */
+	uint64_t in_reply_to; /* number of the receiver's query; 0 for none */
 	uint32_t nids;
 	struct spread_id ids[SPREAD_HAVE_IDS_MAX];
 };
@@ -63,12 +65,12 @@
 };
 
 struct spread_list {
-	uint64_t mask; /* bit i: the list holds all ids of bucket i */
+	uint64_t mask; /* bit i: all ids of bucket i are listed */
 	uint32_t nids;
 	struct spread_id ids[SPREAD_LIST_IDS_MAX];
 };
 
-/* One value of a GIVE; all borrowed from the message. */
+/* A value of a GIVE message; text is borrowed from the message. */
 struct spread_value {
 	char name[256];
 	uint64_t number;
@@ -88,12 +90,12 @@
 size_t spread_list_pack(const struct spread_list *, void *buf, size_t size);
 bool spread_list_unpack(struct spread_list *, const void *data, size_t len);
 
-/* A GIVE is a run of values up to the message's end. */
+/* Appends a value to a GIVE message, which is a sequence of values. */
 void spread_value_pack(struct loom_packer *, const char *name, uint64_t number,
     const char *text, size_t len);
-/* Bytes that a value takes at most. */
+/* Returns the most bytes that a value takes. */
 size_t spread_value_size(const char *name, size_t len);
-/* The next value; false at the end or at an error. */
+/* Reads the next value; returns false at the end or after an error. */
 bool spread_value_unpack(struct loom_unpacker *, struct spread_value *);
 
 #endif
