--- a/tests/control/test_spread.c
+++ b/tests/control/test_spread.c
@@ -1,8 +1,9 @@
 /*
- * The spread over fleets of parts on a fake clock: seeded schedules of loss,
- * delay, reordering, repeats, pauses, restarts, partitions, a platform that
- * is stale or down, and operators who race.  After each message no daemon's
- * version may have gone back; at the end all hold the same.
+ * The gossip protocol in simulated fleets on a fake clock: seeded schedules of
+ * loss, delay, reordering, repeated messages, pauses, restarts, partitions, a
+ * stale or unreachable platform, and concurrent writes.  No daemon's version
+ * may ever go back, which is checked after each message, and in the end all
+ * daemons must hold the same versions.
  */
 
 #include <stdio.h>
@@ -12,14 +13,14 @@
 #include "support/spread_fleet.h"
 
 #define S LOOM_US_PER_S
-/* What the operators are promised. */
+/* The promised time until a change is in effect everywhere. */
 #define CHANGE_WITHIN_US (11 * S)
 
 static void
 finish(struct spread_fleet *fleet, const char *what)
 {
-	TEST_CHECK(spread_fleet_regressions(fleet) == 0, "%s: %u went back",
-	    what, spread_fleet_regressions(fleet));
+	TEST_CHECK(spread_fleet_regressions(fleet) == 0,
+	    "%s: %u versions went back", what, spread_fleet_regressions(fleet));
 	spread_fleet_stop(fleet);
 }
 
@@ -60,8 +61,9 @@
 }
 
 /*
- * Two operators ship the same version at once; some daemons read the one
- * first, some the other.  Both must end with the same, wherever they sit.
+ * Guards against daemons that keep different texts of one version: two
+ * operators write it at once, and some daemons read the first text and some the
+ * second.
  */
 static void
 test_race(void)
@@ -92,11 +94,8 @@
 	}
 }
 
-/*
- * The platform turns stale for every reader of one data centre, then the
- * operators withdraw a key.  That data centre's daemons would serve the key
- * for as long as the platform stays stale, were there not the others.
- */
+/* Guards against a data centre that keeps a withdrawn key while the platform is
+ * stale for all its readers: the other data centres must pass the change on. */
 static void
 test_stale_platform(void)
 {
@@ -120,9 +119,9 @@
 }
 
 /*
- * A daemon restarts while its platform is stale.  It reads an old version,
- * in which a withdrawn key is still good, and must not serve by it: its peers
- * know better, so it is ready only once it has what they have.
+ * Guards against a daemon that serves by a stale version, in which a withdrawn
+ * key is still valid, after it restarted while its platform was stale.  It may
+ * be ready only once it has what its peers have.
  */
 static void
 test_restart_on_stale_platform(void)
@@ -154,9 +153,9 @@
 }
 
 /*
- * The platform is down and a daemon restarts.  With peers it becomes ready
- * from them; when no peer answers either, it must stay unready rather than
- * serve nothing or something old.
+ * A daemon restarts while the platform is down.  It becomes ready from its
+ * peers.  If no peer replies either, it must stay unready rather than serve
+ * without data or with old data.
  */
 static void
 test_restart_without_platform(void)
@@ -184,9 +183,9 @@
 }
 
 /*
- * The platform is down and the whole fleet restarts but for two daemons.
- * Those that start hold nothing, and must not vouch for each other: all end
- * with what the two still have.
+ * Guards against starting daemons, which hold nothing, confirming each other:
+ * the platform is down and all daemons but two restart.  All must end with what
+ * these two hold.
  */
 static void
 test_starting_daemons_do_not_vouch(void)
@@ -210,9 +209,9 @@
 }
 
 /*
- * The same, but the platform answers, from an old copy.  All that start read
- * the same old version and agree on it; only two daemons know better, and
- * nobody may serve by the old one.
+ * The same while the platform answers with stale data.  All starting daemons
+ * read the same old version and agree on it, and only two daemons hold the
+ * newer one; none may serve by the old version.
  */
 static void
 test_fleet_starts_on_stale_platform(void)
@@ -255,10 +254,10 @@
 }
 
 /*
- * All readers of a data centre die, and the host list has not noticed.
- * Changes still reach the data centre from others, and when it is cut off from
- * them others of it read in the readers' place, without all daemons falling on
- * the platform.
+ * Guards against a data centre that gets no changes since its readers have died
+ * and the host list still has them.  Other data centres must pass changes on;
+ * and when it is cut off from these as well, others of its daemons must read
+ * the platform instead, but not all of them.
  */
 static void
 test_readers_die(void)
@@ -289,7 +288,7 @@
 	spread_fleet_put(&fleet, 0, 3, 'a', 400);
 	CU_ASSERT(spread_fleet_run_until(&fleet, 0, 3, CHANGE_WITHIN_US));
 	TEST_CHECK(spread_fleet_max_age_us(&fleet) < CHANGE_WITHIN_US,
-	    "one is %u ms behind",
+	    "an age of %u ms",
 	    (unsigned)(spread_fleet_max_age_us(&fleet) / 1000));
 	TEST_CHECK(fleet.calls - calls < 300, "%u calls",
 	    (unsigned)(fleet.calls - calls));
@@ -298,8 +297,8 @@
 
 /*
  * A data centre is cut off from the others and from the platform for ten
- * minutes, and 200 changes are shipped meanwhile.  It keeps what it has, and
- * catches up within the promise once it is back.
+ * minutes, in which 200 changes are written.  It keeps what it has, and must
+ * catch up within the promised time after the partition ends.
  */
 static void
 test_partition(void)
@@ -331,7 +330,8 @@
 	finish(&fleet, "partition");
 }
 
-/* A process wakes after minutes, with old messages queued for it. */
+/* A paused process resumes after minutes, with old messages still queued for
+ * it. */
 static void
 test_pause(void)
 {
@@ -355,7 +355,7 @@
 	finish(&fleet, "pause");
 }
 
-/* One turn of trouble, drawn by the seed. */
+/* Injects one fault or write, chosen by the seed. */
 static void
 inject_fault(struct spread_fleet *fleet, uint64_t *version)
 {
@@ -389,7 +389,7 @@
 	case 5:
 		at->platform = FLEET_UP;
 		break;
-	case 6: /* two operators race */
+	case 6: /* concurrent writes */
 		++*version;
 		spread_fleet_put(
 		    fleet, *version % FLEET_NAMES, *version, 'a', 200);
@@ -439,8 +439,8 @@
 	}
 }
 
-/* A peer's bytes are checked like the platform's: a forged document and
- * random messages change nothing. */
+/* Guards against values and messages that are taken without checks: a forged
+ * document and random messages must change nothing. */
 static void
 test_hostile_peer(void)
 {
@@ -497,7 +497,8 @@
 	finish(&fleet, "status");
 }
 
-/* When the last node had the version in force, after the put. */
+/* Returns the time from the write until the last node had the version in
+ * effect. */
 static uint64_t
 last_applied_us(const struct spread_fleet *fleet, unsigned name,
     uint64_t version, uint64_t put_us)
@@ -517,14 +518,14 @@
 }
 
 /*
- * Time to in-force and bytes against fleet size, at the plan's rate of 0.7
- * changes a second with documents of 500 bytes and 1% loss.  Printed as
- * points; the bound is the promise, the figures stand in
+ * Time until changes are in effect, and bytes, by fleet size, at the planned
+ * 0.7 changes a second with documents of 500 bytes and 1% loss.  The results
+ * are printed as points; their limits and the figures are in
  * docs/design/spread.md.  LOOM_SPREAD_SIZE=NODES/DCS measures that size alone.
  */
 #define MEASURE_ROUNDS 60
 #define MEASURE_GAP_US 1416000 /* 61,000 a day */
-#define MEASURE_DELAY_ROUNDS 8 /* rounds until one is looked at: 11 s */
+#define MEASURE_DELAY_ROUNDS 8 /* rounds until a change is checked: 11 s */
 
 static void
 measure(uint32_t nodes, uint32_t dcs)
@@ -575,8 +576,8 @@
 	finish(&fleet, "measure");
 }
 
-/* In quiet times nobody but the readers calls the platform, however late the
- * news of its answers comes to the last daemon. */
+/* Guards against needless calls to the platform: without changes only the
+ * readers call it, however late its answers become known to the last daemon. */
 static void
 test_quiet(void)
 {
@@ -596,7 +597,7 @@
 	for (i = 0; i < options.nodes; i++)
 		watching += fleet.nodes[i].watching;
 	TEST_CHECK(watching == LOOM_SPREAD_READERS, "%u watch", watching);
-	/* a watch, its gap and a tick */
+	/* a reader's calls are at least a watch apart */
 	per_s = (double)S / (double)(loom_age_plan(CHANGE_WITHIN_US).wait_us);
 	TEST_CHECK(fleet.calls - calls <=
 		(uint64_t)(LOOM_SPREAD_READERS * (120 * per_s + 1)),
--- a/tests/control/test_spread_config.c
+++ b/tests/control/test_spread_config.c
@@ -1,7 +1,7 @@
 /*
- * Daemons' control threads with real sockets, signed documents and the
- * platform's stand-in: what operators ship is in force everywhere, and what
- * is forged, old or does not join is nowhere.
+ * Control threads with real sockets, signed documents and the platform's
+ * stand-in: what operators write takes effect everywhere, and what is forged,
+ * old or does not combine into a valid set takes effect nowhere.
  */
 
 #include <string.h>
@@ -141,7 +141,7 @@
 	g_free(path);
 }
 
-/* Document "teams" with one team and one key. */
+/* Writes the document "teams", with one team and one key, under a name. */
 static void
 put_team(struct fixture *f, const struct loom_secret_key *key, const char *name,
     unsigned version, unsigned burst, bool withdrawn)
@@ -200,7 +200,7 @@
 	test_standin_stop(&f->standin);
 }
 
-/* The burst in force at a daemon, 0 when no manifest is. */
+/* Returns the burst in effect at a daemon, 0 if no manifest is. */
 static unsigned
 burst_at(struct daemon *daemon)
 {
@@ -232,13 +232,13 @@
 	return true;
 }
 
-/* Poll until the condition holds; fails after a generous limit. */
+/* Polls until the condition holds; the test fails after LIMIT_US. */
 #define WAIT(condition)                                              \
 	do {                                                         \
 		gint64 end = g_get_monotonic_time() + LIMIT_US;      \
 		while (!(condition) && g_get_monotonic_time() < end) \
 			g_usleep(POLL_US);                           \
-		TEST_CHECK(condition, "waited in vain");             \
+		TEST_CHECK(condition, "timed out");                  \
 	} while (0)
 
 static int64_t
@@ -279,10 +279,11 @@
 }
 
 /*
- * Someone who can write to the platform, or the platform itself, brings what
- * must not come into force: a forged document, a signed one under another
- * name, the version before under a new revision, one that does not join the
- * rest.  What is in force stays, and the next good change still comes through.
+ * Guards against values that take effect without passing all checks.  The
+ * platform serves a forged document, a signed document under another name, an
+ * older version under a new revision, and a document that does not combine with
+ * the rest.  What is in effect must stay, and the next valid change must still
+ * take effect.
  */
 static void
 test_refused(void)
@@ -320,10 +321,8 @@
 	teardown(&f);
 }
 
-/*
- * The platform goes down and a daemon is replaced at the same address.  It
- * holds nothing, and gets all from the peers that its settings name.
- */
+/* The platform goes down and a daemon is replaced at the same address.  It
+ * holds nothing, and must get everything from the peers in its settings. */
 static void
 test_restart_without_platform(void)
 {
--- a/tests/decide/test_age.c
+++ b/tests/decide/test_age.c
@@ -1,6 +1,7 @@
 /*
- * The age of what a daemon holds: its rules alone, and over fleets on a fake
- * clock, where an oracle knows what the platform had acknowledged.
+ * The age of the data that a daemon holds: its rules by themselves, and in
+ * simulated fleets on a fake clock, in which each age is checked against what
+ * had been written to the platform.
  */
 
 #include "loom/age.h"
@@ -11,8 +12,11 @@
 #define S LOOM_US_PER_S
 #define MS(n) ((uint64_t)(n)*LOOM_US_PER_MS)
 
-/* An answer proves nothing later than its question, less the age it told, and
- * less what the two clocks may differ in that time. */
+/*
+ * A peer's answer proves that its data was complete up to the time of the
+ * query, less the age that it stated and the possible difference in clock speed
+ * over that time.
+ */
 static void
 test_peer_as_of(void)
 {
@@ -44,20 +48,20 @@
 	loom_age_hold(&age, MS(900));
 	loom_age_hold(&age, MS(800));
 	CU_ASSERT_EQUAL(loom_age_us(&age, MS(1500)), MS(500));
-	/* a thread that read the clock before */
+	/* as from a thread that read the clock earlier */
 	CU_ASSERT_EQUAL(loom_age_us(&age, MS(999)), 0);
 	loom_age_hold(&age, MS(1200));
 	CU_ASSERT_EQUAL(loom_age_us(&age, MS(1500)), MS(300));
 }
 
-/* Guards against a lost watch, or a lost reader, that hides a change for longer
- * than the bound, whatever the bound is. */
+/* Guards against a lost watch or reader that delays a change for longer than
+ * the bound, for each bound in use. */
 static void
 test_plan(void)
 {
 	static const uint64_t within_ms[] = { 1500, 2000, 2500, 3000, 5000,
 		11000, 60000 };
-	/* from the answer until it is in force */
+	/* from the answer until it is in effect */
 	const uint64_t force_us = MS(350);
 	struct loom_age_plan plan;
 	uint64_t within_us;
@@ -102,10 +106,10 @@
 finish(struct spread_fleet *fleet, const char *what)
 {
 	TEST_CHECK(spread_fleet_understated_ages(fleet) == 0,
-	    "%s: %u ages younger than the truth", what,
+	    "%s: %u ages lower than the true one", what,
 	    spread_fleet_understated_ages(fleet));
-	TEST_CHECK(spread_fleet_regressions(fleet) == 0, "%s: %u went back",
-	    what, spread_fleet_regressions(fleet));
+	TEST_CHECK(spread_fleet_regressions(fleet) == 0,
+	    "%s: %u versions went back", what, spread_fleet_regressions(fleet));
 	spread_fleet_stop(fleet);
 }
 
@@ -127,7 +131,7 @@
 	spread_fleet_run(fleet, fleet->now_us + 5 * S);
 }
 
-/* The oldest over a stretch of time, by tenths of a second. */
+/* Runs the fleet and returns the highest age, sampled every 0.1 s. */
 static uint64_t
 max_age_over(struct spread_fleet *fleet, uint64_t for_us)
 {
@@ -154,7 +158,7 @@
 	}
 }
 
-/* While changes come and after them nobody is further behind than the bound. */
+/* Checks that no age exceeds the bound after a series of changes. */
 static void
 check_age_bound(struct spread_fleet *fleet)
 {
@@ -165,10 +169,10 @@
 	TEST_CHECK(max_age_us <= 3 * S, "%u ms", (unsigned)(max_age_us / 1000));
 }
 
-/* With nothing wrong nobody needs a reading of its own: a fixed few a data
- * centre read the platform. */
+/* Guards against needless calls to the platform: without faults only a fixed
+ * number of daemons per data centre read it. */
 static void
-test_calm(void)
+test_no_faults(void)
 {
 	const struct loom_age_plan plan = loom_age_plan(3 * S);
 	const uint64_t a_minute = 60 * S / plan.wait_us;
@@ -183,11 +187,11 @@
 	    max_age_us < plan.self_us, "%u ms", (unsigned)(max_age_us / 1000));
 	TEST_CHECK(calls <= 5 * LOOM_SPREAD_READERS * a_minute / 2, "%u calls",
 	    (unsigned)calls);
-	finish(&fleet, "calm");
+	finish(&fleet, "no faults");
 }
 
-/* Guards against a stopped reader that nobody replaces: its data centre kept
- * the state of 40 s ago. */
+/* Guards against stopped readers that no daemon replaces: their data centre
+ * kept data that was 40 s old. */
 static void
 test_readers_stop(void)
 {
@@ -203,8 +207,11 @@
 	finish(&fleet, "readers stop");
 }
 
-/* Guards against a fleet that comes back from an outage all at once: calls
- * stay within what a data centre may make, and all are in touch in time. */
+/*
+ * Guards against a burst of calls when the platform returns after an outage:
+ * calls stay within what a data centre may make, and all ages are back within
+ * the bound in time.
+ */
 static void
 test_outage(void)
 {
@@ -229,8 +236,11 @@
 	finish(&fleet, "outage");
 }
 
-/* One data centre is cut off from all others and its readers from the platform:
- * it is in touch through those that still reach it. */
+/*
+ * One data centre is cut off from all others, and its readers from the
+ * platform.  Those of its daemons that still reach the platform must keep the
+ * ages within the bound.
+ */
 static void
 test_cut_readers(void)
 {
@@ -248,8 +258,8 @@
 	finish(&fleet, "cut readers");
 }
 
-/* Stops, cuts, losses, late and repeated messages, outages: no age that is told
- * is ever younger than the truth. */
+/* With pauses, partitions, lost, late and repeated messages and outages, no age
+ * is ever lower than the true one. */
 static void
 test_oracle(void)
 {
@@ -300,11 +310,11 @@
 }
 
 static const struct test_case tests[] = {
-	{ "proof", test_peer_as_of },
-	{ "never back", test_monotonic },
+	{ "peer as of", test_peer_as_of },
+	{ "monotonic", test_monotonic },
 	{ "plan", test_plan },
-	{ "delay of an own reading", test_read_delay },
-	{ "calm", test_calm },
+	{ "read delay", test_read_delay },
+	{ "no faults", test_no_faults },
 	{ "readers stop", test_readers_stop },
 	{ "outage", test_outage },
 	{ "readers cut off", test_cut_readers },
--- a/tests/decide/test_spread.c
+++ b/tests/decide/test_spread.c
@@ -1,5 +1,5 @@
 /*
- * Decisions of the spread of versions, in tables.
+ * Table tests of the gossip protocol's decisions.
  */
 
 #include <string.h>
@@ -51,8 +51,11 @@
 		ids[i] = (i + 1) * UINT64_C(0x1234567);
 }
 
-/* Each rank is one daemon's; one that is not listed has none; a lost host
- * moves the others by one place at most, so that readers seldom change. */
+/*
+ * Each daemon has a rank of its own, and one that is not listed has none.  A
+ * removed host moves the others by at most one rank, so that readers seldom
+ * change.
+ */
 static void
 test_rank(void)
 {
@@ -83,9 +86,11 @@
 	CU_ASSERT_EQUAL(loom_spread_rank(remaining, IDS - 1, removed), IDS - 1);
 }
 
-/* Followed along first neighbours, the ring passes every daemon, so none is
- * told by nobody; and each is told by at most as many as it tells, so none is
- * told by many. */
+/*
+ * The chain of first neighbours passes through all daemons, so each is notified
+ * by another; and each is notified by no more daemons than it notifies, so none
+ * is overloaded.
+ */
 static void
 test_neighbours(void)
 {
@@ -122,8 +127,8 @@
 		CU_ASSERT(ntold[j] >= 1 && ntold[j] <= 3);
 }
 
-/* Each but the readers asks one before it, nobody is asked by more than are
- * allowed, and every way ends at a reader within few steps. */
+/* All daemons but the readers have a parent, no parent has more children than
+ * allowed, and every chain of parents ends at a reader within a few steps. */
 static void
 test_parents(void)
 {
--- a/tests/support/spread_fleet.c
+++ b/tests/support/spread_fleet.c
@@ -1,5 +1,5 @@
 /*
- * The schedule player; see the header.
+ * The fleet simulator; see the header.
  */
 
 #include <sodium.h>
@@ -10,12 +10,12 @@
 
 #define TICK_US 100000
 #define CALL_GAP_US 200000
-#define BACKOFF_US 1000000 /* readers ask again within a second */
+#define BACKOFF_US 1000000 /* a failed watch is retried after 1 s */
 #define CONNECTION_IDLE_US 60000000
 #define PLATFORM_ANSWER_US 5000
 #define NODE_SEEDS 3
 
-/* One put at the platform; its revision is its index plus one. */
+/* A write to the platform; its revision is its index plus one. */
 struct spread_fleet_put {
 	unsigned name;
 	uint64_t version;
@@ -27,7 +27,7 @@
 	uint64_t at_us;
 	uint64_t sequence;
 	struct spread_fleet_node *to;
-	uint64_t incarnation; /* of to: a tick dies with it */
+	uint64_t incarnation; /* of to: its ticks end with it */
 	bool tick;
 	struct loom_from from;
 	uint8_t type;
@@ -42,6 +42,7 @@
 				    : a->sequence < b->sequence;
 }
 
+/* The events are kept in a binary heap, the earliest first. */
 static void
 queue_push(GPtrArray *events, struct spread_fleet_event *event)
 {
@@ -165,7 +166,7 @@
 		deliver_later(from, to, type, payload, len);
 }
 
-/* "VERSION WHO filler"; a text that does not begin so is a forgery. */
+/* "VERSION WRITER filler"; any other text counts as forged. */
 static bool
 node_check(void *arg, enum loom_spread_kind kind, const char *name,
     const char *text, size_t len, struct loom_spread_version *version,
@@ -196,7 +197,7 @@
 }
 
 static unsigned
-index_of(const char *name)
+name_index(const char *name)
 {
 	return (unsigned)g_ascii_strtoull(strrchr(name, '/') + 1, NULL, 10);
 }
@@ -211,7 +212,7 @@
 
 	(void)kind;
 	for (i = 0; i < n; i++) {
-		name = index_of(items[i]->name);
+		name = name_index(items[i]->name);
 		if (node->applied[name] == items[i]->version.number)
 			continue;
 		node->applied[name] = items[i]->version.number;
@@ -260,7 +261,8 @@
 	}
 }
 
-/* The platform keeps the latest put of a name alone. */
+/* Returns whether this is the latest write of its name; the platform keeps no
+ * other. */
 static bool
 is_latest(const struct spread_fleet *fleet, uint64_t at, uint64_t last)
 {
@@ -275,7 +277,8 @@
 	return true;
 }
 
-/* The platform's answer as this node sees it; true when values came. */
+/* Passes the platform's answer, as this node sees it, to the node; returns
+ * whether it had values. */
 static bool
 read_values(struct spread_fleet_node *node)
 {
@@ -300,7 +303,7 @@
 	return any;
 }
 
-/* A watch answers on a change or when its time is up; a fetch at once. */
+/* A watch is answered on a change or when its time is over, a fetch at once. */
 static void
 call_platform(struct spread_fleet_node *node)
 {
@@ -326,8 +329,8 @@
 	    fleet->now_us < node->call_end_us)
 		return;
 	fleet->calls++;
-	/* what is asked for once is answered as of now, a watch proves no
-	 * more than what was there when it was sent */
+	/* A fetch and the first call are answered with the present state; a
+	 * watch proves only what was written before it was sent. */
 	sent_us = node->fetching || first ? fleet->now_us : node->sent_us;
 	node->fetching = false;
 	node->sent_us = fleet->now_us + CALL_GAP_US;
@@ -340,8 +343,9 @@
 }
 
 /*
- * The oracle: a node that tells an age holds at least the latest version of
- * each name that was put before it.  Not for fleets whose platform is stale.
+ * Checks that a node holds the latest version of each name that was written
+ * before the time up to which, by its age, its data is complete.  Not for
+ * fleets with a stale platform.
  */
 static void
 check_age(struct spread_fleet_node *node)
--- a/tests/support/spread_fleet.h
+++ b/tests/support/spread_fleet.h
@@ -2,9 +2,10 @@
 #define LOOM_TEST_SPREAD_FLEET_H
 
 /*
- * A player of schedules over the spread's parts: one process, a fake clock, a
- * network that loses, delays, repeats and reorders by a seed, and a platform
- * that each part sees in its own way.  Nothing here decides anything.
+ * Simulates a fleet of gossip protocol instances in one process: a fake clock,
+ * a network that loses, delays, repeats and reorders messages by a seed, and a
+ * platform whose state is set for each node.  The protocol's decisions are all
+ * made by the code under test.
  */
 
 #include <glib.h>
@@ -15,10 +16,12 @@
 #include "support/test.h"
 
 #define FLEET_NAMES 16
-/* What a message costs besides its payload, in bytes: the envelope (about 55),
- * ZMTP and CURVE framing (35), TCP and IP heads (40). */
+/* Bytes of a message besides its payload: the envelope (about 55), ZMTP and
+ * CURVE framing (35), TCP and IP headers (40). */
 #define FLEET_MESSAGE_BYTES 130
-/* A new connection: TCP's and CURVE's handshakes, both ways together. */
+/*
+ * Bytes of a new connection: the TCP and CURVE handshakes in both directions.
+ */
 #define FLEET_CONNECT_BYTES 1500
 
 enum spread_fleet_platform {
@@ -39,23 +42,23 @@
 	uint64_t incarnation;
 	uint64_t paused_until_us;
 	bool running;
-	/* its view of the platform */
+	/* the platform as this node sees it */
 	enum spread_fleet_platform platform;
 	uint64_t stale_revision;
 	uint64_t next_revision;
 	uint64_t next_call_us;
 	uint64_t call_end_us;
-	uint64_t sent_us; /* when the running watch was sent */
+	uint64_t sent_us; /* when the current watch was sent */
 	bool watching;
 	bool fetching;
-	/* what was seen of it */
+	/* recorded for the checks */
 	struct loom_spread_version held[FLEET_NAMES];
 	uint64_t applied[FLEET_NAMES];
 	uint64_t applied_us[FLEET_NAMES];
 	uint64_t ready_us;
 	uint64_t bytes;
 	unsigned regressions;
-	unsigned understated_ages; /* told ages, by the oracle */
+	unsigned understated_ages; /* ages that check_age() found too low */
 };
 
 struct spread_fleet_options {
@@ -64,9 +67,9 @@
 	uint32_t seed;
 	uint32_t loss_permille;
 	uint32_t duplicate_permille;
-	uint32_t delay_permille; /* delayed by up to half a second more */
-	uint64_t within_us; /* of the parts; 0 for their default */
-	bool checks_age; /* by the oracle, at each tick */
+	uint32_t delay_permille; /* delayed by up to 0.5 s more */
+	uint64_t within_us; /* of the nodes; 0 for the default */
+	bool checks_age; /* with check_age(), at each tick */
 };
 
 struct spread_fleet {
@@ -89,20 +92,21 @@
     struct spread_fleet *, const struct spread_fleet_options *);
 void spread_fleet_stop(struct spread_fleet *);
 
-/* Play until the clock shows this. */
+/* Runs the fleet until the clock reaches this time. */
 void spread_fleet_run(struct spread_fleet *, uint64_t until_us);
-/* Play until all nodes that are up have the version of the name in force;
- * false when the limit passes first. */
+/* Runs until all running nodes have the version of the name in effect; returns
+ * false if the limit passes first. */
 bool spread_fleet_run_until(
     struct spread_fleet *, unsigned name, uint64_t version, uint64_t limit_us);
-/* The same for all being ready. */
+/* Runs until all running nodes are ready; returns false if the limit passes
+ * first. */
 bool spread_fleet_run_ready(struct spread_fleet *, uint64_t limit_us);
 
-/* The operators ship a version of a document of about size bytes; who tells
- * two texts of one version apart. */
+/* Writes a version of a document of about size bytes to the platform; writer
+ * tells two texts of one version apart. */
 void spread_fleet_put(struct spread_fleet *, unsigned name, uint64_t version,
     char writer, uint32_t size);
-/* The platform lists hosts anew: a value with a revision alone. */
+/* Returns the platform's current revision. */
 uint64_t spread_fleet_revision(const struct spread_fleet *);
 
 void spread_fleet_restart(struct spread_fleet *, uint32_t node);
@@ -113,14 +117,14 @@
     struct spread_fleet *, uint32_t dc_a, uint32_t dc_b, bool partitioned);
 void spread_fleet_platform(struct spread_fleet *, enum spread_fleet_platform);
 
-/* The age of the one that is furthest behind, of those that run. */
+/* Returns the highest age among the nodes that run and are not paused. */
 uint64_t spread_fleet_max_age_us(const struct spread_fleet *);
-/* Ages told that were younger than the truth. */
+/* Returns how many ages were lower than the true one. */
 unsigned spread_fleet_understated_ages(const struct spread_fleet *);
 
-/* All nodes' versions that went back, ever. */
+/* Returns how often any node's version went back. */
 unsigned spread_fleet_regressions(const struct spread_fleet *);
-/* Do all nodes that are up hold the same versions? */
+/* Returns whether all running nodes hold the same versions. */
 bool spread_fleet_agrees(const struct spread_fleet *);
 
 #endif
