--- a/src/control/spread_force.c
+++ b/src/control/spread_force.c
@@ -19,9 +19,9 @@
 
 struct spread_status_row {
 	char name[LOOM_SPREAD_NAME_MAX + 1];
-	uint64_t force_number;
-	uint64_t force_digest;
-	uint64_t since_us;
+	uint64_t applied_number;
+	uint64_t applied_digest;
+	uint64_t applied_us;
 	uint64_t held_number; /* 0 if it is the one in effect */
 };
 
@@ -77,9 +77,9 @@
 		item = g_ptr_array_index(items, i);
 		id = spread_id_of(item);
 		row = (struct spread_status_row){
-			.force_number = item->force_number,
-			.force_digest = item->force_digest,
-			.since_us = item->force_since_us,
+			.applied_number = item->force_number,
+			.applied_digest = item->force_digest,
+			.applied_us = item->force_since_us,
 		};
 		if (item->force_number != id.number ||
 		    item->force_digest != id.digest)
@@ -256,14 +256,14 @@
 	json_object_object_add(
 	    object, "name", json_object_new_string(row->name));
 	json_object_object_add(object, "version",
-	    json_object_new_int64((int64_t)row->force_number));
+	    json_object_new_int64((int64_t)row->applied_number));
 	g_snprintf(digest, sizeof(digest), "%016" G_GINT64_MODIFIER "x",
-	    row->force_digest);
+	    row->applied_digest);
 	json_object_object_add(
 	    object, "digest", json_object_new_string(digest));
 	json_object_object_add(object, "age_ms",
 	    json_object_new_int64(
-		(int64_t)((now_us - row->since_us) / LOOM_US_PER_MS)));
+		(int64_t)((now_us - row->applied_us) / LOOM_US_PER_MS)));
 	if (row->held_number != 0)
 		json_object_object_add(object, "held_version",
 		    json_object_new_int64((int64_t)row->held_number));
--- a/src/control/spread_wire.h
+++ b/src/control/spread_wire.h
@@ -17,8 +17,7 @@
 #include "loom/control.h"
 
 enum spread_message_type {
-	SPREAD_HAVE =
-	    LOOM_MESSAGE_SPREAD_FIRST, /* the sender's state and some ids */
+	SPREAD_HAVE = LOOM_MESSAGE_SPREAD_FIRST, /* sender's state, some ids */
 	SPREAD_WANT, /* requests the values of these ids */
 	SPREAD_GIVE, /* values */
 	SPREAD_BUCKETS, /* the sender's bucket digests */
--- a/src/decide/age.c
+++ b/src/decide/age.c
@@ -20,8 +20,8 @@
  * watch, the time allowed for its answer and one more read; their sum is below
  * the bound.
  */
-#define LONG_POLL_DIVISOR 6
-#define RESPONSE_DIVISOR 5
+#define WATCH_DIVISOR 6
+#define ANSWER_DIVISOR 5
 #define QUERY_INTERVAL_DIVISOR 12
 #define WIDE_QUERY_TENTHS 5
 #define PLATFORM_READ_TENTHS 6
@@ -67,8 +67,8 @@
 loom_age_plan(uint64_t within_us)
 {
 	return (struct loom_age_plan){
-		.wait_us = within_us / LONG_POLL_DIVISOR,
-		.answer_us = within_us / RESPONSE_DIVISOR,
+		.wait_us = within_us / WATCH_DIVISOR,
+		.answer_us = within_us / ANSWER_DIVISOR,
 		.beat_us = within_us / QUERY_INTERVAL_DIVISOR,
 		.elsewhere_us = within_us * WIDE_QUERY_TENTHS / TENTHS,
 		.self_us = within_us * PLATFORM_READ_TENTHS / TENTHS,
