--- a/src/control/spread.c
+++ b/src/control/spread.c
@@ -204,7 +204,7 @@
 	spread->ops = ops;
 	spread->arg = arg;
 	spread->platform_is_current = options->platform_is_current;
-	spread->plan = loom_spread_plan(options->within_us);
+	spread->timing = loom_spread_plan(options->within_us);
 	spread->started_us = now_us;
 	spread->nseeds = options->nseeds;
 	spread->seeds = talloc_memdup(
--- a/src/control/spread_age.c
+++ b/src/control/spread_age.c
@@ -123,8 +123,8 @@
 static void
 query_peer(struct loom_spread *spread, uint64_t age_us, uint64_t now_us)
 {
-	const bool wide = age_us >= spread->plan.elsewhere_us;
-	uint64_t interval_us = spread->plan.beat_us;
+	const bool wide = age_us >= spread->timing.elsewhere_us;
+	uint64_t interval_us = spread->timing.beat_us;
 	uint64_t target;
 
 	if (now_us < spread->next_query_us)
@@ -143,7 +143,7 @@
 static bool
 is_isolated(const struct loom_spread *spread, uint64_t now_us)
 {
-	return now_us - spread->last_reply_us > spread->plan.elsewhere_us;
+	return now_us - spread->last_reply_us > spread->timing.elsewhere_us;
 }
 
 static uint64_t
@@ -156,7 +156,8 @@
 		.alone = is_isolated(spread, now_us),
 	};
 
-	return loom_age_read_delay_us(&reader, &spread->plan, &spread->random);
+	return loom_age_read_delay_us(
+	    &reader, &spread->timing, &spread->random);
 }
 
 /* Reads the platform at a high age.  A daemon that watches it has a call in
@@ -164,7 +165,7 @@
 static void
 read_platform(struct loom_spread *spread, uint64_t age_us, uint64_t now_us)
 {
-	if (age_us < spread->plan.self_us || spread->watching) {
+	if (age_us < spread->timing.self_us || spread->watching) {
 		spread->next_read_us = 0;
 		return;
 	}
@@ -175,7 +176,7 @@
 	loom_counter_add(spread->counters.own_readings, 1);
 	spread->ops->fetch(spread->arg);
 	spread->next_read_us =
-	    now_us + spread->plan.answer_us + read_delay_us(spread, now_us);
+	    now_us + spread->timing.answer_us + read_delay_us(spread, now_us);
 }
 
 /*
@@ -187,7 +188,7 @@
 log_staleness(struct loom_spread *spread, uint64_t age_us, uint64_t now_us)
 {
 	const uint64_t limit_us =
-	    spread->plan.self_us + 2 * spread->plan.answer_us;
+	    spread->timing.self_us + 2 * spread->timing.answer_us;
 	const bool stale = age_us > limit_us;
 	const struct loom_event_field fields[] = {
 		LOOM_F_TEXT("what", stale ? "behind" : "in touch"),
--- a/src/control/spread_config.c
+++ b/src/control/spread_config.c
@@ -255,15 +255,18 @@
     const struct loom_spread_config_options *options)
 {
 	struct tevent_context *ev = loom_control_loop(options->control);
-	const struct loom_age_plan plan = loom_spread_plan(options->within_us);
+	const struct loom_age_plan timing =
+	    loom_spread_plan(options->within_us);
 	struct loom_platform_options platform = {
 		.source = options->source,
 		.source_arg = options->source_arg,
 		.url = options->platform_url,
 		.address = options->address,
 		.random = options->random,
-		.pace = { .wait_ms = (uint32_t)(plan.wait_us / LOOM_US_PER_MS),
-		    .answer_ms = (uint32_t)(plan.answer_us / LOOM_US_PER_MS) },
+		.pace = { .wait_ms =
+			      (uint32_t)(timing.wait_us / LOOM_US_PER_MS),
+		    .answer_ms =
+			(uint32_t)(timing.answer_us / LOOM_US_PER_MS) },
 	};
 	bool reads_all = options->source != NULL && options->source->reads_all;
 	const unsigned nreaders = reads_all ? 1 : LOOM_SPREAD_KINDS;
--- a/src/control/spread_force.c
+++ b/src/control/spread_force.c
@@ -193,7 +193,7 @@
 static void
 check_ready(struct loom_spread *spread, uint64_t now_us)
 {
-	struct loom_spread_found found = {
+	struct loom_spread_found state = {
 		.in_force = all_applied(spread),
 		.known_peers = known_peers(spread),
 		.heard_peers = spread->any_peer_answered,
@@ -203,25 +203,25 @@
 	unsigned kind;
 	uint32_t i;
 
-	found.platform = true;
+	state.platform = true;
 	for (kind = 0; kind < LOOM_SPREAD_KINDS; kind++) {
-		found.platform &= spread->answered_us[kind] != 0;
+		state.platform &= spread->answered_us[kind] != 0;
 		first_us = MAX(first_us, spread->first_answer_us[kind]);
 	}
-	found.platform_us = now_us - first_us;
+	state.platform_us = now_us - first_us;
 	for (i = 0; i < spread->npeer_states; i++) {
 		if (!spread->peer_states[i].ready)
 			continue;
-		found.heard_ready++;
-		found.agreeing_ready += spread->peer_states[i].root == root;
+		state.heard_ready++;
+		state.agreeing_ready += spread->peer_states[i].root == root;
 	}
-	if (!loom_spread_ready(&found))
+	if (!loom_spread_ready(&state))
 		return;
 	atomic_store(&spread->ready, true);
 	loom_log(LOOM_LOG_INFO, "spread", LOOM_OK,
 	    "ready: platform %s, %u of %u ready peers agree",
-	    found.platform ? "answered" : "silent", found.agreeing_ready,
-	    found.heard_ready);
+	    state.platform ? "answered" : "silent", state.agreeing_ready,
+	    state.heard_ready);
 }
 
 void
--- a/src/decide/age.c
+++ b/src/decide/age.c
@@ -77,17 +77,17 @@
 
 uint64_t
 loom_age_read_delay_us(const struct loom_age_reader *reader,
-    const struct loom_age_plan *plan, const struct loom_random *random)
+    const struct loom_age_plan *timing, const struct loom_random *random)
 {
 	uint32_t position;
 
 	if (reader->alone)
-		return 1 + loom_random_below(random, plan->beat_us);
+		return 1 + loom_random_below(random, timing->beat_us);
 	if (reader->rank < reader->readers + STANDBYS) {
 		position = reader->rank - MIN(reader->rank, reader->readers);
 		return 1 + position * STANDBY_STEP_US;
 	}
-	return plan->answer_us +
+	return timing->answer_us +
 	    loom_random_below(
 		random, (uint64_t)reader->hosts * READ_INTERVAL_US);
 }
--- a/src/decide/spread.c
+++ b/src/decide/spread.c
@@ -149,22 +149,22 @@
  * AGREEMENT_WAIT_US.
  */
 bool
-loom_spread_ready(const struct loom_spread_found *found)
+loom_spread_ready(const struct loom_spread_found *state)
 {
 	uint32_t needed = LOOM_SPREAD_START_PEERS;
 
-	if (!found->in_force)
+	if (!state->in_force)
 		return false;
-	if (found->known_peers > 0 && found->known_peers < needed)
-		needed = found->known_peers;
-	if (found->agreeing_ready >= needed)
+	if (state->known_peers > 0 && state->known_peers < needed)
+		needed = state->known_peers;
+	if (state->agreeing_ready >= needed)
 		return true;
-	if (!found->platform)
+	if (!state->platform)
 		return false;
-	if (found->agreeing_ready > 0 || found->platform_is_current)
+	if (state->agreeing_ready > 0 || state->platform_is_current)
 		return true;
-	if (found->heard_ready > 0)
-		return found->platform_us >= AGREEMENT_WAIT_US;
-	return found->platform_us >=
-	    (found->heard_peers ? NO_READY_WAIT_US : NO_PEER_WAIT_US);
+	if (state->heard_ready > 0)
+		return state->platform_us >= AGREEMENT_WAIT_US;
+	return state->platform_us >=
+	    (state->heard_peers ? NO_READY_WAIT_US : NO_PEER_WAIT_US);
 }
--- a/tests/decide/test_age.c
+++ b/tests/decide/test_age.c
@@ -57,26 +57,26 @@
 /* Guards against a lost watch or reader that delays a change for longer than
  * the bound, for each bound in use. */
 static void
-test_plan(void)
+test_timing(void)
 {
 	static const uint64_t within_ms[] = { 1500, 2000, 2500, 3000, 5000,
 		11000, 60000 };
 	/* from the answer until it is in effect */
 	const uint64_t force_us = MS(350);
-	struct loom_age_plan plan;
+	struct loom_age_plan timing;
 	uint64_t within_us;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(within_ms); i++) {
 		within_us = MS(within_ms[i]);
-		plan = loom_age_plan(within_us);
-		TEST_CHECK(
-		    plan.wait_us + 2 * plan.answer_us + force_us < within_us,
+		timing = loom_age_plan(within_us);
+		TEST_CHECK(timing.wait_us + 2 * timing.answer_us + force_us <
+			within_us,
 		    "a lost watch, within %u ms", (unsigned)within_ms[i]);
-		TEST_CHECK(plan.self_us + force_us < within_us,
+		TEST_CHECK(timing.self_us + force_us < within_us,
 		    "a lost reader, within %u ms", (unsigned)within_ms[i]);
-		TEST_CHECK(plan.beat_us < plan.elsewhere_us &&
-			plan.elsewhere_us < plan.self_us,
+		TEST_CHECK(timing.beat_us < timing.elsewhere_us &&
+			timing.elsewhere_us < timing.self_us,
 		    "order, within %u ms", (unsigned)within_ms[i]);
 	}
 }
@@ -84,21 +84,21 @@
 static void
 test_read_delay(void)
 {
-	const struct loom_age_plan plan = loom_age_plan(3 * S);
+	const struct loom_age_plan timing = loom_age_plan(3 * S);
 	struct loom_random random = test_random_new(1);
 	struct loom_age_reader reader = { .readers = 2, .hosts = 850 };
 	uint64_t delay_us;
 	uint32_t early = 0;
 
 	for (reader.rank = 2; reader.rank < 850; reader.rank++) {
-		delay_us = loom_age_read_delay_us(&reader, &plan, &random);
+		delay_us = loom_age_read_delay_us(&reader, &timing, &random);
 		CU_ASSERT(delay_us > 0);
 		early += delay_us <= MS(500);
 	}
 	TEST_CHECK(early <= 4, "%u read in the first half second", early);
 	reader.alone = true;
-	CU_ASSERT(
-	    loom_age_read_delay_us(&reader, &plan, &random) <= plan.beat_us);
+	CU_ASSERT(loom_age_read_delay_us(&reader, &timing, &random) <=
+	    timing.beat_us);
 	test_random_free(&random);
 }
 
@@ -174,8 +174,8 @@
 static void
 test_no_faults(void)
 {
-	const struct loom_age_plan plan = loom_age_plan(3 * S);
-	const uint64_t a_minute = 60 * S / plan.wait_us;
+	const struct loom_age_plan timing = loom_age_plan(3 * S);
+	const uint64_t a_minute = 60 * S / timing.wait_us;
 	struct spread_fleet fleet;
 	uint64_t calls, max_age_us;
 
@@ -183,8 +183,8 @@
 	calls = fleet.calls;
 	max_age_us = max_age_over(&fleet, 30 * S);
 	calls = fleet.calls - calls;
-	TEST_CHECK(
-	    max_age_us < plan.self_us, "%u ms", (unsigned)(max_age_us / 1000));
+	TEST_CHECK(max_age_us < timing.self_us, "%u ms",
+	    (unsigned)(max_age_us / 1000));
 	TEST_CHECK(calls <= 5 * LOOM_SPREAD_READERS * a_minute / 2, "%u calls",
 	    (unsigned)calls);
 	finish(&fleet, "no faults");
@@ -312,7 +312,7 @@
 static const struct test_case tests[] = {
 	{ "peer as of", test_peer_as_of },
 	{ "monotonic", test_monotonic },
-	{ "plan", test_plan },
+	{ "plan", test_timing },
 	{ "read delay", test_read_delay },
 	{ "no faults", test_no_faults },
 	{ "readers stop", test_readers_stop },
--- a/tests/decide/test_spread.c
+++ b/tests/decide/test_spread.c
@@ -162,7 +162,7 @@
 {
 	static const struct {
 		const char *name;
-		struct loom_spread_found found;
+		struct loom_spread_found state;
 		bool ready;
 	} cases[] = {
 		{ "nothing", { .in_force = false }, false },
@@ -244,7 +244,7 @@
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++)
-		TEST_CHECK(loom_spread_ready(&cases[i].found) == cases[i].ready,
+		TEST_CHECK(loom_spread_ready(&cases[i].state) == cases[i].ready,
 		    "%s", cases[i].name);
 }
 
