--- a/src/control/spread_messages.c
+++ b/src/control/spread_messages.c
@@ -21,8 +21,7 @@
 #define EXCHANGE_INTERVAL_US (10 * LOOM_US_PER_S)
 #define EXCHANGE_BUSY_INTERVAL_US (60 * LOOM_US_PER_S)
 #define QUIET_US (3 * LOOM_US_PER_S)
-/* Buffer for one LIST, in bytes. */
-#define SEND_BUFFER_BYTES (128 * 1024)
+#define LIST_BUFFER_BYTES (128 * 1024)
 
 static const char *const prefixes[LOOM_SPREAD_KINDS] = {
 	[LOOM_SPREAD_MANIFEST] = "manifest/",
@@ -199,14 +198,14 @@
     const GArray *ids)
 {
 	struct spread_list *list = g_new(struct spread_list, 1);
-	uint8_t *buf = g_malloc(SEND_BUFFER_BYTES);
+	uint8_t *buf = g_malloc(LIST_BUFFER_BYTES);
 	size_t len;
 
 	list->mask = mask;
 	list->nids = MIN(ids->len, SPREAD_LIST_IDS_MAX);
 	if (list->nids > 0)
 		memcpy(list->ids, ids->data, list->nids * sizeof(*list->ids));
-	len = spread_list_pack(list, buf, SEND_BUFFER_BYTES);
+	len = spread_list_pack(list, buf, LIST_BUFFER_BYTES);
 	spread_send(spread, host_id, SPREAD_LIST, buf, len);
 	g_free(buf);
 	g_free(list);
--- a/src/control/spread_private.h
+++ b/src/control/spread_private.h
@@ -109,15 +109,15 @@
 	struct loom_age_plan timing;
 	struct loom_age age;
 	struct spread_query queries[SPREAD_QUERIES_MAX];
-	uint64_t last_query_number; /* number of the last query */
-	uint64_t next_query_us; /* when the next query is due */
+	uint64_t last_query_number;
+	uint64_t next_query_us;
 	uint64_t last_reply_us; /* when a peer last replied to a query */
 	/* Once the root of the store is pending_root, the data is complete up
 	 * to pending_as_of_us, as a peer's reply proved. */
 	uint64_t pending_root;
 	uint64_t pending_as_of_us; /* 0 for none */
 	uint64_t next_read_us; /* next read of the platform; 0 for none */
-	bool reported_stale; /* the last event logged says "behind" */
+	bool reported_stale; /* the age was over the limit at the last tick */
 
 	/* the platform */
 	uint64_t sent_us[LOOM_SPREAD_KINDS]; /* start of the call answered */
@@ -135,7 +135,7 @@
 	bool has_manifest; /* a manifest is in effect */
 	bool refused[LOOM_SPREAD_KINDS]; /* the versions held were rejected */
 	atomic_bool ready;
-	bool any_peer_answered; /* any peer has sent its state */
+	bool any_peer_answered;
 	struct spread_peer_state peer_states[SPREAD_PEER_STATES_MAX];
 	uint32_t npeer_states;
 	GMutex status_lock;
@@ -164,7 +164,9 @@
     const struct spread_id *ids, uint32_t n, uint64_t now_us);
 /* Repeats requests that were not answered. */
 void spread_pull_tick(struct loom_spread *, uint64_t now_us);
+/* A newer version has arrived: ends the request for it. */
 void spread_pull_received(struct loom_spread *, uint64_t id);
+/* Sends the values that a host wants, within the limit on bytes. */
 void spread_pull_serve(struct loom_spread *, uint64_t host_id,
     const struct spread_want *, uint64_t now_us);
 
@@ -202,7 +204,8 @@
 /* Handles the reply to a query. */
 void spread_age_note_reply(struct loom_spread *, uint64_t host_id,
     const struct spread_have *, uint64_t now_us);
-/* To be called after what is held has changed. */
+/* Advances the age if the root of the store is pending_root; to be called after
+ * what is held has changed. */
 void spread_age_update(struct loom_spread *);
 
 /* spread_role.c */
--- a/tests/decide/test_age.c
+++ b/tests/decide/test_age.c
@@ -55,14 +55,14 @@
 }
 
 /* Guards against a lost watch or reader that delays a change for longer than
- * the bound, for each bound in use. */
+ * the bound, for bounds from 1.5 s to 60 s. */
 static void
 test_timing(void)
 {
 	static const uint64_t within_ms[] = { 1500, 2000, 2500, 3000, 5000,
 		11000, 60000 };
 	/* from the answer until it is in effect */
-	const uint64_t force_us = MS(350);
+	const uint64_t apply_us = MS(350);
 	struct loom_age_plan timing;
 	uint64_t within_us;
 	size_t i;
@@ -70,10 +70,10 @@
 	for (i = 0; i < G_N_ELEMENTS(within_ms); i++) {
 		within_us = MS(within_ms[i]);
 		timing = loom_age_plan(within_us);
-		TEST_CHECK(timing.wait_us + 2 * timing.answer_us + force_us <
+		TEST_CHECK(timing.wait_us + 2 * timing.answer_us + apply_us <
 			within_us,
 		    "a lost watch, within %u ms", (unsigned)within_ms[i]);
-		TEST_CHECK(timing.self_us + force_us < within_us,
+		TEST_CHECK(timing.self_us + apply_us < within_us,
 		    "a lost reader, within %u ms", (unsigned)within_ms[i]);
 		TEST_CHECK(timing.beat_us < timing.elsewhere_us &&
 			timing.elsewhere_us < timing.self_us,
