--- a/src/control/spread_force.c
+++ b/src/control/spread_force.c
@@ -1,10 +1,10 @@
 /*
- * From held to in force: joining, readiness and the status.
+ * Applying versions, readiness and the status.
  *
- * A version is held as soon as its own check passed, and passed on to peers;
- * it is in force once the whole set joins.  So a set that does not join yet,
- * since one document of two has not come, harms nobody, and a bad set spreads
- * no further than being held.
+ * A version is held as soon as its own check has passed, and is passed on to
+ * peers then; it takes effect once all versions held combine into a valid set.
+ * So an incomplete set, as when one of two related documents has not arrived,
+ * does no harm, and a bad set is held by every daemon but applied by none.
  */
 
 #include <json-c/json.h>
@@ -13,16 +13,16 @@
 #include "control/spread_private.h"
 #include "loom/log.h"
 
-/* Changes come in groups, and each join costs milliseconds for thousands of
- * hosts: at most one in this time. */
-#define APPLY_GAP_US (250 * LOOM_US_PER_MS)
+/* Minimum interval between applications.  Changes arrive in groups, and
+ * applying them takes milliseconds for thousands of hosts. */
+#define APPLY_INTERVAL_US (250 * LOOM_US_PER_MS)
 
 struct spread_status_row {
 	char name[LOOM_SPREAD_NAME_MAX + 1];
-	uint64_t force_number;
-	uint64_t force_digest;
-	uint64_t since_us;
-	uint64_t held_number; /* 0 when it is the one in force */
+	uint64_t applied_number;
+	uint64_t applied_digest;
+	uint64_t applied_us;
+	uint64_t held_number; /* 0 if it is the one in effect */
 };
 
 static const char *const kind_names[LOOM_SPREAD_KINDS] = {
@@ -31,7 +31,7 @@
 };
 
 void
-spread_force_init(struct loom_spread *spread)
+spread_apply_init(struct loom_spread *spread)
 {
 	g_mutex_init(&spread->status_lock);
 	spread->status =
@@ -39,14 +39,14 @@
 }
 
 void
-spread_force_free(struct loom_spread *spread)
+spread_apply_free(struct loom_spread *spread)
 {
 	g_array_free(spread->status, TRUE);
 	g_mutex_clear(&spread->status_lock);
 }
 
 static void
-note_in_force(const GPtrArray *items, uint64_t now_us)
+mark_applied(const GPtrArray *items, uint64_t now_us)
 {
 	struct loom_spread_item *item;
 	struct spread_id id;
@@ -77,9 +77,9 @@
 		item = g_ptr_array_index(items, i);
 		id = spread_id_of(item);
 		row = (struct spread_status_row){
-			.force_number = item->force_number,
-			.force_digest = item->force_digest,
-			.since_us = item->force_since_us,
+			.applied_number = item->force_number,
+			.applied_digest = item->force_digest,
+			.applied_us = item->force_since_us,
 		};
 		if (item->force_number != id.number ||
 		    item->force_digest != id.digest)
@@ -107,57 +107,61 @@
     struct loom_spread *spread, enum loom_spread_kind kind, uint64_t now_us)
 {
 	GPtrArray *items = spread_store_items(spread->store, kind);
-	bool good;
+	bool ok;
 
-	good = spread->ops->apply(spread->arg, kind,
+	ok = spread->ops->apply(spread->arg, kind,
 	    (const struct loom_spread_item *const *)(void *)items->pdata,
 	    items->len, now_us);
-	if (good) {
-		note_in_force(items, now_us);
+	if (ok) {
+		mark_applied(items, now_us);
 		if (kind == LOOM_SPREAD_MANIFEST)
-			spread->in_force = true;
+			spread->has_manifest = true;
 	} else {
 		loom_counter_add(spread->counters.bad_set, 1);
 		loom_log(LOOM_LOG_WARN, "spread", LOOM_SPREAD_SET_REFUSED,
-		    "%s: the held set does not join; what is in force stays",
+		    "%s: the versions held do not form a valid set; "
+		    "those in effect stay",
 		    kind_names[kind]);
 	}
-	spread->refused[kind] = !good;
+	spread->refused[kind] = !ok;
 	g_ptr_array_free(items, TRUE);
 }
 
-/* The row of a host; else a free one; else, for a host that is ready, one of
- * a host that is not: those cannot vouch alone, and must not crowd out. */
-static struct spread_agreeing *
-row_for(struct loom_spread *spread, uint64_t host_id, bool ready)
+/*
+ * Returns the entry of a host, or a free one.  If there is none, a ready host
+ * gets the entry of one that is not ready, since hosts that are not ready do
+ * not count and must not displace those that do; any other host gets NULL.
+ */
+static struct spread_peer_state *
+peer_state_slot(struct loom_spread *spread, uint64_t host_id, bool ready)
 {
-	struct spread_agreeing *row, *spare = NULL;
+	struct spread_peer_state *row, *spare = NULL;
 	uint32_t i;
 
-	for (i = 0; i < spread->nagreeing; i++) {
-		row = &spread->agreeing[i];
+	for (i = 0; i < spread->npeer_states; i++) {
+		row = &spread->peer_states[i];
 		if (row->host_id == host_id)
 			return row;
 		if (!row->ready)
 			spare = row;
 	}
-	if (spread->nagreeing < SPREAD_AGREEING_MAX)
-		return &spread->agreeing[spread->nagreeing++];
+	if (spread->npeer_states < SPREAD_PEER_STATES_MAX)
+		return &spread->peer_states[spread->npeer_states++];
 	return ready ? spare : NULL;
 }
 
 void
-spread_force_heard(
+spread_apply_note_peer(
     struct loom_spread *spread, uint64_t host_id, uint64_t root, bool ready)
 {
-	struct spread_agreeing *row;
+	struct spread_peer_state *row;
 
 	if (atomic_load(&spread->ready))
 		return;
-	spread->heard_peers = true;
-	row = row_for(spread, host_id, ready);
+	spread->any_peer_answered = true;
+	row = peer_state_slot(spread, host_id, ready);
 	if (row != NULL)
-		*row = (struct spread_agreeing){ host_id, root, ready };
+		*row = (struct spread_peer_state){ host_id, root, ready };
 }
 
 static uint32_t
@@ -169,12 +173,13 @@
 }
 
 /*
- * What agrees with the peers must be what requests are served by: a newer
- * version may be held that the next join has yet to bring in force, or one
- * that does not join, while a part of the set is in force.
+ * Returns whether all versions held are in effect.  A daemon compares what it
+ * holds with its peers but serves requests by what is in effect, which may be
+ * older: a newer version may not have been applied yet, or the set with it may
+ * have been rejected.
  */
 static bool
-held_is_in_force(const struct loom_spread *spread)
+all_applied(const struct loom_spread *spread)
 {
 	unsigned kind;
 
@@ -182,50 +187,50 @@
 		if (spread->changed[kind] || spread->refused[kind])
 			return false;
 	}
-	return spread->in_force;
+	return spread->has_manifest;
 }
 
 static void
 check_ready(struct loom_spread *spread, uint64_t now_us)
 {
-	struct loom_spread_found found = {
-		.in_force = held_is_in_force(spread),
+	struct loom_spread_found state = {
+		.in_force = all_applied(spread),
 		.known_peers = known_peers(spread),
-		.heard_peers = spread->heard_peers,
+		.heard_peers = spread->any_peer_answered,
 		.platform_is_current = spread->platform_is_current,
 	};
 	uint64_t root = spread_store_root(spread->store), first_us = 0;
 	unsigned kind;
 	uint32_t i;
 
-	found.platform = true;
+	state.platform = true;
 	for (kind = 0; kind < LOOM_SPREAD_KINDS; kind++) {
-		found.platform &= spread->answered_us[kind] != 0;
+		state.platform &= spread->answered_us[kind] != 0;
 		first_us = MAX(first_us, spread->first_answer_us[kind]);
 	}
-	found.platform_us = now_us - first_us;
-	for (i = 0; i < spread->nagreeing; i++) {
-		if (!spread->agreeing[i].ready)
+	state.platform_us = now_us - first_us;
+	for (i = 0; i < spread->npeer_states; i++) {
+		if (!spread->peer_states[i].ready)
 			continue;
-		found.heard_ready++;
-		found.agreeing_ready += spread->agreeing[i].root == root;
+		state.heard_ready++;
+		state.agreeing_ready += spread->peer_states[i].root == root;
 	}
-	if (!loom_spread_ready(&found))
+	if (!loom_spread_ready(&state))
 		return;
 	atomic_store(&spread->ready, true);
 	loom_log(LOOM_LOG_INFO, "spread", LOOM_OK,
 	    "ready: platform %s, %u of %u ready peers agree",
-	    found.platform ? "answered" : "silent", found.agreeing_ready,
-	    found.heard_ready);
+	    state.platform ? "answered" : "silent", state.agreeing_ready,
+	    state.heard_ready);
 }
 
 void
-spread_force_tick(struct loom_spread *spread, uint64_t now_us)
+spread_apply_tick(struct loom_spread *spread, uint64_t now_us)
 {
 	bool any = false;
 	unsigned kind;
 
-	if (now_us - spread->applied_us >= APPLY_GAP_US) {
+	if (now_us - spread->last_apply_us >= APPLY_INTERVAL_US) {
 		for (kind = 0; kind < LOOM_SPREAD_KINDS; kind++) {
 			if (!spread->changed[kind])
 				continue;
@@ -235,7 +240,7 @@
 		}
 	}
 	if (any) {
-		spread->applied_us = now_us;
+		spread->last_apply_us = now_us;
 		refresh_status(spread);
 	}
 	if (!atomic_load(&spread->ready))
@@ -243,7 +248,7 @@
 }
 
 static struct json_object *
-row_object(const struct spread_status_row *row, uint64_t now_us)
+row_to_json(const struct spread_status_row *row, uint64_t now_us)
 {
 	struct json_object *object = json_object_new_object();
 	char digest[17];
@@ -251,14 +256,14 @@
 	json_object_object_add(
 	    object, "name", json_object_new_string(row->name));
 	json_object_object_add(object, "version",
-	    json_object_new_int64((int64_t)row->force_number));
+	    json_object_new_int64((int64_t)row->applied_number));
 	g_snprintf(digest, sizeof(digest), "%016" G_GINT64_MODIFIER "x",
-	    row->force_digest);
+	    row->applied_digest);
 	json_object_object_add(
 	    object, "digest", json_object_new_string(digest));
 	json_object_object_add(object, "age_ms",
 	    json_object_new_int64(
-		(int64_t)((now_us - row->since_us) / LOOM_US_PER_MS)));
+		(int64_t)((now_us - row->applied_us) / LOOM_US_PER_MS)));
 	if (row->held_number != 0)
 		json_object_object_add(object, "held_version",
 		    json_object_new_int64((int64_t)row->held_number));
@@ -278,8 +283,8 @@
 	g_mutex_lock(&spread->status_lock);
 	for (i = 0; i < spread->status->len; i++)
 		json_object_array_add(list,
-		    row_object(&g_array_index(
-				   spread->status, struct spread_status_row, i),
+		    row_to_json(&g_array_index(spread->status,
+				    struct spread_status_row, i),
 			now_us));
 	g_mutex_unlock(&spread->status_lock);
 	json_object_object_add(object, "versions", list);
--- a/tests/control/test_spread_config.c
+++ b/tests/control/test_spread_config.c
@@ -1,7 +1,7 @@
 /*
- * Daemons' control threads with real sockets, signed documents and the
- * platform's stand-in: what operators ship is in force everywhere, and what
- * is forged, old or does not join is nowhere.
+ * Control threads with real sockets, signed documents and the platform's
+ * stand-in: what operators write takes effect everywhere, and what is forged,
+ * old or does not combine into a valid set takes effect nowhere.
  */
 
 #include <string.h>
@@ -120,7 +120,8 @@
 }
 
 static void
-call(struct fixture *f, const char *method, const char *path, const char *body)
+call_standin(
+    struct fixture *f, const char *method, const char *path, const char *body)
 {
 	char *answer = test_standin_call(&f->standin, method, path, body);
 
@@ -135,12 +136,12 @@
 	char *path = g_strconcat("/test/values/manifest/", name, NULL);
 	char *text = loom_envelope_seal(key, document, strlen(document), NULL);
 
-	call(f, "PUT", path, text);
+	call_standin(f, "PUT", path, text);
 	g_free(text);
 	g_free(path);
 }
 
-/* Document "teams" with one team and one key. */
+/* Writes the document "teams", with one team and one key, under a name. */
 static void
 put_team(struct fixture *f, const struct loom_secret_key *key, const char *name,
     unsigned version, unsigned burst, bool withdrawn)
@@ -169,7 +170,7 @@
 		    i > 0 ? "," : "", f->daemons[i].name,
 		    f->daemons[i].address);
 	g_string_append_c(text, ']');
-	call(f, "PUT", "/test/values/hosts/orders", text->str);
+	call_standin(f, "PUT", "/test/values/hosts/orders", text->str);
 	g_string_free(text, TRUE);
 }
 
@@ -199,7 +200,7 @@
 	test_standin_stop(&f->standin);
 }
 
-/* The burst in force at a daemon, 0 when no manifest is. */
+/* Returns the burst in effect at a daemon, 0 if no manifest is. */
 static unsigned
 burst_at(struct daemon *daemon)
 {
@@ -219,7 +220,7 @@
 }
 
 static bool
-all_serve(struct fixture *f, unsigned burst)
+all_ready_with(struct fixture *f, unsigned burst)
 {
 	unsigned i;
 
@@ -231,13 +232,13 @@
 	return true;
 }
 
-/* Poll until the condition holds; fails after a generous limit. */
+/* Polls until the condition holds; the test fails after LIMIT_US. */
 #define WAIT(condition)                                              \
 	do {                                                         \
 		gint64 end = g_get_monotonic_time() + LIMIT_US;      \
 		while (!(condition) && g_get_monotonic_time() < end) \
 			g_usleep(POLL_US);                           \
-		TEST_CHECK(condition, "waited in vain");             \
+		TEST_CHECK(condition, "timed out");                  \
 	} while (0)
 
 static int64_t
@@ -257,9 +258,9 @@
 	unsigned i;
 
 	setup(&f);
-	WAIT(all_serve(&f, 10));
+	WAIT(all_ready_with(&f, 10));
 	put_team(&f, &f.secret_key, "teams", 2, 20, true);
-	WAIT(all_serve(&f, 20));
+	WAIT(all_ready_with(&f, 20));
 	for (i = 0; i < DAEMONS; i++) {
 		daemon = &f.daemons[i];
 		g_mutex_lock(&daemon->lock);
@@ -278,26 +279,27 @@
 }
 
 /*
- * Someone who can write to the platform, or the platform itself, brings what
- * must not come into force: a forged document, a signed one under another
- * name, the version before under a new revision, one that does not join the
- * rest.  What is in force stays, and the next good change still comes through.
+ * Guards against values that take effect without passing all checks.  The
+ * platform serves a forged document, a signed document under another name, an
+ * older version under a new revision, and a document that does not combine with
+ * the rest.  What is in effect must stay, and the next valid change must still
+ * take effect.
  */
 static void
 test_refused(void)
 {
-	struct loom_secret_key stranger;
-	struct loom_public_key unused;
-	int64_t refused, old, bad;
+	struct loom_secret_key untrusted;
+	struct loom_public_key untrusted_public;
+	int64_t refused, old, bad_sets;
 	struct fixture f;
 
 	setup(&f);
-	loom_key_pair(&unused, &stranger);
-	WAIT(all_serve(&f, 10));
+	loom_key_pair(&untrusted_public, &untrusted);
+	WAIT(all_ready_with(&f, 10));
 	put_team(&f, &f.secret_key, "teams", 2, 20, false);
-	WAIT(all_serve(&f, 20));
+	WAIT(all_ready_with(&f, 20));
 	refused = count("loom_spread_refused_total");
-	put_team(&f, &stranger, "teams", 3, 30, false);
+	put_team(&f, &untrusted, "teams", 3, 30, false);
 	WAIT(count("loom_spread_refused_total") > refused);
 	refused = count("loom_spread_refused_total");
 	put_team(&f, &f.secret_key, "other", 3, 30, false);
@@ -305,39 +307,37 @@
 	old = count("loom_spread_old_total");
 	put_team(&f, &f.secret_key, "teams", 1, 10, false);
 	WAIT(count("loom_spread_old_total") > old);
-	bad = count("loom_spread_bad_sets_total");
+	bad_sets = count("loom_spread_bad_sets_total");
 	put_signed(&f, &f.secret_key, "routes",
 	    "{\"document\": \"routes\", \"version\": 1, \"routes\": [{"
 	    "\"name\": \"r\", \"service\": \"none\", \"method\": \"GET\", "
 	    "\"path\": \"/r\"}]}");
-	WAIT(count("loom_spread_bad_sets_total") >= bad + DAEMONS);
-	CU_ASSERT(all_serve(&f, 20));
+	WAIT(count("loom_spread_bad_sets_total") >= bad_sets + DAEMONS);
+	CU_ASSERT(all_ready_with(&f, 20));
 	put_team(&f, &f.secret_key, "teams", 4, 40, false);
 	put_signed(&f, &f.secret_key, "routes",
 	    "{\"document\": \"routes\", \"version\": 2}");
-	WAIT(all_serve(&f, 40));
+	WAIT(all_ready_with(&f, 40));
 	teardown(&f);
 }
 
-/*
- * The platform goes down and a daemon is replaced at the same address.  It
- * holds nothing, and gets all from the peers that its settings name.
- */
+/* The platform goes down and a daemon is replaced at the same address.  It
+ * holds nothing, and must get everything from the peers in its settings. */
 static void
 test_restart_without_platform(void)
 {
 	struct fixture f;
 
 	setup(&f);
-	WAIT(all_serve(&f, 10));
-	call(&f, "POST", "/test/fault?mode=down", "");
+	WAIT(all_ready_with(&f, 10));
+	call_standin(&f, "POST", "/test/fault?mode=down", "");
 	stop_daemon(&f.daemons[2]);
 	bind_daemon(&f, 2);
 	run_daemon(&f, 2);
-	WAIT(all_serve(&f, 10));
-	call(&f, "POST", "/test/fault?mode=none", "");
+	WAIT(all_ready_with(&f, 10));
+	call_standin(&f, "POST", "/test/fault?mode=none", "");
 	put_team(&f, &f.secret_key, "teams", 2, 20, false);
-	WAIT(all_serve(&f, 20));
+	WAIT(all_ready_with(&f, 20));
 	teardown(&f);
 }
 
--- a/tests/decide/test_age.c
+++ b/tests/decide/test_age.c
@@ -1,6 +1,7 @@
 /*
- * The age of what a daemon holds: its rules alone, and over fleets on a fake
- * clock, where an oracle knows what the platform had acknowledged.
+ * The age of the data that a daemon holds: its rules by themselves, and in
+ * simulated fleets on a fake clock, in which each age is checked against what
+ * had been written to the platform.
  */
 
 #include "loom/age.h"
@@ -11,13 +12,16 @@
 #define S LOOM_US_PER_S
 #define MS(n) ((uint64_t)(n)*LOOM_US_PER_MS)
 
-/* An answer proves nothing later than its question, less the age it told, and
- * less what the two clocks may differ in that time. */
+/*
+ * A peer's answer proves that its data was complete up to the time of the
+ * query, less the age that it stated and the possible difference in clock speed
+ * over that time.
+ */
 static void
-test_proof(void)
+test_peer_as_of(void)
 {
 	static const struct {
-		uint64_t asked_us, told_us, proof_us;
+		uint64_t asked_us, peer_age_us, as_of_us;
 	} rows[] = {
 		{ MS(10000), 0, MS(10000) - 1 },
 		{ MS(10000), MS(256), MS(10000) - MS(257) - 1 },
@@ -29,13 +33,13 @@
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(rows); i++)
-		TEST_CHECK(loom_age_proof(rows[i].asked_us, rows[i].told_us) ==
-			rows[i].proof_us,
+		TEST_CHECK(loom_age_proof(rows[i].asked_us,
+			       rows[i].peer_age_us) == rows[i].as_of_us,
 		    "row %zu", i);
 }
 
 static void
-test_never_back(void)
+test_monotonic(void)
 {
 	struct loom_age age = { .held_us = 0 };
 
@@ -44,35 +48,35 @@
 	loom_age_hold(&age, MS(900));
 	loom_age_hold(&age, MS(800));
 	CU_ASSERT_EQUAL(loom_age_us(&age, MS(1500)), MS(500));
-	/* a thread that read the clock before */
+	/* as from a thread that read the clock earlier */
 	CU_ASSERT_EQUAL(loom_age_us(&age, MS(999)), 0);
 	loom_age_hold(&age, MS(1200));
 	CU_ASSERT_EQUAL(loom_age_us(&age, MS(1500)), MS(300));
 }
 
-/* Guards against a lost watch, or a lost reader, that hides a change for longer
- * than the bound, whatever the bound is. */
+/* Guards against a lost watch or reader that delays a change for longer than
+ * the bound, for bounds from 1.5 s to 60 s. */
 static void
-test_plan(void)
+test_timing(void)
 {
 	static const uint64_t within_ms[] = { 1500, 2000, 2500, 3000, 5000,
 		11000, 60000 };
-	/* from the answer until it is in force */
-	const uint64_t force_us = MS(350);
-	struct loom_age_plan plan;
+	/* from the answer until it is in effect */
+	const uint64_t apply_us = MS(350);
+	struct loom_age_plan timing;
 	uint64_t within_us;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(within_ms); i++) {
 		within_us = MS(within_ms[i]);
-		plan = loom_age_plan(within_us);
-		TEST_CHECK(
-		    plan.wait_us + 2 * plan.answer_us + force_us < within_us,
+		timing = loom_age_plan(within_us);
+		TEST_CHECK(timing.wait_us + 2 * timing.answer_us + apply_us <
+			within_us,
 		    "a lost watch, within %u ms", (unsigned)within_ms[i]);
-		TEST_CHECK(plan.self_us + force_us < within_us,
+		TEST_CHECK(timing.self_us + apply_us < within_us,
 		    "a lost reader, within %u ms", (unsigned)within_ms[i]);
-		TEST_CHECK(plan.beat_us < plan.elsewhere_us &&
-			plan.elsewhere_us < plan.self_us,
+		TEST_CHECK(timing.beat_us < timing.elsewhere_us &&
+			timing.elsewhere_us < timing.self_us,
 		    "order, within %u ms", (unsigned)within_ms[i]);
 	}
 }
@@ -80,32 +84,32 @@
 static void
 test_read_delay(void)
 {
-	const struct loom_age_plan plan = loom_age_plan(3 * S);
+	const struct loom_age_plan timing = loom_age_plan(3 * S);
 	struct loom_random random = test_random_new(1);
 	struct loom_age_reader reader = { .readers = 2, .hosts = 850 };
 	uint64_t delay_us;
 	uint32_t early = 0;
 
 	for (reader.rank = 2; reader.rank < 850; reader.rank++) {
-		delay_us = loom_age_read_delay_us(&reader, &plan, &random);
+		delay_us = loom_age_read_delay_us(&reader, &timing, &random);
 		CU_ASSERT(delay_us > 0);
 		early += delay_us <= MS(500);
 	}
 	TEST_CHECK(early <= 4, "%u read in the first half second", early);
 	reader.alone = true;
-	CU_ASSERT(
-	    loom_age_read_delay_us(&reader, &plan, &random) <= plan.beat_us);
+	CU_ASSERT(loom_age_read_delay_us(&reader, &timing, &random) <=
+	    timing.beat_us);
 	test_random_free(&random);
 }
 
 static void
 finish(struct spread_fleet *fleet, const char *what)
 {
-	TEST_CHECK(spread_fleet_too_young(fleet) == 0,
-	    "%s: %u ages younger than the truth", what,
-	    spread_fleet_too_young(fleet));
-	TEST_CHECK(spread_fleet_went_back(fleet) == 0, "%s: %u went back", what,
-	    spread_fleet_went_back(fleet));
+	TEST_CHECK(spread_fleet_understated_ages(fleet) == 0,
+	    "%s: %u ages lower than the true one", what,
+	    spread_fleet_understated_ages(fleet));
+	TEST_CHECK(spread_fleet_regressions(fleet) == 0,
+	    "%s: %u versions went back", what, spread_fleet_regressions(fleet));
 	spread_fleet_stop(fleet);
 }
 
@@ -127,18 +131,18 @@
 	spread_fleet_run(fleet, fleet->now_us + 5 * S);
 }
 
-/* The oldest over a stretch of time, by tenths of a second. */
+/* Runs the fleet and returns the highest age, sampled every 0.1 s. */
 static uint64_t
-oldest_over(struct spread_fleet *fleet, uint64_t for_us)
+max_age_over(struct spread_fleet *fleet, uint64_t for_us)
 {
 	const uint64_t until_us = fleet->now_us + for_us;
-	uint64_t oldest_us = 0;
+	uint64_t max_age_us = 0;
 
 	while (fleet->now_us < until_us) {
 		spread_fleet_run(fleet, fleet->now_us + MS(100));
-		oldest_us = MAX(oldest_us, spread_fleet_oldest_us(fleet));
+		max_age_us = MAX(max_age_us, spread_fleet_max_age_us(fleet));
 	}
-	return oldest_us;
+	return max_age_us;
 }
 
 static void
@@ -154,40 +158,40 @@
 	}
 }
 
-/* While changes come and after them nobody is further behind than the bound. */
+/* Checks that no age exceeds the bound after a series of changes. */
 static void
-check_in_touch(struct spread_fleet *fleet)
+check_age_bound(struct spread_fleet *fleet)
 {
-	uint64_t version = 1, oldest_us;
+	uint64_t version = 1, max_age_us;
 
 	put_changes(fleet, &version, 3 * S);
-	oldest_us = oldest_over(fleet, 15 * S);
-	TEST_CHECK(oldest_us <= 3 * S, "%u ms", (unsigned)(oldest_us / 1000));
+	max_age_us = max_age_over(fleet, 15 * S);
+	TEST_CHECK(max_age_us <= 3 * S, "%u ms", (unsigned)(max_age_us / 1000));
 }
 
-/* With nothing wrong nobody needs a reading of its own: a fixed few a data
- * centre read the platform. */
+/* Guards against needless calls to the platform: without faults only a fixed
+ * number of daemons per data centre read it. */
 static void
-test_calm(void)
+test_no_faults(void)
 {
-	const struct loom_age_plan plan = loom_age_plan(3 * S);
-	const uint64_t a_minute = 60 * S / plan.wait_us;
+	const struct loom_age_plan timing = loom_age_plan(3 * S);
+	const uint64_t a_minute = 60 * S / timing.wait_us;
 	struct spread_fleet fleet;
-	uint64_t calls, oldest_us;
+	uint64_t calls, max_age_us;
 
 	start(&fleet, 95, 1, 0);
 	calls = fleet.calls;
-	oldest_us = oldest_over(&fleet, 30 * S);
+	max_age_us = max_age_over(&fleet, 30 * S);
 	calls = fleet.calls - calls;
-	TEST_CHECK(
-	    oldest_us < plan.self_us, "%u ms", (unsigned)(oldest_us / 1000));
+	TEST_CHECK(max_age_us < timing.self_us, "%u ms",
+	    (unsigned)(max_age_us / 1000));
 	TEST_CHECK(calls <= 5 * LOOM_SPREAD_READERS * a_minute / 2, "%u calls",
 	    (unsigned)calls);
-	finish(&fleet, "calm");
+	finish(&fleet, "no faults");
 }
 
-/* Guards against a stopped reader that nobody replaces: its data centre kept
- * the state of 40 s ago. */
+/* Guards against stopped readers that no daemon replaces: their data centre
+ * kept data that was 40 s old. */
 static void
 test_readers_stop(void)
 {
@@ -199,17 +203,20 @@
 		if (fleet.nodes[i].dc == 0 && fleet.nodes[i].watching)
 			spread_fleet_pause(&fleet, i, fleet.now_us + 30 * S);
 	}
-	check_in_touch(&fleet);
+	check_age_bound(&fleet);
 	finish(&fleet, "readers stop");
 }
 
-/* Guards against a fleet that comes back from an outage all at once: calls
- * stay within what a data centre may make, and all are in touch in time. */
+/*
+ * Guards against a burst of calls when the platform returns after an outage:
+ * calls stay within what a data centre may make, and all ages are back within
+ * the bound in time.
+ */
 static void
 test_outage(void)
 {
 	struct spread_fleet fleet;
-	uint64_t version = 1, calls, oldest_us;
+	uint64_t version = 1, calls, max_age_us;
 
 	start(&fleet, 300, 3, 10);
 	spread_fleet_platform(&fleet, FLEET_DOWN);
@@ -223,14 +230,17 @@
 	calls = fleet.calls;
 	spread_fleet_run(&fleet, fleet.now_us + 2 * S);
 	calls = fleet.calls - calls;
-	oldest_us = spread_fleet_oldest_us(&fleet);
-	TEST_CHECK(oldest_us <= 3 * S, "%u ms", (unsigned)(oldest_us / 1000));
+	max_age_us = spread_fleet_max_age_us(&fleet);
+	TEST_CHECK(max_age_us <= 3 * S, "%u ms", (unsigned)(max_age_us / 1000));
 	TEST_CHECK(calls <= 2 * 5 * 30, "%u calls after it", (unsigned)calls);
 	finish(&fleet, "outage");
 }
 
-/* One data centre is cut off from all others and its readers from the platform:
- * it is in touch through those that still reach it. */
+/*
+ * One data centre is cut off from all others, and its readers from the
+ * platform.  Those of its daemons that still reach the platform must keep the
+ * ages within the bound.
+ */
 static void
 test_cut_readers(void)
 {
@@ -239,17 +249,17 @@
 
 	start(&fleet, 95, 4, 10);
 	for (i = 1; i < 5; i++)
-		spread_fleet_cut(&fleet, 0, i, true);
+		spread_fleet_set_partitioned(&fleet, 0, i, true);
 	for (i = 0; i < fleet.options.nodes; i++) {
 		if (fleet.nodes[i].dc == 0 && fleet.nodes[i].watching)
 			fleet.nodes[i].platform = FLEET_DOWN;
 	}
-	check_in_touch(&fleet);
+	check_age_bound(&fleet);
 	finish(&fleet, "cut readers");
 }
 
-/* Stops, cuts, losses, late and repeated messages, outages: no age that is told
- * is ever younger than the truth. */
+/* With pauses, partitions, lost, late and repeated messages and outages, no age
+ * is ever lower than the true one. */
 static void
 test_oracle(void)
 {
@@ -257,8 +267,8 @@
 		.nodes = 60,
 		.dcs = 3,
 		.loss_permille = 50,
-		.repeat_permille = 50,
-		.late_permille = 200,
+		.duplicate_permille = 50,
+		.delay_permille = 200,
 		.within_us = 3 * S,
 		.checks_age = true,
 	};
@@ -289,7 +299,7 @@
 				spread_fleet_platform(&fleet, FLEET_UP);
 				break;
 			default:
-				spread_fleet_cut(&fleet, node % 3,
+				spread_fleet_set_partitioned(&fleet, node % 3,
 				    (node + 1) % 3, node % 2 == 0);
 				break;
 			}
@@ -300,11 +310,11 @@
 }
 
 static const struct test_case tests[] = {
-	{ "proof", test_proof },
-	{ "never back", test_never_back },
-	{ "plan", test_plan },
-	{ "delay of an own reading", test_read_delay },
-	{ "calm", test_calm },
+	{ "peer as of", test_peer_as_of },
+	{ "monotonic", test_monotonic },
+	{ "plan", test_timing },
+	{ "read delay", test_read_delay },
+	{ "no faults", test_no_faults },
 	{ "readers stop", test_readers_stop },
 	{ "outage", test_outage },
 	{ "readers cut off", test_cut_readers },
