--- a/src/daemon/again.c
+++ b/src/daemon/again.c
@@ -1,8 +1,9 @@
 /*
- * Retries are granted by the home of the root request (loom/retry.h).  While
- * its answer is awaited the refusal is kept; without a grant, or when no host
- * is left, the caller gets just that, marked final: no hop above may try what
- * the whole chain's budget does not allow.
+ * Retries are granted by the home daemon of the root request (loom/retry.h).
+ * The refusal is stored until its reply arrives.  Without a grant, or when no
+ * host is left, the caller receives that refusal, marked as final: no daemon
+ * nearer to the client may retry what the budget of the whole chain does not
+ * allow.
  */
 
 #include <string.h>
@@ -10,54 +11,55 @@
 #include "daemon/again.h"
 
 void
-again_give_up(struct call *call)
+call_retry_refuse(struct call *call)
 {
-	call->again_refusal.final = true;
-	call_refuse(call, &call->again_refusal);
+	call->retry_refusal.final = true;
+	call_refuse(call, &call->retry_refusal);
 }
 
 /*
- * The first host broke off after it had the request, the second cannot be
- * reached: "not run" is true of the second attempt alone, and its caller
- * would send the request a second time.
+ * Remembers that an earlier attempt may have been executed.  If the first host
+ * fails after it received the request and the second cannot be reached, "not
+ * run" is true of the second attempt only, and a caller that was told so would
+ * send the request again.
  */
 static void
-note_attempt(struct call *call)
+note_previous_attempt(struct call *call)
 {
-	if (call->again_refusal.outcome != LOOM_OUTCOME_NOT_RUN)
+	if (call->retry_refusal.outcome != LOOM_OUTCOME_NOT_RUN)
 		call->may_have_run = true;
 }
 
 static void
-arrived(void *arg)
+on_grant(void *arg)
 {
 	struct call *call = arg;
 
-	call->again_waits = false;
-	if (!call->over && !call->refused) {
-		if (call->again_granted) {
+	call->retry_pending = false;
+	if (!call->exchange_ended && !call->refused) {
+		if (call->retry_granted) {
 			loom_counter_add(
 			    call->worker->daemon->counters.retried, 1);
-			note_attempt(call);
-			target_again(call);
+			note_previous_attempt(call);
+			target_retry(call);
 		} else {
-			again_give_up(call);
+			call_retry_refuse(call);
 		}
 	}
-	call_drop(call);
+	call_unref(call);
 }
 
 static void
-told(struct loom_retry_ask *ask, bool granted)
+on_grant_control_thread(struct loom_retry_ask *ask, bool granted)
 {
 	struct call *call = ask->arg;
 
-	call->again_granted = granted;
-	loom_mailbox_post(call->worker->mailbox, arrived, call);
+	call->retry_granted = granted;
+	loom_mailbox_post(call->worker->mailbox, on_grant, call);
 }
 
 static struct loom_retry_root
-root_of(const struct call *call)
+request_root(const struct call *call)
 {
 	struct loom_retry_root root = {
 		.home_host_id = call->context.home_host_id,
@@ -69,42 +71,44 @@
 }
 
 bool
-again_ask(struct call *call, const struct loom_refusal *refusal)
+call_retry_request(struct call *call, const struct loom_refusal *refusal)
 {
 	const uint64_t now_us = loom_now_us();
 	const struct loom_retry_failure failure = {
 		.code = refusal->code,
 		.repeatable = call->route->repeatable,
 		.final = refusal->final,
-		.body_kept = call->body_whole,
+		.body_kept = call->body_buffered,
 		.answer_begun = call->streaming,
 		.remaining_us = call_remaining_us(call, now_us),
 	};
-	const struct loom_retry_root root = root_of(call);
+	const struct loom_retry_root root = request_root(call);
 	bool final;
 
-	call->again_refusal = *refusal;
-	if (call->ticketed || call->ntried >= CALL_TRIES_MAX ||
+	call->retry_refusal = *refusal;
+	if (call->routed_by_ticket || call->ntried >= CALL_ATTEMPTS_MAX ||
 	    call->ntried >= call->route->max_attempts ||
 	    loom_retry_may(&failure, &final) != LOOM_RETRY_ASK_HOME)
 		return false;
-	call->again_ask = (struct loom_retry_ask){ .done = told, .arg = call };
-	call->again_waits = true;
-	call_hold(call);
+	call->retry_query =
+	    (struct loom_retry_ask){ .done = on_grant_control_thread,
+		    .arg = call };
+	call->retry_pending = true;
+	call_ref(call);
 	if (loom_retry_ask(call->worker->daemon->retry, &root,
-		call->service->id, now_us, &call->again_ask))
+		call->service->id, now_us, &call->retry_query))
 		return true;
-	call->again_waits = false;
-	call_drop(call);
+	call->retry_pending = false;
+	call_unref(call);
 	return false;
 }
 
 void
-again_leave(struct call *call)
+call_retry_cancel(struct call *call)
 {
-	if (!call->again_waits)
+	if (!call->retry_pending)
 		return;
-	call->again_waits = false;
-	if (loom_retry_cancel(call->worker->daemon->retry, &call->again_ask))
-		call_drop(call);
+	call->retry_pending = false;
+	if (loom_retry_cancel(call->worker->daemon->retry, &call->retry_query))
+		call_unref(call);
 }
--- a/src/daemon/again.h
+++ b/src/daemon/again.h
@@ -2,19 +2,22 @@
 #define LOOM_DAEMON_AGAIN_H
 
 /*
- * Trying another host for a call that was refused or failed.
+ * Retries a call on another host after a refusal or failure.
  */
 
 #include "daemon/call.h"
 
-/* True when the refusal is dealt with: the request's home was asked, and the
- * call goes on or is refused by what it says. */
-bool again_ask(struct call *, const struct loom_refusal *);
+/*
+ * Asks the home of the root request for a retry.  Returns true if it was
+ * asked: its reply then either retries or refuses the call.  Returns false if
+ * no retry is possible; the refusal is stored for call_retry_refuse().
+ */
+bool call_retry_request(struct call *, const struct loom_refusal *);
 
-/* Refuse with what again_ask() was given, marked final. */
-void again_give_up(struct call *);
+/* Sends the refusal given to call_retry_request(), marked as final. */
+void call_retry_refuse(struct call *);
 
-/* The call is given up: wait no longer. */
-void again_leave(struct call *);
+/* Cancels the wait for the home's reply. */
+void call_retry_cancel(struct call *);
 
 #endif
--- a/src/daemon/auth.c
+++ b/src/daemon/auth.c
@@ -1,6 +1,6 @@
 /*
- * Keys and contexts.  A key is turned into its digest as soon as it is read
- * and is in no context, no log and no message from then on.
+ * Keys and contexts.  A key is replaced by its digest as soon as it has been
+ * read, and never appears in a context, log or message.
  */
 
 #include <string.h>
@@ -14,13 +14,13 @@
 	const char *text = call->worker->daemon->dialect->key(call->x);
 	uint8_t digest[LOOM_DIGEST_SIZE];
 	enum loom_result result;
-	const char *why;
+	const char *reason;
 
 	if (text == NULL || *text == '\0')
 		return LOOM_KEY_MISSING;
 	if (loom_exchange_header_count(call->x, HEADER_KEY) > 1)
 		return LOOM_HEADER_INVALID;
-	result = headers_check(call->x, text, &why);
+	result = headers_check(call->x, text, &reason);
 	if (result != LOOM_OK)
 		return result;
 	loom_key_digest(text, strlen(text), digest);
@@ -36,21 +36,22 @@
 {
 	uint32_t low = 0, high = manifest->nkeys, middle;
 	const struct loom_key *key;
-	int order;
+	int comparison;
 
-	/* A public route has no team, and an entry has found it public. */
+	/* A call without a team is on a public route, as its entry has
+	 * checked. */
 	if (manifest->fleet.entry_decides || context->team_id == 0)
 		return true;
 	while (low < high) {
 		middle = low + (high - low) / 2;
 		key = &manifest->keys[middle];
-		order = memcmp(
+		comparison = memcmp(
 		    key->digest, context->key_prefix, LOOM_KEY_PREFIX_SIZE);
-		if (order == 0)
+		if (comparison == 0)
 			return !key->withdrawn &&
 			    manifest->teams[key->team_index].id ==
 			    context->team_id;
-		if (order < 0)
+		if (comparison < 0)
 			low = middle + 1;
 		else
 			high = middle;
@@ -59,7 +60,7 @@
 }
 
 static enum loom_result
-verify(struct call *call, const char *text, enum loom_context_kind kind)
+verify_context(struct call *call, const char *text, enum loom_context_kind kind)
 {
 	const struct loom_daemon *daemon = call->worker->daemon;
 	const struct loom_context_expect expect = {
@@ -68,7 +69,7 @@
 		.incarnation = daemon->self.incarnation,
 	};
 	enum loom_result result;
-	const char *why;
+	const char *reason;
 
 	if (loom_exchange_header_count(call->x, HEADER_CONTEXT) != 1)
 		return LOOM_CONTEXT_INVALID;
@@ -76,7 +77,7 @@
 	    &expect, call->arrived_us, &call->context);
 	if (result != LOOM_OK)
 		return result;
-	result = headers_check(call->x, NULL, &why);
+	result = headers_check(call->x, NULL, &reason);
 	if (result != LOOM_OK)
 		return result;
 	return auth_key_granted(call->manifest, &call->context)
@@ -90,7 +91,7 @@
 {
 	enum loom_result result;
 
-	result = verify(call, text, LOOM_CONTEXT_UPSTREAM);
+	result = verify_context(call, text, LOOM_CONTEXT_UPSTREAM);
 	if (result != LOOM_OK)
 		return result;
 	return loom_calls_find(call->worker->daemon->calls, &call->context,
@@ -105,7 +106,7 @@
 
 	if (text == NULL)
 		return LOOM_CONTEXT_INVALID;
-	result = verify(call, text, LOOM_CONTEXT_PEER);
+	result = verify_context(call, text, LOOM_CONTEXT_PEER);
 	if (result != LOOM_OK)
 		return result;
 	call->deadline_us = call->arrived_us + call->context.remaining_us;
--- a/src/daemon/auth.h
+++ b/src/daemon/auth.h
@@ -2,24 +2,24 @@
 #define LOOM_DAEMON_AUTH_H
 
 /*
- * Whose request it is: by a key, by the context handed to the own upstream,
- * or by a peer's context.
+ * Authenticates requests: by a key, by the context given to the local
+ * upstream, or by a peer's context.
  */
 
 #include "daemon/call.h"
 
-/* The caller's key; *key is borrowed from the call's manifest. */
+/* Looks up the client's key; *key is borrowed from the call's manifest. */
 enum loom_result auth_key(struct call *, const struct loom_key **key);
 
-/* The context of the own upstream's call; fills the call's context with the
- * next hop's. */
+/* Verifies the context of a nested call of the local upstream.  Fills in
+ * the call's context and *parent, the call that it belongs to. */
 enum loom_result auth_upstream_context(
     struct call *, const char *text, struct loom_live_call *parent);
 
-/* A peer's context; fills the call's context and deadline. */
+/* Verifies a peer's context and fills in the call's context and deadline. */
 enum loom_result auth_peer_context(struct call *);
 
-/* Whether the key that brought a call is still granted to its team. */
+/* Whether the manifest still grants the call's key to its team. */
 bool auth_key_granted(
     const struct loom_manifest *, const struct loom_context *);
 
--- a/src/daemon/call.c
+++ b/src/daemon/call.c
@@ -1,6 +1,6 @@
 /*
- * The life of a call: made with its exchange, freed when the exchange is over
- * and nobody outside will call back any more.
+ * Lifetime of a call: it is created with its exchange and freed when the
+ * exchange has ended and no callback is outstanding.
  */
 
 #include "daemon/call.h"
@@ -21,7 +21,7 @@
 		return NULL;
 	call->worker = worker;
 	call->x = x;
-	call->holds = 1;
+	call->ref_count = 1;
 	call->arrived_us = loom_now_us();
 	call->body_length = loom_exchange_body_length(x);
 	call->report_id = talloc_strdup(call,
@@ -59,7 +59,7 @@
 }
 
 static void
-emit_span(const struct call *call)
+emit_call_span(const struct call *call)
 {
 	const struct loom_team *team = call_team(call);
 	struct span_facts facts = {
@@ -78,17 +78,17 @@
 }
 
 void
-call_hold(struct call *call)
+call_ref(struct call *call)
 {
-	call->holds++;
+	call->ref_count++;
 }
 
 void
-call_drop(struct call *call)
+call_unref(struct call *call)
 {
-	if (--call->holds > 0)
+	if (--call->ref_count > 0)
 		return;
-	emit_span(call);
+	emit_call_span(call);
 	report_call(call);
 	latency_count(call);
 	*call->link = call->next;
@@ -98,7 +98,7 @@
 		loom_manifest_release(call->manifest);
 	loom_counter_add(call->worker->daemon->counters.inflight, -1);
 	if (call->is_inner)
-		executor_inner(call, false);
+		executor_count_nested(call, false);
 	if (call->has_parent)
 		loom_calls_deeper_end(call->worker->daemon->calls,
 		    &call->parent_id, loom_now_us());
@@ -108,12 +108,13 @@
 	talloc_free(call);
 }
 
-/* A run with a ticket goes on without its caller (ticketed.c). */
+/* Whether the call continues without its caller, as a run with a ticket
+ * does after its body has arrived (ticketed.c). */
 static bool
-runs_on(const struct call *call)
+may_run_detached(const struct call *call)
 {
-	return call->run != NULL && call->fetch != NULL && call->body_ended &&
-	    !call->streaming;
+	return call->ticket_run != NULL && call->fetch != NULL &&
+	    call->body_ended && !call->streaming;
 }
 
 static void
@@ -126,37 +127,38 @@
 	call->fetch = NULL;
 }
 
-/* Whatever this call waits for outside its own thread. */
+/* Cancels waits for results from other threads. */
 static void
-leave_waits(struct call *call)
+cancel_waits(struct call *call)
 {
-	rate_leave(call);
-	again_leave(call);
-	ticketed_leave(call);
+	rate_cancel(call);
+	call_retry_cancel(call);
+	call_ticket_detach(call);
 }
 
 void
 call_end(struct call *call)
 {
-	call->over = true;
+	call->exchange_ended = true;
 	call->x = NULL;
-	if (runs_on(call)) {
+	if (may_run_detached(call)) {
 		call->detached = true;
 		return;
 	}
-	leave_waits(call);
+	cancel_waits(call);
 	cancel_leg(call);
-	target_leave(call);
-	executor_leave(call, LOOM_CALL_FAILED);
-	ticketed_settle(call, LOOM_CALLER_GONE,
+	target_cancel(call);
+	executor_release(call, LOOM_CALL_FAILED);
+	call_ticket_settle(call, LOOM_CALLER_GONE,
 	    call->sent ? LOOM_OUTCOME_UNKNOWN : LOOM_OUTCOME_NOT_RUN);
-	call_drop(call);
+	call_unref(call);
 }
 
 enum loom_importance
 call_importance(const struct call *call)
 {
-	return call->let_in ? LOOM_CRITICAL : call->context.importance;
+	return call->admitted_by_share ? LOOM_CRITICAL
+				       : call->context.importance;
 }
 
 uint64_t
@@ -166,21 +168,21 @@
 }
 
 /*
- * Once a byte was sent nobody here can tell whether it ran, whatever the
- * reason for giving up.
+ * Once data has been sent, it is unknown whether the request was executed,
+ * whatever the reason of the failure.
  */
 void
-call_fail_code(struct call *call, enum loom_result code)
+call_fail(struct call *call, enum loom_result code)
 {
 	struct loom_refusal refusal = loom_refusal_of(code);
 
-	leave_waits(call);
+	cancel_waits(call);
 	cancel_leg(call);
 	if (call->sent && refusal.outcome == LOOM_OUTCOME_NOT_RUN)
 		refusal.outcome = LOOM_OUTCOME_UNKNOWN;
-	target_leave(call);
-	executor_leave(call, LOOM_CALL_FAILED);
-	ticketed_settle(call, code, refusal.outcome);
+	target_cancel(call);
+	executor_release(call, LOOM_CALL_FAILED);
+	call_ticket_settle(call, code, refusal.outcome);
 	if (call->streaming)
 		loom_exchange_abort(call->x);
 	else
@@ -188,7 +190,7 @@
 }
 
 static void
-go(struct call *call)
+dispatch_call(struct call *call)
 {
 	if (call_remaining_us(call, loom_now_us()) == 0)
 		call_refuse_code(call, LOOM_LATE, 0);
@@ -199,39 +201,39 @@
 }
 
 void
-call_body_held(struct call *call)
+call_body_complete(struct call *call)
 {
-	go(call);
+	dispatch_call(call);
 }
 
 /*
- * A short body is held before anything is asked of others: a slow caller then
- * holds no slot of an upstream while it sends, and the request can be sent
- * again.  A long one waits at its caller until an executor has taken the call.
+ * A short body is buffered before anything else is requested.  A slow client
+ * then occupies no slot of an upstream while it sends, and the request can be
+ * retried.  A long body is read only after an executor has accepted the call.
  */
 void
-call_launch(struct call *call)
+call_start(struct call *call)
 {
 	call->working = true;
 	atomic_fetch_add(&call->worker->daemon->working, 1);
 	if (call->body_length == 0) {
-		call->body_whole = true;
+		call->body_buffered = true;
 		call->body_ended = true;
-		go(call);
+		dispatch_call(call);
 	} else if (call->body_length > 0 &&
-	    call->body_length <= CALL_WHOLE_MAX) {
-		call->body_whole = true;
+	    call->body_length <= CALL_BUFFER_MAX) {
+		call->body_buffered = true;
 		call->body.keep = true;
 		loom_exchange_take_body(call->x);
 	} else {
-		go(call);
+		dispatch_call(call);
 	}
 }
 
 /*
- * A withdrawn key must stop within seconds, also for calls that wait in a
- * queue, stream a body or run for minutes: they are cut here, not at their
- * next hop.
+ * A withdrawn key has to lose effect within seconds, also for calls that are
+ * queued, stream a body or run for minutes.  They are failed here rather than
+ * at their next hop.
  */
 void
 calls_recheck_keys(struct worker *worker)
@@ -240,9 +242,9 @@
 
 	for (call = worker->calls; call != NULL; call = next) {
 		next = call->next;
-		if (call->over || call->route == NULL ||
+		if (call->exchange_ended || call->route == NULL ||
 		    auth_key_granted(worker->manifest, &call->context))
 			continue;
-		call_fail_code(call, LOOM_KEY_WITHDRAWN);
+		call_fail(call, LOOM_KEY_WITHDRAWN);
 	}
 }
--- a/src/daemon/call.h
+++ b/src/daemon/call.h
@@ -2,19 +2,19 @@
 #define LOOM_DAEMON_CALL_H
 
 /*
- * One call on its way through this daemon.
+ * State and stages of one call that this daemon handles.
  *
- * A call enters by an exchange (a caller's, the own upstream's or a peer's)
- * and leaves by a leg: to a peer daemon, or to the own upstream.  Its stages
- * are in files of their own:
+ * A call arrives as an exchange, sent by a client, by the local upstream or by
+ * a peer daemon.  It is forwarded as a leg, the outgoing request to a peer
+ * daemon or to the local upstream.  The stages are in separate files:
  *
- *   entry.c     who asks, for what, is it within its team's rate
- *   target.c    which host; the leg to a peer; whether to try another
- *   heirs.c     where a request with a ticket goes
- *   executor.c  admission to the own upstream
- *   ticketed.c  routes that may not be repeated
- *   upstream.c  the leg to the own upstream
- *   relay.c     the body on to the leg, the answer back
+ *   entry.c     authentication, routing, deadline, rate of the team
+ *   target.c    choice of the host, leg to a peer, retry on another host
+ *   heirs.c     routing of a request with a ticket
+ *   executor.c  admission to the local upstream
+ *   ticketed.c  tickets of non-idempotent routes, at the executor
+ *   upstream.c  leg to the local upstream
+ *   relay.c     request body to the leg, answer to the caller
  *   refuse.c    problem documents
  */
 
@@ -29,117 +29,135 @@
 #include "loom/ticket.h"
 #include "trace/export.h"
 
-/* Bodies and answers up to this are held whole: a request can then be sent
- * again, and a cut answer becomes a clean refusal. */
-#define CALL_WHOLE_MAX (64 * 1024)
+/* Bodies and answers up to this size are buffered completely, so that a
+ * request can be retried and a truncated answer can be replaced by a
+ * refusal. */
+#define CALL_BUFFER_MAX (64 * 1024)
 
-/* Hosts that one call may be tried at. */
-#define CALL_TRIES_MAX 4
+/* Upper limit of hosts tried for one call. */
+#define CALL_ATTEMPTS_MAX 4
 
 enum call_origin {
-	CALL_ORIGIN_CALLER, /* with a key: a root request */
-	CALL_ORIGIN_UPSTREAM, /* from the own upstream, with its context */
-	CALL_ORIGIN_PEER, /* from an entry, with a peer context */
+	CALL_ORIGIN_CALLER, /* a client with a key: a root request */
+	CALL_ORIGIN_UPSTREAM, /* the local upstream, with its context */
+	CALL_ORIGIN_PEER, /* another daemon, with a peer context */
 };
 
 enum call_admission {
 	CALL_ADMISSION_NONE,
 	CALL_ADMISSION_QUEUED,
-	CALL_ADMISSION_INSIDE,
+	CALL_ADMISSION_RUNNING,
 };
 
 struct call {
 	struct worker *worker; /* borrowed */
-	struct loom_exchange *x; /* borrowed; NULL when it is over */
+	struct loom_exchange *x; /* borrowed; NULL after it has ended */
 	struct call *next, **link; /* in worker->calls */
 	struct loom_manifest *manifest; /* counted */
 	const struct loom_route *route; /* borrowed from manifest */
 	const struct loom_service *service;
 	enum call_origin origin;
-	const char *caller_service; /* where the request entered; borrowed */
-	struct loom_context context; /* who, root, home, importance, hops */
+	const char *caller_service; /* service of the entry daemon; borrowed */
+	/* team, root request, home, importance, hops */
+	struct loom_context context;
 	uint64_t arrived_us;
 	uint64_t deadline_us;
-	uint32_t holds; /* others that will still call back */
-	bool over; /* the exchange ended */
-	bool own_page; /* answered by internal.c */
-	bool has_parent; /* a deeper call of parent_id */
-	/* made by the own upstream for a request that it runs, without a
-	 * context that would tell which */
+	/* the exchange and callbacks that are still to come */
+	uint32_t ref_count;
+	bool exchange_ended;
+	/* request for one of the daemon's own pages (internal.c) */
+	bool own_page;
+	bool has_parent; /* nested call of parent_id */
+	/* nested call that the local upstream sent without a context, so
+	 * that the parent is unknown */
 	bool is_inner;
-	bool let_in; /* by the share of the service that runs it */
-	/* for its line in the log */
-	char *report_id; /* owned: the caller's name of it; NULL for none */
-	uint64_t below_service_id; /* the narrowest on its way; 0: none is */
-	double below_share; /* of it, by the reports then */
-	uint64_t below_age_us; /* of the last report of that share */
-	double below_calls; /* that a request like it makes there */
+	/* admitted while the service that runs it admitted only a share of
+	 * its requests (keep.c) */
+	bool admitted_by_share;
+	/* for the log line of the call (report.c) */
+	char *report_id; /* owned: request id set by the caller, or NULL */
+	/* service that refused the call or else the one with the lowest
+	 * admitted share; 0 for none */
+	uint64_t below_service_id;
+	double below_share; /* its admitted share when the call was checked */
+	uint64_t below_age_us; /* age of the report of that share */
+	double below_calls; /* calls per request of this route to it */
 	struct loom_id128 parent_id;
-	bool working; /* let in: counted in daemon->working */
-	bool refused; /* an answer was given here; nothing goes on */
+	bool working; /* counted in daemon->working */
+	bool refused; /* a refusal was sent */
 
-	/* a root request's token */
+	/* rate token of a root request */
 	struct loom_rights_waiter rate_waiter;
-	bool rate_waits;
+	bool rate_pending;
 	enum loom_result rate_result;
 	uint64_t rate_retry_after_us;
 
-	/* a retry that the home was asked for */
-	struct loom_retry_ask again_ask;
-	bool again_waits;
-	bool again_granted;
-	struct loom_refusal again_refusal;
-	bool may_have_run; /* an earlier attempt ended so */
+	/* retry requested from the home daemon */
+	struct loom_retry_ask retry_query;
+	bool retry_pending;
+	bool retry_granted;
+	struct loom_refusal retry_refusal;
+	bool may_have_run; /* an earlier attempt may have been executed */
 
 	/* the request's body */
 	struct loom_buffer body;
-	int64_t body_length; /* -1 when it comes in chunks */
-	uint64_t body_bytes; /* taken so far */
-	bool body_whole; /* held whole before the leg starts */
+	int64_t body_length; /* -1 for chunked transfer */
+	uint64_t body_bytes; /* received so far */
+	bool body_buffered; /* buffered completely before the leg starts */
 	bool body_ended;
 
 	/* the leg */
-	struct loom_fetch *fetch; /* borrowed; NULL when none runs */
-	bool sent; /* a leg that was given up may have sent a byte */
-	uint64_t leg_us; /* when it started */
-	uint64_t target_id; /* of a peer leg */
-	uint64_t tried[CALL_TRIES_MAX];
+	struct loom_fetch *fetch; /* borrowed; NULL when no leg is active */
+	bool sent; /* a cancelled leg may have sent data */
+	uint64_t leg_us; /* start time */
+	uint64_t target_id; /* host of the active peer leg; 0 for none */
+	uint64_t tried[CALL_ATTEMPTS_MAX];
 	uint32_t ntried;
-	bool ticketed; /* bound to the executor of its ticket */
-	struct tevent_timer *moving_timer; /* waits for a hand-over */
-	uint32_t moving_asks; /* how often it has waited so */
-	bool relayed; /* the refusal is a peer's own word */
-	uint64_t clock_resent_id; /* host that it was sent to anew after
-				   * LOOM_CONTEXT_STALE; 0 for none */
+	/* goes to the executor of its ticket or that host's successors */
+	bool routed_by_ticket;
+	/* retry while tickets move between hosts */
+	struct tevent_timer *handover_timer;
+	uint32_t handover_retries; /* number of such retries */
+	bool refusal_from_peer; /* the refusal was received from a peer */
+	/* host that the call was sent to a second time after
+	 * LOOM_CONTEXT_STALE; 0 for none */
+	uint64_t stale_resent_host_id;
 
 	/* the answer */
 	struct loom_buffer answer;
 	bool streaming;
-	enum loom_answer_kind answer_kind; /* of the upstream's leg */
+	/* classification of the upstream's answer */
+	enum loom_answer_kind answer_kind;
 
 	/* at the executor */
 	struct loom_waiting waiting;
-	bool offered; /* waiting was filled */
+	bool offered; /* waiting is valid */
 	enum call_admission admission;
-	bool live; /* in daemon->calls */
-	uint64_t deeper_us; /* of the leg, spent in its deeper calls */
-	struct loom_id128 live_id;
-	bool wants_prefix; /* waits for the body's first bytes */
-	struct loom_quarantine_entry *quarantine; /* owned while inside */
-	struct tevent_timer *hold_timer; /* the quarantine holds it */
-	bool broke; /* its leg broke, whether by a crash is being found out */
-	struct loom_fetch_end broken_end; /* how */
-
-	uint32_t issue_count; /* tickets asked for; 0 for a usual call */
+	bool registered; /* listed in daemon->calls as registered_id */
+	uint64_t deeper_us; /* part of the leg's time spent in nested calls */
+	struct loom_id128 registered_id;
+	/* the fingerprint needs the first bytes of the body */
+	bool awaits_body_prefix;
+	struct loom_quarantine_entry *quarantine; /* owned while running */
+	/* quarantine poll or pending crash check */
+	struct tevent_timer *upstream_timer;
+	bool awaits_crash_check; /* the connection broke; crash check pending */
+	struct loom_fetch_end broken_leg_end; /* result of that leg */
+
+	/* tickets requested; 0 if not a request for tickets */
+	uint32_t issue_count;
 
 	/* with a ticket, at its executor */
 	struct loom_ticket ticket;
-	struct loom_ticket_run *run; /* owned until it is settled */
+	/* owned until the ticket is settled */
+	struct loom_ticket_run *ticket_run;
 	struct loom_ticket_waiter ticket_waiter;
-	bool ticket_begun; /* its executor has looked at the ticket */
-	bool attached; /* waits for another arrival's run */
-	bool detached; /* the caller went away, the run goes on */
-	bool answer_lost; /* too long to keep */
+	bool ticket_checked; /* looked up in the local ticket records */
+	/* waits for the result of another request with the same ticket */
+	bool attached;
+	bool detached; /* the caller disconnected; the request still runs */
+	/* exceeds CALL_BUFFER_MAX, so that it is not stored */
+	bool answer_too_long;
 	enum loom_result attached_code;
 	enum loom_outcome attached_outcome;
 	struct loom_answer *attached_answer; /* counted */
@@ -147,31 +165,33 @@
 	struct span span;
 };
 
-/* A new call of an exchange; owned by the worker. */
+/* Creates the call of an exchange; owned by the worker. */
 struct call *call_new(struct worker *, struct loom_exchange *);
 
-/* Somebody outside will still call back: the memory stays until the drop. */
-void call_hold(struct call *);
-void call_drop(struct call *);
+/* Adds a reference for an outstanding callback.  The call is freed when the
+ * last reference is dropped. */
+void call_ref(struct call *);
+void call_unref(struct call *);
 
-/* The exchange is over: give up whatever still runs for it. */
+/* The exchange has ended: cancels everything that is still pending for it,
+ * except a run with a ticket, which continues without its caller. */
 void call_end(struct call *);
 
-/* A new manifest is in force: cut the worker's calls whose key it no longer
- * grants. */
+/* Called when a new manifest takes effect: fails the worker's calls whose
+ * key it no longer grants. */
 void calls_recheck_keys(struct worker *);
 
-/* The ticket that came with the request, borrowed; NULL when none did or the
- * request needs none. */
+/* Returns the request's ticket (borrowed), or NULL if there is none or the
+ * route needs none. */
 const char *call_ticket_text(const struct call *);
 
-/* The team whose key came with the request; NULL for a public route. */
+/* Returns the team of the request; NULL on a public route. */
 const struct loom_team *call_team(const struct call *);
 
-/* Its importance at the executor. */
+/* Returns the importance used at the executor. */
 enum loom_importance call_importance(const struct call *);
 
-/* Time that is left; 0 when the deadline has passed. */
+/* Returns the time until the deadline; 0 when it has passed. */
 uint64_t call_remaining_us(const struct call *, uint64_t now_us);
 
 /* entry.c */
@@ -179,63 +199,74 @@
 void entry_peer_request(struct worker *, struct loom_exchange *);
 void entry_ready_request(struct worker *, struct loom_exchange *);
 
-/* call.c: the request cannot go on; what may be said depends on what was
- * sent.  The leg, if any, is given up. */
-void call_fail_code(struct call *, enum loom_result);
-/* call.c: a body that is held whole is complete. */
-void call_body_held(struct call *);
-/* call.c: accepted; take the body if need be and go to the target. */
-void call_launch(struct call *);
-
-/* target.c: choose a host and go there. */
+/* Implemented in call.c.  Cancels the leg, if any, and refuses the request.
+ * The refusal's outcome depends on whether data was sent. */
+void call_fail(struct call *, enum loom_result);
+/* Implemented in call.c.  Called when a body that is buffered completely
+ * has arrived. */
+void call_body_complete(struct call *);
+/* Implemented in call.c.  Starts an accepted call: reads the body if it is
+ * to be buffered, then goes on to the target or to the executor. */
+void call_start(struct call *);
+
+/* Implemented in target.c.  Chooses a host and sends the call to it. */
 void target_start(struct call *);
-/* target.c: a retry was granted. */
-void target_again(struct call *);
-/* target.c: go to that host, this one included. */
-void target_go_to(struct call *, uint64_t host_id);
-/* target.c: the refusal when no host is known. */
-const struct loom_refusal *target_none(struct loom_refusal *);
-/* target.c: the host, or the own executor, refused or failed. */
+/* Implemented in target.c.  Sends the call to another host after a retry
+ * was granted. */
+void target_retry(struct call *);
+/* Implemented in target.c.  Sends the call to a host, which may be this one. */
+void target_send_to(struct call *, uint64_t host_id);
+/* Implemented in target.c.  Fills in the refusal for the case that no host
+ * is known. */
+const struct loom_refusal *target_no_host(struct loom_refusal *);
+/* Implemented in target.c.  Handles a refusal or failure of a host or of
+ * the local executor. */
 void target_refused(struct call *, const struct loom_refusal *);
-/* target.c: the leg to a peer is given up. */
-void target_leave(struct call *);
+/* Implemented in target.c.  Cancels the leg to a peer, or the wait for a
+ * handover of tickets. */
+void target_cancel(struct call *);
 
 /* executor.c */
 void executor_start(struct call *);
-/* The call is refused here: a peer is told, an own entry may go elsewhere. */
+/* Refuses the call at this executor.  A peer receives the refusal; a call
+ * that entered here may be retried on another host. */
 void executor_refuse(struct call *, const struct loom_refusal *);
 void executor_refuse_code(
     struct call *, enum loom_result, uint64_t retry_after_us);
-/* An inner call of the own upstream begins or ends. */
-void executor_inner(struct call *, bool begins);
-/* Leave the queue or the place inside. */
-void executor_leave(struct call *, enum loom_call_end);
-/* Act on calls that admission moved; they may be other workers'. */
+/* Counts the start or end of a nested call that the local upstream sent
+ * without a context. */
+void executor_count_nested(struct call *, bool begins);
+/* Removes the call from the admission queue, or releases its slot. */
+void executor_release(struct call *, enum loom_call_end);
+/* Applies the verdicts of admission on queued calls, which may belong to
+ * other workers. */
 void executor_moved(struct loom_moved *);
 
-/* upstream.c: the call holds a place inside. */
+/* Implemented in upstream.c.  Starts the leg of a call that holds a slot. */
 void upstream_start(struct call *);
-/* More of the body came, or it ended. */
-void upstream_body_came(struct call *);
-/* Give back what the leg holds, before the place inside. */
-void upstream_leave(struct call *);
+/* Called when more of the body has arrived, or its end. */
+void upstream_body_progress(struct call *);
+/* Releases the leg's quarantine entry, timer and registration; called
+ * before the slot is released. */
+void upstream_release(struct call *);
 
 /* relay.c */
 size_t relay_take_body(struct call *, const uint8_t *data, size_t len);
 void relay_body_end(struct call *);
 size_t relay_read_body(void *arg, uint8_t *buf, size_t max, bool *end);
 bool relay_data(void *arg, const uint8_t *data, size_t len);
-/* Begin to stream what was collected. */
+/* Starts to stream the answer, with the part that is buffered. */
 void relay_start_stream(struct call *);
-/* The leg's answer is whole: pass it on. */
-void relay_answer_whole(struct call *);
+/* Sends the leg's complete answer to the caller. */
+void relay_answer_complete(struct call *);
 
 /* refuse.c */
-/* What may be said of a leg that failed; reason goes into the detail. */
+/* Fills in the refusal for a failed leg; reason goes into its detail. */
 void refusal_of_failure(const struct loom_failure_facts *, const char *reason,
     struct loom_refusal *);
 void call_refuse(struct call *, const struct loom_refusal *);
-/* A code's refusal; retry_after_us is 0 where nobody has an estimate. */
+/* Returns the refusal for a code; retry_after_us is 0 where there is no
+ * estimate. */
 struct loom_refusal refusal_of_code(enum loom_result, uint64_t retry_after_us);
 void call_refuse_code(struct call *, enum loom_result, uint64_t retry_after_us);
 
--- a/src/daemon/cuts.c
+++ b/src/daemon/cuts.c
@@ -1,8 +1,10 @@
 /*
- * Load pattern: a deep service is overloaded and drops calls on which the
- * services above it have worked already.  Each answer carries the thresholds
- * of the services that took part, so that entries refuse what would be
- * dropped.  See loom/shed.h for the decision.
+ * Passes shedding thresholds back to the entries.
+ *
+ * Load pattern: a service at the end of a call chain is overloaded and rejects
+ * calls on which the services before it have already spent work.  Each answer
+ * carries the thresholds of the services involved, so that entries refuse
+ * requests that would be rejected later.  The decision is in loom/shed.h.
  */
 
 #include <string.h>
@@ -10,7 +12,7 @@
 #include "daemon/cuts.h"
 
 static void
-append(GString *text, uint64_t service_id, uint16_t cut)
+append_threshold(GString *text, uint64_t service_id, uint16_t cut)
 {
 	if (cut >= LOOM_CUT_NONE)
 		return;
@@ -19,7 +21,7 @@
 }
 
 char *
-cuts_format(const struct call *call)
+shed_thresholds_format(const struct call *call)
 {
 	struct worker *worker = call->worker;
 	const struct route_view *view;
@@ -31,12 +33,12 @@
 		return NULL;
 	text = g_string_new(NULL);
 	if (call->offered)
-		append(
+		append_threshold(
 		    text, worker->daemon->self.service_id, call->waiting.cut);
 	view = worker_route(worker, call->manifest, call->route);
 	for (i = 0; view != NULL && i < view->nservices; i++) {
 		if (view->service_ids[i] != worker->daemon->self.service_id)
-			append(text, view->service_ids[i],
+			append_threshold(text, view->service_ids[i],
 			    loom_shed_cut(worker->shed, view->service_ids[i],
 				call->context.team_id, now_us));
 	}
@@ -44,7 +46,7 @@
 }
 
 void
-cuts_learn(struct worker *worker, uint64_t team_id, const char *text)
+shed_thresholds_learn(struct worker *worker, uint64_t team_id, const char *text)
 {
 	struct loom_threshold threshold;
 	uint64_t now_us = loom_now_us();
@@ -64,12 +66,13 @@
 }
 
 /*
- * The second half of the root's id is new at each attempt of a caller, while
- * the first is its retry budget's and the same when it sends again: by that
- * one a request which was unlucky once would be so for ever.
+ * The rank is derived from the second half of the root id, which is new for
+ * each request of a client.  The first half identifies the retry budget and
+ * stays the same when the client sends the request again; with a rank from it,
+ * a request that was refused once would always be refused.
  */
 uint16_t
-cuts_rank(const struct call *call)
+call_shed_rank(const struct call *call)
 {
 	const struct loom_id128 *root = &call->context.root;
 	uint64_t attempt;
@@ -80,7 +83,8 @@
 }
 
 enum loom_result
-cuts_check(const struct call *call, uint64_t now_us, uint64_t *retry_after_us)
+shed_thresholds_check(
+    const struct call *call, uint64_t now_us, uint64_t *retry_after_us)
 {
 	struct worker *worker = call->worker;
 	const struct route_view *view;
@@ -89,5 +93,6 @@
 	if (view == NULL)
 		return LOOM_OK;
 	return loom_shed_check(worker->shed, view->service_ids, view->nservices,
-	    call->context.team_id, cuts_rank(call), now_us, retry_after_us);
+	    call->context.team_id, call_shed_rank(call), now_us,
+	    retry_after_us);
 }
--- a/src/daemon/cuts.h
+++ b/src/daemon/cuts.h
@@ -2,26 +2,31 @@
 #define LOOM_DAEMON_CUTS_H
 
 /*
- * Shedding thresholds on their way back: the header "Loom-Cut" of an answer
- * between daemons, "SERVICE:CUT" pairs with commas, both in hex.
+ * Shedding thresholds that answers between daemons carry: the header
+ * "Loom-Cut" lists SERVICE:THRESHOLD pairs in hexadecimal, separated by
+ * commas.
  */
 
 #include "daemon/call.h"
 
-/* What to carry back for a call: the own service's threshold and those known
- * of the services below its route.  Owned by the caller, g_free; NULL when
- * nothing is shed. */
-char *cuts_format(const struct call *);
+/*
+ * Returns the header's value for the answer to a call: the threshold of this
+ * service and the known ones of the services that the call's route leads to.
+ * Owned by the caller, g_free; NULL if nothing is shed.
+ */
+char *shed_thresholds_format(const struct call *);
 
-/* Learn from an answer; pairs that are malformed are passed over. */
-void cuts_learn(struct worker *, uint64_t team_id, const char *text);
+/* Records the thresholds from an answer's header, up to the first malformed
+ * pair. */
+void shed_thresholds_learn(struct worker *, uint64_t team_id, const char *text);
 
-/* The call's rank: the same at each hop of its root request. */
-uint16_t cuts_rank(const struct call *);
+/* Returns the call's rank for shedding, which is the same at each hop of
+ * its root request. */
+uint16_t call_shed_rank(const struct call *);
 
-/* LOOM_OK, or LOOM_OVERLOAD when a service below the call's route would shed
- * it. */
-enum loom_result cuts_check(
+/* Returns LOOM_OVERLOAD if a service that the call's route leads to would
+ * shed it, otherwise LOOM_OK. */
+enum loom_result shed_thresholds_check(
     const struct call *, uint64_t now_us, uint64_t *retry_after_us);
 
 #endif
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -1,11 +1,13 @@
 /*
- * The first stage of a call: who asks, for what, by when.
+ * The first stage of a call: authentication, route, deadline and the rate of
+ * the team.
  *
- * A request comes in one of three ways.  A caller's has a key; it is a root
- * request and counts against its team.  The own upstream's has the context
- * that this daemon handed to it, and lives only as long as the call it
- * belongs to.  A peer's has a context made for this daemon.  Whatever else a
- * request says about team or importance is not looked at.
+ * A request arrives in one of three ways.  A client's request has a key; it is
+ * a root request and counts against its team's rate.  A nested call of the
+ * local upstream carries the context that this daemon gave it, and ends no
+ * later than the call that it belongs to.  A peer's request carries a context
+ * that was made for this daemon.  Anything else in a request that states a
+ * team or an importance is ignored.
  */
 
 #include <stdlib.h>
@@ -20,28 +22,29 @@
 #include "daemon/keep.h"
 #include "daemon/rate.h"
 
-/* Set the deadline from the caller's wish or the route's default. */
+/* Sets the deadline from the caller's header or the route's default, but no
+ * later than latest_us. */
 static enum loom_result
 set_deadline(struct call *call, uint64_t latest_us)
 {
 	const char *text = loom_exchange_header(
 	    call->x, call->worker->daemon->dialect->deadline_header);
-	uint64_t wish_us = call->route->deadline_ms * LOOM_US_PER_MS;
+	uint64_t requested_us = call->route->deadline_ms * LOOM_US_PER_MS;
 	char *end;
 
 	if (text != NULL) {
 		if (!g_ascii_isdigit(*text))
 			return LOOM_DEADLINE_INVALID;
-		wish_us = g_ascii_strtoull(text, &end, 10);
+		requested_us = g_ascii_strtoull(text, &end, 10);
 		if (*end != '\0' ||
-		    wish_us > LOOM_DEADLINE_MAX_US / LOOM_US_PER_MS)
+		    requested_us > LOOM_DEADLINE_MAX_US / LOOM_US_PER_MS)
 			return LOOM_DEADLINE_INVALID;
-		wish_us *= LOOM_US_PER_MS;
+		requested_us *= LOOM_US_PER_MS;
 	}
 	if (call->route->timeout_ms > 0)
-		wish_us =
-		    MIN(wish_us, call->route->timeout_ms * LOOM_US_PER_MS);
-	call->deadline_us = call->arrived_us + wish_us;
+		requested_us =
+		    MIN(requested_us, call->route->timeout_ms * LOOM_US_PER_MS);
+	call->deadline_us = call->arrived_us + requested_us;
 	if (call->deadline_us > latest_us)
 		call->deadline_us = latest_us;
 	return LOOM_OK;
@@ -55,30 +58,31 @@
 	    loom_exchange_method(call->x), loom_exchange_target(call->x));
 }
 
-/* One of the services that share the route's requests, by weight. */
+/* Selects one of the services that share the route's requests, at random by
+ * weight. */
 static const struct loom_service *
 choose_service(const struct call *call)
 {
 	const struct loom_route *route = call->route;
 	const struct loom_service *services = call->manifest->services;
-	uint64_t total = 0, at;
+	uint64_t total = 0, offset;
 	uint32_t i;
 
 	for (i = 0; i < route->nparts; i++)
 		total += route->parts[i].weight;
 	if (total == 0)
 		return &services[route->service_index];
-	at = loom_random_below(&loom_random_system, total);
-	for (i = 0; at >= route->parts[i].weight; i++)
-		at -= route->parts[i].weight;
+	offset = loom_random_below(&loom_random_system, total);
+	for (i = 0; offset >= route->parts[i].weight; i++)
+		offset -= route->parts[i].weight;
 	return &services[route->parts[i].service_index];
 }
 
 static enum loom_result
 find_route(struct call *call)
 {
-	if (issue_is_page(call->x))
-		return issue_read(call);
+	if (issue_is_request(call->x))
+		return issue_parse(call);
 	call->route = match_route(call);
 	if (call->route == NULL)
 		return LOOM_ROUTE_UNKNOWN;
@@ -89,9 +93,10 @@
 	return LOOM_OK;
 }
 
-/* The budget of retries is opened under the id that the context carries. */
+/* Opens the root request's retry budget.  The first half of the root id is
+ * the id of the budget. */
 static void
-open_root(struct call *call, struct loom_id128 *id)
+open_retry_budget(struct call *call, struct loom_id128 *id)
 {
 	const char *request_id = loom_exchange_header(
 	    call->x, call->worker->daemon->dialect->request_id_header);
@@ -107,9 +112,10 @@
 	memcpy(id->bytes, &root.id, sizeof(root.id));
 }
 
-/* A root request: this daemon is its home.  key is NULL on a public route. */
+/* Initializes the context of a root request, whose home is this daemon.  On
+ * a public route key is NULL. */
 static void
-root_context(struct call *call, const struct loom_key *key)
+init_root_context(struct call *call, const struct loom_key *key)
 {
 	const struct loom_self *self = &call->worker->daemon->self;
 	struct loom_context *context = &call->context;
@@ -120,7 +126,7 @@
 		context->team_id = team->id;
 		memcpy(context->key_prefix, key->digest, LOOM_KEY_PREFIX_SIZE);
 	}
-	open_root(call, &context->root);
+	open_retry_budget(call, &context->root);
 	context->importance = team != NULL && team->has_importance
 	    ? loom_importance_join(team->importance, call->route->importance)
 	    : call->route->importance;
@@ -156,21 +162,22 @@
 	if (result != LOOM_OK)
 		return result;
 	call->caller_service = call->worker->daemon->self.service;
-	root_context(call, key);
-	/* A key is what a root request has; without one, on a route that is
-	 * meant for upstreams, it belongs to a request that was let in. */
+	init_root_context(call, key);
+	/* A root request has a key.  Without a key, on a route that is
+	 * meant for upstreams, this is a nested call of a request that was
+	 * admitted before. */
 	call->is_inner = key == NULL;
 	if (call->is_inner) {
 		call->context.importance = LOOM_CRITICAL;
-		executor_inner(call, true);
-		keep_note_inner(call);
+		executor_count_nested(call, true);
+		throttle_count_nested(call);
 		loom_counter_add(call->worker->daemon->counters.deeper, 1);
 		return LOOM_OK;
 	}
 	loom_counter_add(call->worker->daemon->counters.requests, 1);
-	if (!keep_check(call, call->arrived_us))
+	if (!throttle_check(call, call->arrived_us))
 		return LOOM_BELOW_FULL;
-	return cuts_check(call, call->arrived_us, retry_after_us);
+	return shed_thresholds_check(call, call->arrived_us, retry_after_us);
 }
 
 static enum loom_result
@@ -194,13 +201,13 @@
 }
 
 /*
- * Two daemons may have different manifests in force for a moment.  Where the
- * entry decides, its choice stands: a route that is not known here, or that
- * leads elsewhere by now, is run all the same, or requests would be lost at
- * each change of a route.
+ * Two daemons may briefly use different manifests.  With fleet.entry_decides
+ * the choice of the entry daemon is final: a route that is unknown here, or
+ * that now leads to another service, is run nevertheless.  Otherwise requests
+ * would be lost at each change of a route.
  */
 static enum loom_result
-take_entry_route(struct call *call)
+use_entry_route(struct call *call)
 {
 	call->route = match_route(call);
 	if (call->route == NULL)
@@ -221,7 +228,7 @@
 	call->caller_service =
 	    loom_exchange_header(call->x, HEADER_CALLER_SERVICE);
 	if (call->manifest->fleet.entry_decides)
-		return take_entry_route(call);
+		return use_entry_route(call);
 	result = find_route(call);
 	if (result != LOOM_OK)
 		return result;
@@ -230,10 +237,10 @@
 	return LOOM_OK;
 }
 
-/* Such a request only brings a ticket back; the token is taken by the one
- * that comes with it. */
+/* Whether the request only obtains a ticket.  The rate token is taken by
+ * the request that uses the ticket. */
 static bool
-asks_for_ticket(const struct call *call)
+requests_ticket_only(const struct call *call)
 {
 	if (call->issue_count > 0)
 		return true;
@@ -241,9 +248,8 @@
 	    call_ticket_text(call) == NULL;
 }
 
-/* Whether the request takes a token of its team's rate. */
 static bool
-has_rate(const struct call *call)
+counts_against_rate(const struct call *call)
 {
 	const struct loom_team *team = call_team(call);
 
@@ -256,23 +262,23 @@
 	uint64_t retry_after_us = 0;
 	enum loom_result result;
 
-	if (!asks_for_ticket(call)) {
-		if (has_rate(call))
-			rate_start(call);
+	if (!requests_ticket_only(call)) {
+		if (counts_against_rate(call))
+			rate_take_token(call);
 		else
-			call_launch(call);
+			call_start(call);
 		return;
 	}
-	result = issue_allowed(
+	result = issue_take_quota(
 	    call, MAX(call->issue_count, 1), call->arrived_us, &retry_after_us);
 	if (result != LOOM_OK)
 		call_refuse_code(call, result, retry_after_us);
 	else
-		call_launch(call);
+		call_start(call);
 }
 
 static struct call *
-begin(struct worker *worker, struct loom_exchange *x)
+begin_call(struct worker *worker, struct loom_exchange *x)
 {
 	struct call *call = call_new(worker, x);
 
@@ -286,12 +292,12 @@
 }
 
 /*
- * A daemon that just started may have been handed an old manifest by a stale
- * platform, with keys in it that were withdrawn since.  It serves nobody
- * until it has asked around (loom/spread.h).
+ * A stale platform may give a daemon that has just started an old manifest,
+ * with keys that were withdrawn since.  The daemon serves no requests until it
+ * has asked its peers for a newer one (loom/spread.h).
  */
 static bool
-serves(const struct call *call)
+is_ready_to_serve(const struct call *call)
 {
 	return call->manifest != NULL &&
 	    config_ready(call->worker->daemon->config);
@@ -305,12 +311,12 @@
 	enum loom_result result;
 	struct call *call;
 
-	call = begin(worker, x);
+	call = begin_call(worker, x);
 	if (call == NULL)
 		return;
 	if (internal_request(call))
 		return;
-	if (!serves(call)) {
+	if (!is_ready_to_serve(call)) {
 		call_refuse_code(call, LOOM_NO_MANIFEST, 0);
 		return;
 	}
@@ -326,13 +332,13 @@
 	else if (call->origin == CALL_ORIGIN_CALLER)
 		start_caller(call);
 	else
-		call_launch(call);
+		call_start(call);
 }
 
 void
 entry_ready_request(struct worker *worker, struct loom_exchange *x)
 {
-	struct call *call = begin(worker, x);
+	struct call *call = begin_call(worker, x);
 
 	if (call != NULL)
 		internal_ready_request(call);
@@ -344,16 +350,17 @@
 	enum loom_result result;
 	struct call *call;
 
-	call = begin(worker, x);
+	call = begin_call(worker, x);
 	if (call == NULL)
 		return;
-	/* Peers ask for the health page after a silence (probe.c). */
+	/* Peers probe /.loom/serving after a period without traffic
+	 * (probe.c). */
 	if (internal_request(call))
 		return;
 	call->origin = CALL_ORIGIN_PEER;
-	result = serves(call) ? admit_peer(call) : LOOM_NO_MANIFEST;
+	result = is_ready_to_serve(call) ? admit_peer(call) : LOOM_NO_MANIFEST;
 	if (result != LOOM_OK)
 		call_refuse_code(call, result, 0);
 	else
-		call_launch(call);
+		call_start(call);
 }
--- a/src/daemon/executor.c
+++ b/src/daemon/executor.c
@@ -1,10 +1,10 @@
 /*
- * The third stage: admission to the own upstream.
+ * The third stage: admission to the local upstream.
  *
- * The decision is loom/admission.h's.  What is added here is whose turn it is
- * to act: admission may hand any thread the calls of any worker, so each
- * verdict on a call that waited is posted to the call's own worker, and the
- * call's memory is held until the post arrives.
+ * The decision is made by loom/admission.h.  Admission may give any thread the
+ * verdicts on queued calls of any worker.  Each verdict is therefore posted to
+ * the worker of its call, and a reference keeps the call in memory until the
+ * message arrives.
  */
 
 #include <string.h>
@@ -13,10 +13,10 @@
 #include "daemon/keep.h"
 #include "daemon/ticketed.h"
 
-/* How long a leaving daemon still runs what peers send. */
-#define LEAVING_TAKES_WORK_US (500 * LOOM_US_PER_MS)
+/* How long a draining daemon still accepts calls from peers. */
+#define DRAIN_ACCEPT_PEERS_US (500 * LOOM_US_PER_MS)
 
-/* Calls are told apart by route for the measurement of their latency. */
+/* Latency is measured per class of calls, derived from the route. */
 static uint8_t
 call_class(const struct call *call)
 {
@@ -34,12 +34,11 @@
 	    : (uint32_t)team->rate_per_s;
 }
 
-/* The call is refused here: a peer is told, an own entry may go elsewhere. */
 void
 executor_refuse(struct call *call, const struct loom_refusal *refusal)
 {
-	ticketed_settle(call, refusal->code, refusal->outcome);
-	if (call->over)
+	call_ticket_settle(call, refusal->code, refusal->outcome);
+	if (call->exchange_ended)
 		return;
 	if (call->origin == CALL_ORIGIN_PEER)
 		call_refuse(call, refusal);
@@ -57,10 +56,14 @@
 	executor_refuse(call, &refusal);
 }
 
-/* Count a call that begins or ends at the own upstream, or one that it makes.
- * Returns the share of waits. */
+/*
+ * Adds to the numbers of calls that run at the local upstream and of nested
+ * calls that it makes.  Returns the share of time that running calls spend
+ * waiting for nested calls.
+ */
 static double
-count_waits(struct loom_daemon *daemon, int running, int inner, uint64_t now_us)
+update_wait_share(
+    struct loom_daemon *daemon, int running, int inner, uint64_t now_us)
 {
 	double share;
 
@@ -72,13 +75,14 @@
 }
 
 void
-executor_inner(struct call *call, bool begins)
+executor_count_nested(struct call *call, bool begins)
 {
-	count_waits(call->worker->daemon, 0, begins ? 1 : -1, loom_now_us());
+	update_wait_share(
+	    call->worker->daemon, 0, begins ? 1 : -1, loom_now_us());
 }
 
 static void
-done_inside(struct call *call, enum loom_call_end end)
+release_slot(struct call *call, enum loom_call_end end)
 {
 	struct loom_call_result result = { .end = end };
 	uint64_t now_us = loom_now_us();
@@ -86,8 +90,8 @@
 	double wait_share;
 
 	result.latency_us = now_us - call->leg_us;
-	wait_share = count_waits(call->worker->daemon, -1, 0, now_us);
-	keep_note_run(call, false);
+	wait_share = update_wait_share(call->worker->daemon, -1, 0, now_us);
+	throttle_count_run(call, false);
 	if (call->deeper_us == 0)
 		call->deeper_us =
 		    (uint64_t)((double)result.latency_us * wait_share);
@@ -100,48 +104,51 @@
 }
 
 /*
- * A call that is in the queue may be on a list that another thread acts on
- * just now; its memory then stays until that thread's post arrives.
+ * loom_admission_cancel() returns false if another thread already has the
+ * verdict on the queued call.  The reference on the call is then dropped when
+ * that thread's message arrives.
  */
 void
-executor_leave(struct call *call, enum loom_call_end end)
+executor_release(struct call *call, enum loom_call_end end)
 {
-	upstream_leave(call);
-	if (call->admission == CALL_ADMISSION_INSIDE) {
-		done_inside(call, end);
+	upstream_release(call);
+	if (call->admission == CALL_ADMISSION_RUNNING) {
+		release_slot(call, end);
 	} else if (call->admission == CALL_ADMISSION_QUEUED) {
 		call->admission = CALL_ADMISSION_NONE;
 		if (loom_admission_cancel(
 			call->worker->daemon->admission, &call->waiting))
-			call_drop(call);
+			call_unref(call);
 	}
 }
 
-/* Admitted: the call holds a place inside from here until it leaves. */
+/* Starts an admitted call, which holds a slot until executor_release(). */
 static void
-go(struct call *call)
+run_admitted(struct call *call)
 {
-	call->admission = CALL_ADMISSION_INSIDE;
+	call->admission = CALL_ADMISSION_RUNNING;
 	call->leg_us = loom_now_us();
-	count_waits(call->worker->daemon, 1, 0, call->leg_us);
-	keep_note_run(call, true);
+	update_wait_share(call->worker->daemon, 1, 0, call->leg_us);
+	throttle_count_run(call, true);
 	call->span.queue_us += call->leg_us - call->waiting.arrived_us;
 	upstream_start(call);
 }
 
 /*
- * Peers hear by each answer that this host leaves (headers_add_own) and stop
- * at the first.  In this time they have all heard who still send work; a
- * later call comes from an old view of the world and is sent elsewhere.
+ * Each answer tells peers that this host is draining (headers_add_hop()), and
+ * they stop sending calls on the first such answer.  After
+ * DRAIN_ACCEPT_PEERS_US all peers that still sent calls have been told; a
+ * later call is based on an outdated list of hosts and is refused, so that it
+ * runs elsewhere.
  */
 static bool
-is_leaving(const struct call *call, uint64_t now_us)
+refuses_peers(const struct call *call, uint64_t now_us)
 {
 	const struct loom_daemon *daemon = call->worker->daemon;
 
 	return call->origin == CALL_ORIGIN_PEER &&
 	    atomic_load(&daemon->draining) &&
-	    now_us - daemon->drain_us >= LEAVING_TAKES_WORK_US;
+	    now_us - daemon->drain_us >= DRAIN_ACCEPT_PEERS_US;
 }
 
 void
@@ -153,9 +160,9 @@
 	struct loom_moved moved;
 	enum loom_admit admit;
 
-	if (!ticketed_begin(call))
+	if (!call_ticket_begin(call))
 		return;
-	if (is_leaving(call, now_us)) {
+	if (refuses_peers(call, now_us)) {
 		executor_refuse_code(call, LOOM_DRAINING, 0);
 		return;
 	}
@@ -163,14 +170,14 @@
 		.team_id = call->context.team_id,
 		.team_weight = team_weight(call),
 		.importance = call_importance(call),
-		.rank = cuts_rank(call),
+		.rank = call_shed_rank(call),
 		.call_class = call_class(call),
 		.deadline_us = call->deadline_us,
 		.arg = call,
 	};
 	call->offered = true;
 	loom_moved_init(&moved);
-	call_hold(call);
+	call_ref(call);
 	call->admission = CALL_ADMISSION_QUEUED;
 	admit =
 	    loom_admission_offer(daemon->admission, waiting, now_us, &moved);
@@ -180,44 +187,46 @@
 	call->admission = CALL_ADMISSION_NONE;
 	if (admit == LOOM_ADMITTED) {
 		waiting->arrived_us = now_us;
-		go(call);
+		run_admitted(call);
 	} else {
 		executor_refuse_code(
 		    call, waiting->code, waiting->retry_after_us);
 	}
-	call_drop(call);
+	call_unref(call);
 }
 
-/* A call that waited has its verdict; on its own worker's thread. */
+/* Runs on the call's worker after a queued call was admitted. */
 static void
-moved_go(void *arg)
+on_admitted(void *arg)
 {
 	struct call *call = arg;
 
-	/* Given up while its verdict was on the way: the place goes back. */
-	if (call->over || call->admission != CALL_ADMISSION_QUEUED) {
-		call->admission = CALL_ADMISSION_INSIDE;
+	/* The call was cancelled before the verdict arrived: the slot is
+	 * returned. */
+	if (call->exchange_ended || call->admission != CALL_ADMISSION_QUEUED) {
+		call->admission = CALL_ADMISSION_RUNNING;
 		call->leg_us = loom_now_us();
-		count_waits(call->worker->daemon, 1, 0, call->leg_us);
-		keep_note_run(call, true);
-		done_inside(call, LOOM_CALL_FAILED);
+		update_wait_share(call->worker->daemon, 1, 0, call->leg_us);
+		throttle_count_run(call, true);
+		release_slot(call, LOOM_CALL_FAILED);
 	} else {
-		go(call);
+		run_admitted(call);
 	}
-	call_drop(call);
+	call_unref(call);
 }
 
+/* Runs on the call's worker after a queued call was refused. */
 static void
-moved_refused(void *arg)
+on_refused(void *arg)
 {
 	struct call *call = arg;
 	bool waiting = call->admission == CALL_ADMISSION_QUEUED;
 
 	call->admission = CALL_ADMISSION_NONE;
-	if (!call->over && waiting)
+	if (!call->exchange_ended && waiting)
 		executor_refuse_code(
 		    call, call->waiting.code, call->waiting.retry_after_us);
-	call_drop(call);
+	call_unref(call);
 }
 
 void
@@ -229,11 +238,11 @@
 	for (waiting = moved->go; waiting != NULL; waiting = next) {
 		next = waiting->next;
 		call = waiting->arg;
-		loom_mailbox_post(call->worker->mailbox, moved_go, call);
+		loom_mailbox_post(call->worker->mailbox, on_admitted, call);
 	}
 	for (waiting = moved->refused; waiting != NULL; waiting = next) {
 		next = waiting->next;
 		call = waiting->arg;
-		loom_mailbox_post(call->worker->mailbox, moved_refused, call);
+		loom_mailbox_post(call->worker->mailbox, on_refused, call);
 	}
 }
--- a/src/daemon/headers.c
+++ b/src/daemon/headers.c
@@ -1,6 +1,6 @@
 /*
- * Headers that belong to one connection stay on it (RFC 9110, 7.6.1), those
- * of this system are made anew at each hop, and a key goes nowhere.
+ * Forwards headers.  Hop-by-hop headers are dropped (RFC 9110, 7.6.1), those
+ * of this system are set anew at each hop, and a key is never forwarded.
  */
 
 #include <string.h>
@@ -9,12 +9,13 @@
 #include "daemon/headers.h"
 #include "daemon/keep.h"
 
-/* Of one message, without growing. */
-#define HEADERS_USUAL 16
-#define VALUE_CHUNK 512
+/* Preallocated sizes that suffice for an ordinary message. */
+#define HEADERS_PREALLOCATED 16
+#define VALUE_CHUNK_BYTES 512
 
-/* An eighth of the skew that is tolerated. */
-#define CLOCK_NEAR_US (LOOM_CLOCK_SKEW_US / 8)
+/* A peer is sent the clock once its estimate is off by an eighth of the
+ * tolerated skew. */
+#define CLOCK_REFRESH_SKEW_US (LOOM_CLOCK_SKEW_US / 8)
 
 static const char *const connection_headers[] = { "Connection", "Keep-Alive",
 	"Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "TE",
@@ -27,8 +28,8 @@
 header_list_init(struct header_list *list)
 {
 	list->headers = g_array_sized_new(
-	    FALSE, FALSE, sizeof(struct loom_header), HEADERS_USUAL);
-	list->values = g_string_chunk_new(VALUE_CHUNK);
+	    FALSE, FALSE, sizeof(struct loom_header), HEADERS_PREALLOCATED);
+	list->values = g_string_chunk_new(VALUE_CHUNK_BYTES);
 }
 
 void
@@ -74,9 +75,10 @@
 		   name, loom_prefix, sizeof(loom_prefix) - 1) == 0;
 }
 
-/* Whether the header Connection names it as one of its own. */
+/* Whether the Connection header lists the name, which makes it a hop-by-hop
+ * header. */
 static bool
-is_named(const char *connection, const char *name)
+is_listed_in(const char *connection, const char *name)
 {
 	char **tokens, **token;
 	bool found = false;
@@ -90,17 +92,18 @@
 	return found;
 }
 
-struct forward {
+struct header_forward {
 	struct header_list *list;
 	const char *connection;
-	const struct loom_dialect *dialect; /* of a request; NULL: an answer */
+	const struct loom_dialect
+	    *dialect; /* of a request; NULL for an answer */
 	bool drop_authorization;
 };
 
 static void
-forward_one(void *arg, const char *name, const char *value)
+forward_header(void *arg, const char *name, const char *value)
 {
-	struct forward *forward = arg;
+	struct header_forward *forward = arg;
 
 	if (forward->dialect != NULL && forward->dialect->forwards_host &&
 	    g_ascii_strcasecmp(name, "Host") == 0) {
@@ -111,7 +114,7 @@
 	    (forward->dialect != NULL &&
 		forward->dialect->is_own_header(name)) ||
 	    g_ascii_strcasecmp(name, HEADER_TRACEPARENT) == 0 ||
-	    is_named(forward->connection, name))
+	    is_listed_in(forward->connection, name))
 		return;
 	if (forward->drop_authorization &&
 	    g_ascii_strcasecmp(name, "Authorization") == 0)
@@ -120,13 +123,13 @@
 }
 
 /*
- * A caller may authenticate by "Authorization: Bearer KEY".  That header is
- * dropped when no Loom-Key came: it was the key.
+ * A client may authenticate by "Authorization: Bearer KEY".  That header is
+ * dropped if no Loom-Key was sent, since it then held the key.
  */
 void
 headers_forward_request(const struct call *call, struct header_list *list)
 {
-	struct forward forward = {
+	struct header_forward forward = {
 		.list = list,
 		.connection = loom_exchange_header(call->x, "Connection"),
 		.dialect = call->worker->daemon->dialect,
@@ -134,14 +137,14 @@
 		    loom_exchange_header(call->x, HEADER_KEY) == NULL,
 	};
 
-	loom_exchange_headers(call->x, forward_one, &forward);
+	loom_exchange_headers(call->x, forward_header, &forward);
 }
 
 void
 headers_forward_answer(const struct loom_fetch *fetch, struct header_list *list)
 {
 	const struct loom_header *headers;
-	struct forward forward = {
+	struct header_forward forward = {
 		.list = list,
 		.connection = loom_fetch_header(fetch, "Connection"),
 	};
@@ -149,7 +152,7 @@
 
 	headers = loom_fetch_headers(fetch, &n);
 	for (i = 0; i < n; i++)
-		forward_one(&forward, headers[i].name, headers[i].value);
+		forward_header(&forward, headers[i].name, headers[i].value);
 }
 
 bool
@@ -167,15 +170,18 @@
 	header_list_add(list, HEADER_TRACEPARENT, traceparent);
 }
 
-/* By the stamp of the peer's context, its estimate of this host's clock is far
- * from the limit yet.  A context that was not accepted has no stamp. */
+/*
+ * Whether the peer's estimate of this host's clock, as stamped in its context,
+ * is well within the tolerated skew.  A context that was rejected has no
+ * stamp.
+ */
 static bool
-knows_clock(const struct call *call)
+peer_knows_clock(const struct call *call)
 {
 	const uint64_t stamp_us = call->context.audience_stamp_us;
 
-	return stamp_us + CLOCK_NEAR_US > call->arrived_us &&
-	    stamp_us < call->arrived_us + CLOCK_NEAR_US;
+	return stamp_us + CLOCK_REFRESH_SKEW_US > call->arrived_us &&
+	    stamp_us < call->arrived_us + CLOCK_REFRESH_SKEW_US;
 }
 
 static void
@@ -183,7 +189,7 @@
 {
 	char clock[LOOM_CLOCK_TEXT_MAX];
 
-	if (knows_clock(call))
+	if (peer_knows_clock(call))
 		return;
 	loom_clock_format(
 	    call->worker->daemon->self.incarnation, loom_now_us(), clock);
@@ -191,7 +197,7 @@
 }
 
 void
-headers_add_own(const struct call *call, struct header_list *list)
+headers_add_hop(const struct call *call, struct header_list *list)
 {
 	struct worker *worker = call->worker;
 	char trace_id[33];
@@ -204,14 +210,14 @@
 		return;
 	}
 	add_clock(call, list);
-	cuts = cuts_format(call);
+	cuts = shed_thresholds_format(call);
 	if (cuts != NULL)
 		header_list_add(list, HEADER_CUT, cuts);
 	g_free(cuts);
 	g_snprintf(used, sizeof(used), "%x",
 	    loom_admission_used(worker->daemon->admission));
 	header_list_add(list, HEADER_USED, used);
-	keep = keep_format(call);
+	keep = throttle_format(call);
 	if (keep != NULL)
 		header_list_add(list, HEADER_KEEP, keep);
 	g_free(keep);
@@ -219,15 +225,15 @@
 		header_list_add(list, HEADER_LEAVING, "1");
 }
 
-struct check {
+struct header_check {
 	const char *key;
-	const char *why;
-	uint32_t lengths;
-	uint32_t encodings;
+	const char *reason;
+	uint32_t content_lengths;
+	uint32_t transfer_encodings;
 };
 
 static bool
-has_control(const char *text)
+has_control_character(const char *text)
 {
 	for (; *text != '\0'; text++) {
 		if ((unsigned char)*text < ' ' && *text != '\t')
@@ -252,50 +258,52 @@
 }
 
 static void
-check_one(void *arg, const char *name, const char *value)
+check_header(void *arg, const char *name, const char *value)
 {
-	struct check *check = arg;
+	struct header_check *check = arg;
 
 	if (!is_token(name))
-		check->why = "a header's name is no token";
-	else if (has_control(value))
-		check->why = "a header's value holds a control character";
+		check->reason = "a header name is not a valid token";
+	else if (has_control_character(value))
+		check->reason = "a header value contains a control character";
 	else if (check->key != NULL && strstr(value, check->key) != NULL &&
 	    g_ascii_strcasecmp(name, HEADER_KEY) != 0 &&
 	    g_ascii_strcasecmp(name, "Authorization") != 0)
-		check->why = "the key stands in another header than its own";
+		check->reason = "the key is repeated in another header";
 	if (g_ascii_strcasecmp(name, "Content-Length") == 0) {
-		check->lengths++;
+		check->content_lengths++;
 		if (*value == '\0' ||
 		    strspn(value, "0123456789") != strlen(value))
-			check->why = "Content-Length is no number";
+			check->reason = "Content-Length is not a number";
 	}
 	if (g_ascii_strcasecmp(name, "Transfer-Encoding") == 0) {
-		check->encodings++;
+		check->transfer_encodings++;
 		if (g_ascii_strcasecmp(value, "chunked") != 0)
-			check->why = "only chunked Transfer-Encoding is taken";
+			check->reason =
+			    "Transfer-Encoding other than chunked is not supported";
 	}
 }
 
 /*
- * A request whose length two readers could understand differently is refused:
- * the next hop would take part of its body for another request, which would
- * run for the wrong team (request smuggling).
+ * A request whose length could be interpreted differently by two parsers is
+ * refused.  Otherwise the next hop might treat part of its body as another
+ * request, which would run for the wrong team (request smuggling).
  *
- * A key that stands elsewhere than in its own header would be passed on to an
- * upstream.
+ * A key that occurs outside its own header would be forwarded to an upstream.
  */
 enum loom_result
-headers_check(const struct loom_exchange *x, const char *key, const char **why)
+headers_check(
+    const struct loom_exchange *x, const char *key, const char **reason)
 {
-	struct check check = { .key = key };
+	struct header_check check = { .key = key };
 
-	loom_exchange_headers(x, check_one, &check);
-	if (check.why == NULL && check.lengths + check.encodings > 1)
-		check.why = "the body's length is given twice";
-	if (check.why == NULL && key != NULL &&
+	loom_exchange_headers(x, check_header, &check);
+	if (check.reason == NULL &&
+	    check.content_lengths + check.transfer_encodings > 1)
+		check.reason = "the body length is given more than once";
+	if (check.reason == NULL && key != NULL &&
 	    strstr(loom_exchange_target(x), key) != NULL)
-		check.why = "the key stands in the request target";
-	*why = check.why;
-	return check.why == NULL ? LOOM_OK : LOOM_HEADER_INVALID;
+		check.reason = "the key is repeated in the request target";
+	*reason = check.reason;
+	return check.reason == NULL ? LOOM_OK : LOOM_HEADER_INVALID;
 }
--- a/src/daemon/headers.h
+++ b/src/daemon/headers.h
@@ -2,7 +2,7 @@
 #define LOOM_DAEMON_HEADERS_H
 
 /*
- * Which headers go on, and which are ours.
+ * Selects the headers that are forwarded and adds those of this system.
  */
 
 #include <glib.h>
@@ -27,8 +27,8 @@
 #define HEADER_TRACEPARENT "traceparent"
 
 /*
- * Headers for a leg or an answer: a GArray of struct loom_header.  Names are
- * static or borrowed; values that were made here live in an arena.
+ * Headers of a leg or an answer: a GArray of struct loom_header.  Names are
+ * static or borrowed; values are copied into an arena.
  */
 struct header_list {
 	GArray *headers; /* owned */
@@ -40,27 +40,27 @@
 const struct loom_header *header_list_items(const struct header_list *);
 void header_list_add(struct header_list *, const char *name, const char *value);
 
-/* The request's own headers, for the next hop. */
+/* Adds the request's end-to-end headers, for the next hop. */
 void headers_forward_request(const struct call *, struct header_list *);
 
-/* Whether somebody collects spans of this call: the header goes with each call
- * between daemons. */
+/* Whether spans of this call are collected.  Calls between daemons carry
+ * the trace header only then. */
 bool headers_are_traced(const struct call *);
 void headers_add_trace(const struct call *, struct header_list *);
 
-/* What this daemon adds to each answer: the trace, and for a peer its clock
- * and thresholds. */
-void headers_add_own(const struct call *, struct header_list *);
+/* Adds the headers that this daemon sets in each answer: the trace id, or
+ * for a peer the clock, thresholds, utilization, shares and whether it
+ * drains. */
+void headers_add_hop(const struct call *, struct header_list *);
 
-/* The answer's own headers, for the hop before. */
+/* Adds the answer's end-to-end headers, for the previous hop. */
 void headers_forward_answer(const struct loom_fetch *, struct header_list *);
 
 /*
- * What is wrong with the request's headers: LOOM_OK, or LOOM_HEADER_INVALID
- * with *why (borrowed, static).  key is what the caller authenticated by, or
- * NULL.
+ * Checks the request's headers.  Returns LOOM_OK, or LOOM_HEADER_INVALID with
+ * *reason (borrowed, static). key is the key that the client sent, or NULL.
  */
 enum loom_result headers_check(
-    const struct loom_exchange *, const char *key, const char **why);
+    const struct loom_exchange *, const char *key, const char **reason);
 
 #endif
--- a/src/daemon/heirs.c
+++ b/src/daemon/heirs.c
@@ -1,10 +1,11 @@
 /*
- * Finding the place that can run a ticket.
+ * Finds the host that can run a request with a ticket.
  *
- * A ticket goes to the executor that it names and nowhere else.  When that
- * host has left it has handed its book to one heir: it names the heir as long
- * as it answers, and after that the service's hosts are asked in the order in
- * which a leaver ranks its heirs.
+ * Such a request is sent to the executor named in the ticket and to no other
+ * host.  An executor that is drained hands its ticket records over to one
+ * successor.  It names the successor while it still answers; after that, the
+ * hosts of the service are asked in the order in which a draining host ranks
+ * its successors.
  */
 
 #include <string.h>
@@ -13,14 +14,15 @@
 #include "daemon/heirs.h"
 
 /*
- * A host that was replaced in place has never heard of its forerunner's heir
- * until that one answers its question.  Its callers were told that the ticket
- * is lost while the heir held their answer; so the heirs are asked here as
- * they are when nobody is back at all.  At most CALL_TRIES_MAX hosts look a
- * ticket up that is lost indeed, before they admit anything.
+ * LOOM_TICKET_LOST is included because a host that was replaced under the same
+ * address does not know the successor of its predecessor until that successor
+ * replies to its query.  Without it, callers were told that a ticket was lost
+ * while the successor had the answer.  So the successors are asked as if the
+ * host were unreachable.  A ticket that is really lost costs a lookup on at
+ * most CALL_ATTEMPTS_MAX hosts, before admission.
  */
 bool
-heirs_lost(const struct loom_refusal *refusal)
+ticket_route_is_unresolved(const struct loom_refusal *refusal)
 {
 	return refusal->code == LOOM_TICKET_LOST ||
 	    refusal->code == LOOM_TICKET_MOVED ||
@@ -28,7 +30,6 @@
 	    refusal->code == LOOM_NO_TARGET;
 }
 
-/* Whether the call was at the host before. */
 static bool
 was_tried(const struct call *call, uint64_t host_id)
 {
@@ -41,22 +42,22 @@
 	return false;
 }
 
-/* The executor itself has named its heir. */
+/* Sends the call to the successor that the executor named. */
 static bool
-try_named_heir(struct call *call, const struct loom_refusal *refusal)
+try_named_successor(struct call *call, const struct loom_refusal *refusal)
 {
-	uint64_t heir = refusal->heir_host_id;
+	uint64_t successor = refusal->heir_host_id;
 
-	if (heir == 0 || call->ntried >= CALL_TRIES_MAX ||
-	    was_tried(call, heir) ||
-	    loom_hosts_find(call->worker->hosts, heir) == NULL)
+	if (successor == 0 || call->ntried >= CALL_ATTEMPTS_MAX ||
+	    was_tried(call, successor) ||
+	    loom_hosts_find(call->worker->hosts, successor) == NULL)
 		return false;
-	target_go_to(call, heir);
+	target_send_to(call, successor);
 	return true;
 }
 
 static void
-on_moving_over(struct tevent_context *ev, struct tevent_timer *timer,
+on_handover_timer(struct tevent_context *ev, struct tevent_timer *timer,
     struct timeval now, void *arg)
 {
 	struct call *call = arg;
@@ -64,44 +65,44 @@
 	(void)ev;
 	(void)timer;
 	(void)now;
-	call->moving_timer = NULL;
-	target_go_to(call, call->tried[--call->ntried]);
+	call->handover_timer = NULL;
+	target_send_to(call, call->tried[--call->ntried]);
 }
 
 /*
- * The tickets are on their way from one host to another: nobody runs any of
- * them meanwhile, and asking again is always safe.
+ * Waits while the tickets are handed over to another host.  No host runs any
+ * of them during that time, so asking again is always safe.
  */
 static bool
-wait_for_move(struct call *call, const struct loom_refusal *refusal)
+wait_for_handover(struct call *call, const struct loom_refusal *refusal)
 {
 	if (refusal->code != LOOM_TICKET_MOVING || call->ntried == 0 ||
 	    !loom_ticket_may_wait(
-		call->moving_asks, call_remaining_us(call, loom_now_us())))
+		call->handover_retries, call_remaining_us(call, loom_now_us())))
 		return false;
-	call->moving_asks++;
-	call->moving_timer = tevent_add_timer(call->worker->ev, call,
+	call->handover_retries++;
+	call->handover_timer = tevent_add_timer(call->worker->ev, call,
 	    tevent_timeval_current_ofs(0, LOOM_TICKET_MOVING_ASK_US),
-	    on_moving_over, call);
-	return call->moving_timer != NULL;
+	    on_handover_timer, call);
+	return call->handover_timer != NULL;
 }
 
 /*
- * The next place that may hold the ticket's book: the executor's heirs in
- * their order.  Only the true heir can run it, all others say so.
+ * Sends the call to the next possible successor of the executor, in rank
+ * order.  Only the actual successor can run the ticket; all others refuse it.
  */
 static bool
-try_heir(struct call *call)
+try_successors(struct call *call)
 {
-	uint64_t heirs[CALL_TRIES_MAX];
+	uint64_t successors[CALL_ATTEMPTS_MAX];
 	uint32_t i;
 	size_t n;
 
 	n = loom_ticket_heirs(call->worker->hosts, call->service->id,
-	    call->ticket.host_id, heirs, CALL_TRIES_MAX);
-	for (i = 0; i < n && call->ntried < CALL_TRIES_MAX; i++) {
-		if (!was_tried(call, heirs[i])) {
-			target_go_to(call, heirs[i]);
+	    call->ticket.host_id, successors, CALL_ATTEMPTS_MAX);
+	for (i = 0; i < n && call->ntried < CALL_ATTEMPTS_MAX; i++) {
+		if (!was_tried(call, successors[i])) {
+			target_send_to(call, successors[i]);
 			return true;
 		}
 	}
@@ -109,16 +110,16 @@
 }
 
 bool
-heirs_try(struct call *call, const struct loom_refusal *refusal)
+ticket_route_try_next(struct call *call, const struct loom_refusal *refusal)
 {
-	if (wait_for_move(call, refusal))
+	if (wait_for_handover(call, refusal))
 		return true;
-	return heirs_lost(refusal) &&
-	    (try_named_heir(call, refusal) || try_heir(call));
+	return ticket_route_is_unresolved(refusal) &&
+	    (try_named_successor(call, refusal) || try_successors(call));
 }
 
 void
-heirs_start(struct call *call, const char *text)
+ticket_route_start(struct call *call, const char *text)
 {
 	struct loom_refusal refusal;
 
@@ -126,9 +127,9 @@
 		call_refuse_code(call, LOOM_TICKET_INVALID, 0);
 		return;
 	}
-	call->ticketed = true;
+	call->routed_by_ticket = true;
 	if (loom_hosts_find(call->worker->hosts, call->ticket.host_id) != NULL)
-		target_go_to(call, call->ticket.host_id);
+		target_send_to(call, call->ticket.host_id);
 	else
-		target_refused(call, target_none(&refusal));
+		target_refused(call, target_no_host(&refusal));
 }
--- a/src/daemon/heirs.h
+++ b/src/daemon/heirs.h
@@ -2,20 +2,20 @@
 #define LOOM_DAEMON_HEIRS_H
 
 /*
- * Where a request with a ticket goes.
+ * Selects the hosts to which a request with a ticket is sent.
  */
 
 #include "daemon/call.h"
 
-/* Go to the executor that the ticket's text names. */
-void heirs_start(struct call *, const char *text);
+/* Sends the call to the executor named in the ticket's text. */
+void ticket_route_start(struct call *, const char *text);
 
-/* True when the refusal is dealt with: the call waits for a hand-over, or
- * went to an heir. */
-bool heirs_try(struct call *, const struct loom_refusal *);
+/* Returns true if the call waits for a handover of tickets or was sent to a
+ * successor of the executor, so that the refusal is not passed on. */
+bool ticket_route_try_next(struct call *, const struct loom_refusal *);
 
-/* Whether the refusal leaves the executor still to be found: it took no
- * connection, or has handed its tickets over. */
-bool heirs_lost(const struct loom_refusal *);
+/* Whether the refusal leaves open which host has the ticket: the executor
+ * is unreachable, has lost its records or has handed them over. */
+bool ticket_route_is_unresolved(const struct loom_refusal *);
 
 #endif
--- a/src/daemon/internal.c
+++ b/src/daemon/internal.c
@@ -1,6 +1,6 @@
 /*
- * The daemon's own pages: health for whoever starts it, counters for whoever
- * watches it.  No page needs a key and none shows one.
+ * The daemon's own pages, for process supervision (health) and monitoring
+ * (status, metrics).  No page requires a key or shows one.
  */
 
 #include <string.h>
@@ -24,7 +24,7 @@
 }
 
 static void
-show_health(struct call *call)
+answer_health(struct call *call)
 {
 	if (atomic_load(&call->worker->daemon->leaving))
 		answer_text(call, 503, "text/plain", "draining\n");
@@ -37,9 +37,10 @@
 		answer_text(call, 200, "text/plain", "ready\n");
 }
 
-/* What peers ask: calls can run here, whether callers are let in or not. */
+/* Answers probes of peers: whether calls can run here, even while clients
+ * are not admitted yet. */
 static void
-show_serving(struct call *call)
+answer_serving(struct call *call)
 {
 	if (atomic_load(&call->worker->daemon->draining) ||
 	    call->manifest == NULL ||
@@ -50,7 +51,7 @@
 }
 
 static void
-show_metrics(struct call *call)
+answer_metrics(struct call *call)
 {
 	char *counters = loom_counter_text();
 	char *histograms = loom_histogram_text();
@@ -63,7 +64,7 @@
 }
 
 static void
-show_status(struct call *call)
+answer_status(struct call *call)
 {
 	char *text = status_json(call->worker, call->manifest);
 
@@ -73,17 +74,17 @@
 
 struct page {
 	const char *path;
-	void (*show)(struct call *);
+	void (*answer)(struct call *);
 };
 
 static const struct page pages[] = {
-	{ .path = "health", .show = show_health },
-	{ .path = "serving", .show = show_serving },
-	{ .path = "status", .show = show_status },
-	{ .path = "metrics", .show = show_metrics },
+	{ .path = "health", .answer = answer_health },
+	{ .path = "serving", .answer = answer_serving },
+	{ .path = "status", .answer = answer_status },
+	{ .path = "metrics", .answer = answer_metrics },
 };
 
-/* The address for readiness has these two pages and nothing else. */
+/* The readiness address serves these two pages only. */
 void
 internal_ready_request(struct call *call)
 {
@@ -91,9 +92,9 @@
 
 	call->own_page = true;
 	if (strcmp(target, call->worker->daemon->dialect->ready_path) == 0)
-		show_health(call);
+		answer_health(call);
 	else if (strcmp(target, "/metrics") == 0)
-		show_metrics(call);
+		answer_metrics(call);
 	else
 		call_refuse_code(call, LOOM_ROUTE_UNKNOWN, 0);
 }
@@ -105,13 +106,13 @@
 	size_t i;
 
 	if (strncmp(target, own_prefix, sizeof(own_prefix) - 1) != 0 ||
-	    issue_is_page(call->x))
+	    issue_is_request(call->x))
 		return false;
 	call->own_page = true;
 	target += sizeof(own_prefix) - 1;
 	for (i = 0; i < G_N_ELEMENTS(pages); i++) {
 		if (strcmp(target, pages[i].path) == 0) {
-			pages[i].show(call);
+			pages[i].answer(call);
 			return true;
 		}
 	}
--- a/src/daemon/internal.h
+++ b/src/daemon/internal.h
@@ -2,15 +2,16 @@
 #define LOOM_DAEMON_INTERNAL_H
 
 /*
- * What the daemon answers by itself, below "/.loom/".
+ * Pages that the daemon answers itself, below "/.loom/".
  */
 
 #include "daemon/call.h"
 
-/* True when the request was for the daemon itself; it is answered then. */
+/* Returns true if the request was for such a page; it has then been
+ * answered. */
 bool internal_request(struct call *);
 
-/* Answer a request that came to the address for readiness. */
+/* Answers a request that arrived at the readiness address. */
 void internal_ready_request(struct call *);
 
 #endif
--- a/src/daemon/issue.c
+++ b/src/daemon/issue.c
@@ -1,12 +1,13 @@
 /*
- * Taking tickets.
+ * Issues tickets and limits how many a team obtains.
  *
- * A token of the team's rate is taken by the request that comes with a
- * ticket, not by the ticket: one that is never used costs its executor two
- * bits, and charging it would refuse orders within the rate.  Taking is
- * bounded all the same, or a caller could keep executors busy for free: each
- * worker lets a team take as many a second as its whole rate.  That is looser
- * than the rate by the count of workers and needs no word with other daemons.
+ * A token of the team's rate is taken by the request that uses a ticket, not
+ * when the ticket is issued: an unused ticket costs its executor two bits, and
+ * charging for it would refuse requests that are within the rate.  Issuing
+ * needs a limit nevertheless, or a client could keep executors busy for free.
+ * Each worker issues a team at most as many tickets per second as its whole
+ * rate.  That exceeds the rate by a factor of the number of workers, but needs
+ * no communication with other daemons.
  */
 
 #include <json-c/json.h>
@@ -17,7 +18,7 @@
 #include "daemon/issue.h"
 #include "loom/retry_after.h"
 
-static const char page[] = "/.loom/tickets";
+static const char tickets_path[] = "/.loom/tickets";
 
 struct issue_bucket {
 	uint64_t team_id;
@@ -26,18 +27,19 @@
 };
 
 bool
-issue_is_page(const struct loom_exchange *x)
+issue_is_request(const struct loom_exchange *x)
 {
 	const char *target = loom_exchange_target(x);
-	size_t len = sizeof(page) - 1;
+	size_t len = sizeof(tickets_path) - 1;
 
-	return strncmp(target, page, len) == 0 &&
+	return strncmp(target, tickets_path, len) == 0 &&
 	    (target[len] == '?' || target[len] == '\0');
 }
 
-/* The value of a query's parameter, owned (g_free); NULL when missing. */
+/* Returns the value of a query parameter, owned by the caller (g_free);
+ * NULL if it is missing. */
 static char *
-parameter(const char *target, const char *name)
+query_parameter(const char *target, const char *name)
 {
 	const char *query = strchr(target, '?');
 	char **pairs, **pair;
@@ -56,11 +58,11 @@
 }
 
 enum loom_result
-issue_read(struct call *call)
+issue_parse(struct call *call)
 {
 	const char *target = loom_exchange_target(call->x);
-	char *route = parameter(target, "route");
-	char *count = parameter(target, "count");
+	char *route = query_parameter(target, "route");
+	char *count = query_parameter(target, "count");
 	enum loom_result result = LOOM_BAD_REQUEST;
 	unsigned long n = count != NULL ? strtoul(count, NULL, 10) : 1;
 
@@ -85,7 +87,8 @@
 }
 
 static struct issue_bucket *
-bucket_of(struct worker *worker, const struct loom_team *team, uint64_t now_us)
+find_bucket(
+    struct worker *worker, const struct loom_team *team, uint64_t now_us)
 {
 	struct issue_bucket *bucket;
 
@@ -100,9 +103,10 @@
 	return bucket;
 }
 
-/* A rate of 0 brings no ticket ever. */
+/* Returns the time until the missing tickets have accrued, at most
+ * LOOM_RETRY_AFTER_MAX_MS.  With a rate of 0 they never do. */
 static uint64_t
-wait_us(double missing, double rate_per_s)
+refill_wait_us(double missing, double rate_per_s)
 {
 	const double longest_us =
 	    (double)LOOM_RETRY_AFTER_MAX_MS * (double)LOOM_US_PER_MS;
@@ -113,7 +117,7 @@
 }
 
 enum loom_result
-issue_allowed(struct call *call, uint32_t count, uint64_t now_us,
+issue_take_quota(struct call *call, uint32_t count, uint64_t now_us,
     uint64_t *retry_after_us)
 {
 	const struct loom_team *team;
@@ -123,7 +127,7 @@
 	team = loom_manifest_team(call->manifest, call->context.team_id);
 	if (team == NULL)
 		return LOOM_KEY_WITHDRAWN;
-	bucket = bucket_of(call->worker, team, now_us);
+	bucket = find_bucket(call->worker, team, now_us);
 	capacity = MAX(team->burst, LOOM_TICKET_ISSUE_MAX);
 	bucket->level += team->rate_per_s * (double)(now_us - bucket->at_us) /
 	    (double)LOOM_US_PER_S;
@@ -131,7 +135,7 @@
 	bucket->at_us = now_us;
 	if (bucket->level < count) {
 		*retry_after_us =
-		    wait_us(count - bucket->level, team->rate_per_s);
+		    refill_wait_us(count - bucket->level, team->rate_per_s);
 		return LOOM_TEAM_RATE;
 	}
 	bucket->level -= count;
@@ -162,7 +166,7 @@
 	text = json_object_to_json_string_ext(object, JSON_C_TO_STRING_PLAIN);
 	header_list_init(&headers);
 	header_list_add(&headers, "Content-Type", "application/json");
-	headers_add_own(call, &headers);
+	headers_add_hop(call, &headers);
 	call->span.status = 200;
 	loom_exchange_answer(call->x, 200, header_list_items(&headers),
 	    headers.headers->len, text, strlen(text));
--- a/src/daemon/issue.h
+++ b/src/daemon/issue.h
@@ -2,27 +2,29 @@
 #define LOOM_DAEMON_ISSUE_H
 
 /*
- * Taking tickets: the page "/.loom/tickets?route=NAME&count=N", and how many
- * a team may take.
+ * Issues tickets: the page "/.loom/tickets?route=NAME&count=N", and the limit
+ * on the tickets of a team.
  */
 
 #include "daemon/call.h"
 
-/* Whether the request is for that page. */
-bool issue_is_page(const struct loom_exchange *);
+bool issue_is_request(const struct loom_exchange *);
 
 /*
- * Read the page's query: sets the call's route and count.  LOOM_OK,
- * LOOM_ROUTE_UNKNOWN or LOOM_BAD_REQUEST.
+ * Parses the page's query and sets the call's route and issue_count.  Returns
+ * LOOM_OK, LOOM_ROUTE_UNKNOWN or LOOM_BAD_REQUEST.
  */
-enum loom_result issue_read(struct call *);
+enum loom_result issue_parse(struct call *);
 
-/* May the team take count tickets here now?  LOOM_OK, or LOOM_TEAM_RATE with
- * when to come back. */
-enum loom_result issue_allowed(
+/*
+ * Takes count tickets from the team's quota of this worker.  Returns LOOM_OK,
+ * LOOM_KEY_WITHDRAWN if the team is unknown, or LOOM_TEAM_RATE and the time
+ * after which to try again.
+ */
+enum loom_result issue_take_quota(
     struct call *, uint32_t count, uint64_t now_us, uint64_t *retry_after_us);
 
-/* At the executor: issue and answer {"tickets":[...]}. */
+/* Issues the tickets at the executor and answers {"tickets":[...]}. */
 void issue_answer(struct call *);
 
 #endif
--- a/src/daemon/keep.c
+++ b/src/daemon/keep.c
@@ -1,10 +1,13 @@
 /*
- * What a request costs at the services below is learned from answers: an
- * executor knows how many calls of each inner route its upstream makes for a
- * request (loom/fanout.h), and was told with their answers what each of those
- * costs further down.  So news of the narrowest service climbs a chain of any
- * depth, one answer a hop, without a declared call graph and without a mark on
- * the calls, which upstreams do not pass on.
+ * Learns from answers how many calls a request causes at each service it leads
+ * to.
+ *
+ * An executor knows how many calls of each inner route its upstream makes per
+ * request (loom/fanout.h), and the answers to those calls state what each of
+ * them costs further on.  So the share of an overloaded service reaches the
+ * entry through a call chain of any depth, one hop per answer.  This needs
+ * neither a declared call graph nor an identifier in the calls, which
+ * upstreams do not pass on.
  */
 
 #include <string.h>
@@ -14,14 +17,14 @@
 
 #define PER_THOUSAND 1000.0
 
-/* Sums over inner routes, while a header is made. */
-struct sums {
+/* Calls per request to each service, summed over the inner routes. */
+struct cost_sums {
 	struct loom_cost costs[LOOM_COSTS_MAX];
 	uint32_t n;
 };
 
 static void
-add_sum(struct sums *sums, uint64_t service_id, double calls)
+add_cost(struct cost_sums *sums, uint64_t service_id, double calls)
 {
 	uint32_t i;
 
@@ -38,10 +41,10 @@
 		};
 }
 
-/* Such calls, and what each of them costs further down. */
+/* Adds calls to an inner route and what each of them costs further on. */
 static void
-add_inner(struct sums *sums, const struct loom_costs *costs, uint64_t inner_id,
-    double calls)
+add_nested_costs(struct cost_sums *sums, const struct loom_costs *costs,
+    uint64_t inner_id, double calls)
 {
 	struct loom_cost known[LOOM_COSTS_MAX];
 	uint64_t service_id;
@@ -50,13 +53,13 @@
 	service_id = loom_costs_known(costs, inner_id, known, &n);
 	if (service_id == 0)
 		return;
-	add_sum(sums, service_id, calls);
+	add_cost(sums, service_id, calls);
 	for (i = 0; i < n; i++)
-		add_sum(sums, known[i].service_id, calls * known[i].calls);
+		add_cost(sums, known[i].service_id, calls * known[i].calls);
 }
 
 static void
-sum_costs(const struct call *call, struct sums *sums)
+sum_costs(const struct call *call, struct cost_sums *sums)
 {
 	struct worker *worker = call->worker;
 	struct loom_daemon *daemon = worker->daemon;
@@ -72,12 +75,12 @@
 	g_mutex_unlock(&daemon->wait_lock);
 	for (i = 0; i < n; i++) {
 		if (calls[i] >= LOOM_COSTS_CALLS_MIN)
-			add_inner(sums, worker->costs, ids[i], calls[i]);
+			add_nested_costs(sums, worker->costs, ids[i], calls[i]);
 	}
 }
 
 static void
-append(GString *text, uint64_t service_id, double share, double calls)
+append_share(GString *text, uint64_t service_id, double share, double calls)
 {
 	if (share >= 1.0)
 		return;
@@ -87,24 +90,24 @@
 }
 
 char *
-keep_format(const struct call *call)
+throttle_format(const struct call *call)
 {
 	struct worker *worker = call->worker;
 	const struct loom_daemon *daemon = worker->daemon;
 	const uint64_t now_us = loom_now_us();
 	GString *text;
-	struct sums sums = { .n = 0 };
+	struct cost_sums sums = { .n = 0 };
 	uint32_t i;
 
 	if (call->route == NULL)
 		return NULL;
 	text = g_string_new(NULL);
-	append(text, daemon->self.service_id,
+	append_share(text, daemon->self.service_id,
 	    loom_admission_keep(daemon->admission), 0);
 	sum_costs(call, &sums);
 	for (i = 0; i < sums.n; i++) {
 		if (sums.costs[i].service_id != daemon->self.service_id)
-			append(text, sums.costs[i].service_id,
+			append_share(text, sums.costs[i].service_id,
 			    loom_keep_share(
 				worker->keep, sums.costs[i].service_id, now_us),
 			    sums.costs[i].calls);
@@ -112,9 +115,10 @@
 	return g_string_free(text, text->len == 0);
 }
 
-/* "SERVICE:SHARE:CALLS"; the end of it, or NULL when malformed. */
+/* Parses "SERVICE:SHARE:CALLS"; returns its end, or NULL if it is malformed. */
 static const char *
-parse(const char *text, uint64_t *service_id, double *share, double *calls)
+parse_entry(
+    const char *text, uint64_t *service_id, double *share, double *calls)
 {
 	char *end;
 
@@ -131,7 +135,7 @@
 }
 
 void
-keep_learn(const struct call *call, const char *text)
+throttle_learn(const struct call *call, const char *text)
 {
 	struct loom_route_costs *costs = loom_costs_answer(
 	    call->worker->costs, call->route->id, call->service->id);
@@ -140,7 +144,7 @@
 	double share, calls;
 
 	while (text != NULL && *text != '\0') {
-		text = parse(text, &service_id, &share, &calls);
+		text = parse_entry(text, &service_id, &share, &calls);
 		if (text == NULL)
 			return;
 		loom_keep_note(call->worker->keep, service_id, share, now_us);
@@ -153,7 +157,7 @@
 }
 
 void
-keep_note_run(const struct call *call, bool begins)
+throttle_count_run(const struct call *call, bool begins)
 {
 	struct loom_daemon *daemon = call->worker->daemon;
 
@@ -168,7 +172,7 @@
 }
 
 void
-keep_note_inner(const struct call *call)
+throttle_count_nested(const struct call *call)
 {
 	struct loom_daemon *daemon = call->worker->daemon;
 
@@ -177,9 +181,10 @@
 	g_mutex_unlock(&daemon->wait_lock);
 }
 
-/* For the call's line in the log: what refused it, else the narrowest. */
+/* Records for the log line the service that refused the call, or else the
+ * one with the lowest share. */
 static void
-note_below(struct call *call, uint64_t service_id, double calls, bool pass,
+note_narrowest(struct call *call, uint64_t service_id, double calls, bool pass,
     uint64_t now_us)
 {
 	struct loom_keep_gate *keep = call->worker->keep;
@@ -196,48 +201,51 @@
 }
 
 /*
- * Let in by the share of the service that runs it: from here on it is one of
- * the requests inside, like the calls that others make there.  Behind all of
- * those it was refused after all while they filled the service, though it was
- * let in for its importance, and at a fifth of their cost.
+ * Marks a request that was admitted by the share of the service that runs it.
+ * From then on it counts as critical, like the nested calls that other
+ * requests make there.  Queued behind all of those, such a request was refused
+ * after all while they used up the service's capacity, although it had been
+ * admitted for its importance and cost a fifth as much as they did.
  */
 static void
-count_as_inside(struct call *call, uint64_t now_us)
+mark_admitted_by_share(struct call *call, uint64_t now_us)
 {
-	call->let_in = loom_keep_share(
-			   call->worker->keep, call->service->id, now_us) < 1.0;
+	call->admitted_by_share = loom_keep_share(call->worker->keep,
+				      call->service->id, now_us) < 1.0;
 }
 
 static bool
-pass_below(
+pass_service(
     struct call *call, uint64_t service_id, double calls, uint64_t now_us)
 {
-	bool pass = loom_keep_pass(
-	    call->worker->keep, service_id, cuts_rank(call), calls, now_us);
+	bool pass = loom_keep_pass(call->worker->keep, service_id,
+	    call_shed_rank(call), calls, now_us);
 
-	note_below(call, service_id, calls, pass, now_us);
+	note_narrowest(call, service_id, calls, pass, now_us);
 	return pass;
 }
 
 bool
-keep_check(struct call *call, uint64_t now_us)
+throttle_check(struct call *call, uint64_t now_us)
 {
 	struct loom_cost costs[LOOM_COSTS_MAX];
 	uint32_t i, n;
 	bool pass;
 
-	/* It is itself a call there: without this, lesser requests that run at
-	 * the narrow service pass by important ones that lead to it. */
-	pass = pass_below(call, call->service->id, 1, now_us);
+	/* The request itself is a call to its service.  Without this check,
+	 * less important requests that run at an overloaded service are
+	 * admitted ahead of more important ones that lead to it. */
+	pass = pass_service(call, call->service->id, 1, now_us);
 	n = loom_costs_judge(
 	    call->worker->costs, call->route->id, now_us, costs);
 	for (i = 0; i < n; i++) {
-		/* each counts what is offered, whichever refuses */
-		if (!pass_below(
+		/* Each check counts the offered calls, so all are made even
+		 * after one has refused. */
+		if (!pass_service(
 			call, costs[i].service_id, costs[i].calls, now_us))
 			pass = false;
 	}
 	if (pass)
-		count_as_inside(call, now_us);
+		mark_admitted_by_share(call, now_us);
 	return pass;
 }
--- a/src/daemon/keep.h
+++ b/src/daemon/keep.h
@@ -2,27 +2,30 @@
 #define LOOM_DAEMON_KEEP_H
 
 /*
- * Shares of narrow services on their way back: the header "Loom-Keep" of an
- * answer between daemons, "SERVICE:SHARE:CALLS" with commas, in hex.  The
- * share is in thousandths, and so are the calls that a request like the
- * answered one makes there; none for the service that answers.
+ * Admitted shares of overloaded services that answers between daemons carry:
+ * the header "Loom-Keep" lists SERVICE:SHARE:CALLS in hexadecimal, separated
+ * by commas.  SHARE is in thousandths.  CALLS is the number of calls to that
+ * service per request of the answered call's route, also in thousandths; it is
+ * 0 for the service that answers.
  */
 
 #include "daemon/call.h"
 
-/* What to carry back, for services whose share is below 1.  Owned by the
- * caller, g_free; NULL when there is none. */
-char *keep_format(const struct call *);
+/* Returns the header's value, with the services whose share is below 1.
+ * Owned by the caller, g_free; NULL if there is none. */
+char *throttle_format(const struct call *);
 
-/* Learn from the answer to a call. */
-void keep_learn(const struct call *, const char *text);
+/* Records the shares and costs from the answer to a call, up to the first
+ * malformed entry. */
+void throttle_learn(const struct call *, const char *text);
 
-/* The own upstream begins or ends to run this call, or made this inner one. */
-void keep_note_run(const struct call *, bool begins);
-void keep_note_inner(const struct call *);
+/* Count the start or end of this call's run at the local upstream, and a
+ * nested call that the upstream sent without a context. */
+void throttle_count_run(const struct call *, bool begins);
+void throttle_count_nested(const struct call *);
 
-/* May this root request go on?  False when a service below its own cannot
- * carry it. */
-bool keep_check(struct call *, uint64_t now_us);
+/* Returns false if the root request must be refused, because its service or
+ * one that its nested calls reach admits only a share of its requests. */
+bool throttle_check(struct call *, uint64_t now_us);
 
 #endif
--- a/src/daemon/rate.c
+++ b/src/daemon/rate.c
@@ -1,59 +1,62 @@
 /*
- * The wait for a token.  The answer comes on the control thread and is posted
- * to the call's own.
+ * Waits for rate tokens.  The result is delivered on the control thread and
+ * posted to the call's worker.
  */
 
 #include "daemon/rate.h"
 
 static struct loom_rights *
-rights_of(const struct call *call)
+call_rights(const struct call *call)
 {
 	return loom_rights_of(
 	    call->worker->daemon->rights, call->context.team_id);
 }
 
 static void
-proceed(struct call *call, enum loom_result result, uint64_t retry_after_us)
+start_or_refuse(
+    struct call *call, enum loom_result result, uint64_t retry_after_us)
 {
-	/* A daemon that owns nothing yet cannot say that the team is over, nor
-	 * from its empty share when a token will be there. */
+	/* A daemon that holds no rights yet cannot tell whether the team
+	 * exceeds its rate, nor estimate from its empty share when a token
+	 * will be available. */
 	if (result == LOOM_TEAM_RATE &&
 	    !atomic_load(&call->worker->daemon->rights_held)) {
 		result = LOOM_STARTING;
 		retry_after_us = 0;
 	}
 	if (result == LOOM_OK)
-		call_launch(call);
+		call_start(call);
 	else
 		call_refuse_code(call, result, retry_after_us);
 }
 
 static void
-arrived(void *arg)
+on_token(void *arg)
 {
 	struct call *call = arg;
 
-	call->rate_waits = false;
-	if (!call->over && !call->refused)
-		proceed(call, call->rate_result, call->rate_retry_after_us);
-	call_drop(call);
+	call->rate_pending = false;
+	if (!call->exchange_ended && !call->refused)
+		start_or_refuse(
+		    call, call->rate_result, call->rate_retry_after_us);
+	call_unref(call);
 }
 
 static void
-told(struct loom_rights_waiter *waiter, enum loom_result result,
-    uint64_t retry_after_us)
+on_token_control_thread(struct loom_rights_waiter *waiter,
+    enum loom_result result, uint64_t retry_after_us)
 {
 	struct call *call = waiter->arg;
 
 	call->rate_result = result;
 	call->rate_retry_after_us = retry_after_us;
-	loom_mailbox_post(call->worker->mailbox, arrived, call);
+	loom_mailbox_post(call->worker->mailbox, on_token, call);
 }
 
 void
-rate_start(struct call *call)
+rate_take_token(struct call *call)
 {
-	struct loom_rights *rights = rights_of(call);
+	struct loom_rights *rights = call_rights(call);
 	uint64_t now_us = loom_now_us();
 	uint64_t retry_after_us = 0;
 	enum loom_result result;
@@ -61,16 +64,16 @@
 	result = loom_rights_take(
 	    rights, call->context.team_id, now_us, &retry_after_us);
 	if (result != LOOM_RIGHTS_PENDING) {
-		proceed(call, result, retry_after_us);
+		start_or_refuse(call, result, retry_after_us);
 		return;
 	}
 	call->rate_waiter = (struct loom_rights_waiter){
-		.done = told,
+		.done = on_token_control_thread,
 		.arg = call,
 		.deadline_us = call->deadline_us,
 	};
-	call->rate_waits = true;
-	call_hold(call);
+	call->rate_pending = true;
+	call_ref(call);
 	loom_rights_wait(
 	    rights, call->context.team_id, &call->rate_waiter, now_us);
 }
@@ -79,15 +82,15 @@
 rate_state(const struct call *call, struct loom_rights_status *status)
 {
 	return loom_rights_team_status(
-	    rights_of(call), call->context.team_id, loom_now_us(), status);
+	    call_rights(call), call->context.team_id, loom_now_us(), status);
 }
 
 void
-rate_leave(struct call *call)
+rate_cancel(struct call *call)
 {
-	if (!call->rate_waits)
+	if (!call->rate_pending)
 		return;
-	call->rate_waits = false;
-	if (loom_rights_cancel(rights_of(call), &call->rate_waiter))
-		call_drop(call);
+	call->rate_pending = false;
+	if (loom_rights_cancel(call_rights(call), &call->rate_waiter))
+		call_unref(call);
 }
--- a/src/daemon/rate.h
+++ b/src/daemon/rate.h
@@ -2,19 +2,20 @@
 #define LOOM_DAEMON_RATE_H
 
 /*
- * A root request's token of its team's rate and burst.
+ * Takes a token of the team's rate and burst for a root request.
  */
 
 #include "daemon/call.h"
 
-/* Take a token, now or within the few milliseconds that a loan takes, and
- * launch the call or refuse it. */
-void rate_start(struct call *);
+/* Takes a token, at once or after the few milliseconds that a loan takes,
+ * and starts or refuses the call. */
+void rate_take_token(struct call *);
 
-/* What this daemon holds of the call's team now; false when it has none. */
+/* Returns this daemon's current share of the rate of the call's team; false
+ * if it has none. */
 bool rate_state(const struct call *, struct loom_rights_status *);
 
-/* The call is given up: wait no longer. */
-void rate_leave(struct call *);
+/* Cancels the wait for a token. */
+void rate_cancel(struct call *);
 
 #endif
--- a/src/daemon/refuse.c
+++ b/src/daemon/refuse.c
@@ -1,6 +1,7 @@
 /*
- * Refusals: problem documents (RFC 9457) with a numbered code and exactly one
- * outcome.  They are answered at once; Retry-After says when to come back.
+ * Refusals: problem documents (RFC 9457) with a numeric code and exactly one
+ * outcome.  They are sent immediately; Retry-After tells the caller when to
+ * try again.
  */
 
 #include <string.h>
@@ -9,7 +10,7 @@
 #include "loom/retry_after.h"
 
 static void
-add_marks(const struct call *call, const struct loom_refusal *refusal,
+add_refusal_headers(const struct call *call, const struct loom_refusal *refusal,
     struct header_list *list)
 {
 	char number[16];
@@ -26,18 +27,18 @@
 	}
 	if (refusal->ticket[0] != '\0')
 		header_list_add(list, HEADER_TICKET, refusal->ticket);
-	headers_add_own(call, list);
+	headers_add_hop(call, list);
 }
 
 /*
- * The caller may be repeating a request that ran under the same ticket, so
- * that a refusal on the way to its executor must not say not-run.  A refusal
- * that comes before the route was looked for, such as a peer's that finds the
- * context stale, does not know better either.  Text that is no ticket was
- * never one that ran.
+ * Whether a valid ticket came with the request.  The caller may be repeating a
+ * request that ran with this ticket, so a refusal that is made before the
+ * ticket's executor was reached must not report not-run.  This includes
+ * refusals made before the route is known, such as that of a peer which finds
+ * the context stale.  Text that is not a valid ticket cannot have run.
  */
 static bool
-has_ticket(const struct call *call)
+came_with_ticket(const struct call *call)
 {
 	const char *text = call_ticket_text(call);
 	struct loom_ticket ticket;
@@ -46,9 +47,9 @@
 	    loom_ticket_parse(text, strlen(text), &ticket) == LOOM_OK;
 }
 
-/* Its caller gave it no time at all, and would not the next time. */
+/* The deadline left no time at all, and would not on a retry either. */
 static bool
-had_no_time(const struct call *call)
+came_without_time(const struct call *call)
 {
 	return call->route != NULL && call->deadline_us == call->arrived_us;
 }
@@ -62,12 +63,13 @@
 
 	call->refused = true;
 	if (call->may_have_run ||
-	    (!call->relayed && !call->ticket_begun && has_ticket(call)))
+	    (!call->refusal_from_peer && !call->ticket_checked &&
+		came_with_ticket(call)))
 		loom_refusal_ticket_not_begun(&refusal);
-	/* No daemon stands above an entry. */
+	/* The caller of an entry is no daemon that could retry. */
 	if (call->origin != CALL_ORIGIN_PEER)
 		refusal.final = true;
-	if (refusal.retry_after_ms == 0 && !had_no_time(call))
+	if (refusal.retry_after_ms == 0 && !came_without_time(call))
 		refusal.retry_after_ms =
 		    loom_retry_after_ms(refusal.code, &loom_random_system);
 	span_trace_id_text(&call->span, refusal.trace_id);
@@ -75,7 +77,7 @@
 	call->span.outcome = refusal.outcome;
 	json = loom_refusal_json(&refusal);
 	header_list_init(&list);
-	add_marks(call, &refusal, &list);
+	add_refusal_headers(call, &refusal, &list);
 	loom_exchange_answer(call->x,
 	    call->worker->daemon->dialect->status(&refusal),
 	    header_list_items(&list), list.headers->len, json, strlen(json));
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -1,40 +1,41 @@
 /*
- * The body of a request on to its leg, and the answer of the leg back.
+ * Forwards the request body to the leg and the answer back to the caller.
  *
- * Both directions hold at most a fixed number of bytes; what does not fit
- * waits in the kernel of whoever sends too fast.  An answer up to
- * CALL_WHOLE_MAX is held until it is whole, so that a cut becomes a clean
- * refusal; a longer one is streamed, and a cut breaks the connection.
+ * Both directions buffer at most a fixed number of bytes; a faster sender is
+ * slowed down by TCP flow control.  An answer of up to CALL_BUFFER_MAX is
+ * buffered until it is complete, so that a broken connection results in a
+ * proper refusal.  A longer answer is streamed, and a broken leg then also
+ * breaks the connection to the caller.
  */
 
 #include <string.h>
 
 #include "daemon/headers.h"
 
-#define BODY_HIGH_WATER (64 * 1024)
+#define BODY_HIGH_WATER_BYTES (64 * 1024)
 
 size_t
 relay_take_body(struct call *call, const uint8_t *data, size_t len)
 {
-	size_t room = BODY_HIGH_WATER;
+	size_t room = BODY_HIGH_WATER_BYTES;
 
-	if (!call->body_whole) {
+	if (!call->body_buffered) {
 		room -= MIN(room, loom_buffer_length(&call->body));
 		len = MIN(len, room);
 	}
 	call->body_bytes += len;
 	if (call->body_bytes > call->route->max_body_bytes) {
-		call_fail_code(call, LOOM_BODY_TOO_LARGE);
+		call_fail(call, LOOM_BODY_TOO_LARGE);
 		return len;
 	}
 	if (!loom_buffer_append(&call->body, call, data, len)) {
-		call_fail_code(call, LOOM_NO_MEMORY);
+		call_fail(call, LOOM_NO_MEMORY);
 		return len;
 	}
 	if (call->fetch != NULL)
 		loom_fetch_more_body(call->fetch);
 	else
-		upstream_body_came(call);
+		upstream_body_progress(call);
 	return len;
 }
 
@@ -42,12 +43,12 @@
 relay_body_end(struct call *call)
 {
 	call->body_ended = true;
-	if (call->body_whole)
-		call_body_held(call);
+	if (call->body_buffered)
+		call_body_complete(call);
 	else if (call->fetch != NULL)
 		loom_fetch_more_body(call->fetch);
 	else
-		upstream_body_came(call);
+		upstream_body_progress(call);
 }
 
 size_t
@@ -63,7 +64,7 @@
 		*end = call->body_ended;
 	}
 	if (!call->body_ended && call->x != NULL &&
-	    loom_buffer_length(&call->body) < BODY_HIGH_WATER / 2)
+	    loom_buffer_length(&call->body) < BODY_HIGH_WATER_BYTES / 2)
 		loom_exchange_take_body(call->x);
 	return len;
 }
@@ -73,7 +74,7 @@
 {
 	header_list_init(list);
 	headers_forward_answer(call->fetch, list);
-	headers_add_own(call, list);
+	headers_add_hop(call, list);
 }
 
 void
@@ -92,13 +93,14 @@
 	loom_buffer_clear(&call->answer);
 }
 
-/* The caller is gone and the run goes on: hold the answer if it is short. */
+/* Buffers the answer of a run whose caller has disconnected, unless it is
+ * longer than CALL_BUFFER_MAX. */
 static void
-keep_for_ticket(struct call *call, const uint8_t *data, size_t len)
+buffer_detached_answer(struct call *call, const uint8_t *data, size_t len)
 {
-	if (loom_buffer_length(&call->answer) + len > CALL_WHOLE_MAX ||
+	if (loom_buffer_length(&call->answer) + len > CALL_BUFFER_MAX ||
 	    !loom_buffer_append(&call->answer, call, data, len))
-		call->answer_lost = true;
+		call->answer_too_long = true;
 }
 
 bool
@@ -110,15 +112,15 @@
 		return loom_exchange_push(call->x, data, len);
 	if (call->answer_kind != LOOM_ANSWER_RAN)
 		return true;
-	if (call->over) {
-		keep_for_ticket(call, data, len);
+	if (call->exchange_ended) {
+		buffer_detached_answer(call, data, len);
 		return true;
 	}
 	if (!loom_buffer_append(&call->answer, call, data, len)) {
 		loom_exchange_abort(call->x);
 		return true;
 	}
-	if (loom_buffer_length(&call->answer) > CALL_WHOLE_MAX)
+	if (loom_buffer_length(&call->answer) > CALL_BUFFER_MAX)
 		relay_start_stream(call);
 	return true;
 }
@@ -130,7 +132,7 @@
 }
 
 void
-relay_answer_whole(struct call *call)
+relay_answer_complete(struct call *call)
 {
 	struct header_list list;
 
--- a/src/daemon/target.c
+++ b/src/daemon/target.c
@@ -1,6 +1,6 @@
 /*
- * The second stage: which host runs the call, the leg to its daemon, and
- * whether to try another when that one refused.
+ * The second stage: the choice of the host that runs the call, the leg to its
+ * daemon, and the retry on another host after a refusal or failure.
  */
 
 #include <string.h>
@@ -13,25 +13,25 @@
 #include "daemon/probe.h"
 #include "loom/log.h"
 
-/* The header tells thousandths. */
-#define USED_UNIT 1000.0
+/* Loom-Used is in thousandths. */
+#define UTILIZATION_UNIT 1000.0
 
 static struct loom_balance *
-balance_of(const struct call *call)
+service_balance(const struct call *call)
 {
 	return worker_balance(call->worker, call->service->id);
 }
 
 const struct loom_refusal *
-target_none(struct loom_refusal *refusal)
+target_no_host(struct loom_refusal *refusal)
 {
 	*refusal = loom_refusal_of(LOOM_NO_TARGET);
 	return refusal;
 }
 
-/* The context for the target's daemon. */
+/* Encodes the context for the daemon of the target host. */
 static void
-peer_context(struct call *call, char text[LOOM_CONTEXT_TEXT_MAX])
+encode_peer_context(struct call *call, char text[LOOM_CONTEXT_TEXT_MAX])
 {
 	struct worker *worker = call->worker;
 	const struct loom_daemon *daemon = worker->daemon;
@@ -53,39 +53,40 @@
 }
 
 static void
-note_done(struct call *call, enum loom_target_end end)
+record_leg_result(struct call *call, enum loom_target_end end)
 {
 	uint64_t now_us = loom_now_us();
 
 	call->span.leg_us += now_us - call->leg_us;
-	loom_balance_note_done(balance_of(call), call->target_id, end,
+	loom_balance_note_done(service_balance(call), call->target_id, end,
 	    now_us - call->leg_us, now_us);
 }
 
 void
-target_leave(struct call *call)
+target_cancel(struct call *call)
 {
-	TALLOC_FREE(call->moving_timer);
+	TALLOC_FREE(call->handover_timer);
 	if (call->target_id == 0)
 		return;
-	note_done(call, LOOM_TARGET_CANCELLED);
+	record_leg_result(call, LOOM_TARGET_CANCELLED);
 	call->target_id = 0;
 }
 
 static void
-learn_used(struct call *call, const char *text)
+read_utilization(struct call *call, const char *text)
 {
-	double used;
+	double utilization;
 
 	if (text == NULL)
 		return;
-	used = (double)g_ascii_strtoull(text, NULL, 16) / USED_UNIT;
+	utilization =
+	    (double)g_ascii_strtoull(text, NULL, 16) / UTILIZATION_UNIT;
 	loom_balance_note_used(
-	    balance_of(call), call->target_id, used, loom_now_us());
+	    service_balance(call), call->target_id, utilization, loom_now_us());
 }
 
 static void
-learn(struct call *call)
+read_peer_state(struct call *call)
 {
 	struct worker *worker = call->worker;
 	const char *text;
@@ -94,13 +95,13 @@
 	if (text != NULL)
 		loom_clock_learn(worker_peer_clock(worker, call->target_id),
 		    text, loom_now_us());
-	cuts_learn(worker, call->context.team_id,
+	shed_thresholds_learn(worker, call->context.team_id,
 	    loom_fetch_header(call->fetch, HEADER_CUT));
-	learn_used(call, loom_fetch_header(call->fetch, HEADER_USED));
-	keep_learn(call, loom_fetch_header(call->fetch, HEADER_KEEP));
+	read_utilization(call, loom_fetch_header(call->fetch, HEADER_USED));
+	throttle_learn(call, loom_fetch_header(call->fetch, HEADER_KEEP));
 	if (loom_fetch_header(call->fetch, HEADER_LEAVING) != NULL)
 		loom_balance_note_leaving(
-		    balance_of(call), call->target_id, loom_now_us());
+		    service_balance(call), call->target_id, loom_now_us());
 }
 
 static void
@@ -109,19 +110,20 @@
 	struct call *call = arg;
 
 	(void)fetch;
-	learn(call);
+	read_peer_state(call);
 }
 
 static bool
-read_refusal(const struct call *call, struct loom_refusal *refusal)
+parse_refusal(const struct call *call, struct loom_refusal *refusal)
 {
 	return loom_refusal_parse((const char *)loom_buffer_peek(&call->answer),
 	    loom_buffer_length(&call->answer), refusal);
 }
 
-/* The leg broke: what may be said of the call. */
+/* Refuses the call, or retries it, after its leg failed without a refusal
+ * from the peer. */
 static void
-leg_failed(struct call *call, const struct loom_fetch_end *end)
+refuse_failed_leg(struct call *call, const struct loom_fetch_end *end)
 {
 	static const enum loom_failure failures[] = {
 		[LOOM_FETCH_WHOLE] = LOOM_FAILURE_CUT,
@@ -134,7 +136,7 @@
 		.failure = failures[end->result],
 		.sent = end->sent,
 		.repeatable = call->route->repeatable,
-		.ticketed = call->ticketed,
+		.ticketed = call->routed_by_ticket,
 	};
 	struct loom_refusal refusal;
 
@@ -154,23 +156,24 @@
 	refused = end->result == LOOM_FETCH_WHOLE &&
 	    loom_fetch_header(call->fetch, HEADER_CODE) != NULL;
 	if (end->result == LOOM_FETCH_WHOLE && !refused) {
-		note_done(call, LOOM_TARGET_OK);
+		record_leg_result(call, LOOM_TARGET_OK);
 		call->target_id = 0;
-		relay_answer_whole(call);
+		relay_answer_complete(call);
 		call->fetch = NULL;
 		return;
 	}
-	note_done(call, refused ? LOOM_TARGET_REFUSED : LOOM_TARGET_FAILED);
+	record_leg_result(
+	    call, refused ? LOOM_TARGET_REFUSED : LOOM_TARGET_FAILED);
 	call->target_id = 0;
 	call->fetch = NULL;
 	if (call->streaming) {
 		loom_counter_add(call->worker->daemon->counters.cut, 1);
 		loom_exchange_abort(call->x);
-	} else if (refused && read_refusal(call, &refusal)) {
-		call->relayed = true;
+	} else if (refused && parse_refusal(call, &refusal)) {
+		call->refusal_from_peer = true;
 		target_refused(call, &refusal);
 	} else {
-		leg_failed(call, end);
+		refuse_failed_leg(call, end);
 	}
 }
 
@@ -190,21 +193,21 @@
 		.method = loom_exchange_method(call->x),
 		.has_body = call->body_length != 0,
 		.body_length = call->body_length,
-		.expect = !call->body_whole,
+		.expect = !call->body_buffered,
 		.ops = &leg_ops,
 		.arg = call,
 	};
 
 	call->target_id = host->id;
 	call->leg_us = loom_now_us();
-	loom_balance_note_sent(balance_of(call), host->id, call->leg_us);
-	peer_context(call, context);
+	loom_balance_note_sent(service_balance(call), host->id, call->leg_us);
+	encode_peer_context(call, context);
 	header_list_init(&list);
 	headers_forward_request(call, &list);
 	header_list_add(&list, HEADER_CONTEXT, context);
 	if (headers_are_traced(call))
 		headers_add_trace(call, &list);
-	if (call->ticketed)
+	if (call->routed_by_ticket)
 		header_list_add(&list, HEADER_TICKET, call_ticket_text(call));
 	if (call->caller_service != NULL)
 		header_list_add(
@@ -218,23 +221,23 @@
 	call->fetch = loom_fetch_start(call->worker->fetcher, &request);
 	header_list_clear(&list);
 	if (call->fetch == NULL)
-		call_fail_code(call, LOOM_NO_MEMORY);
+		call_fail(call, LOOM_NO_MEMORY);
 }
 
 void
-target_go_to(struct call *call, uint64_t host_id)
+target_send_to(struct call *call, uint64_t host_id)
 {
 	const struct loom_host *host;
 	struct loom_refusal refusal;
 
-	call->relayed = false;
+	call->refusal_from_peer = false;
 	call->answer_kind = LOOM_ANSWER_RAN;
-	/* What our own book said of a ticket binds no other host: a refusal
-	 * from here on may not say not-run by it. */
-	call->ticket_begun = false;
+	/* What the local ticket records say does not hold for other hosts:
+	 * from here on they are no ground for a refusal to report NOT_RUN. */
+	call->ticket_checked = false;
 	loom_buffer_clear(&call->answer);
 	loom_buffer_rewind(&call->body);
-	if (call->ntried < CALL_TRIES_MAX)
+	if (call->ntried < CALL_ATTEMPTS_MAX)
 		call->tried[call->ntried++] = host_id;
 	if (host_id == call->worker->daemon->self.host_id) {
 		executor_start(call);
@@ -242,22 +245,23 @@
 	}
 	host = loom_hosts_find(call->worker->hosts, host_id);
 	if (host == NULL)
-		target_refused(call, target_none(&refusal));
+		target_refused(call, target_no_host(&refusal));
 	else
 		leg_start(call, host);
 }
 
 static uint64_t
-pick(struct call *call)
+pick_host(struct call *call)
 {
 	const struct loom_daemon *daemon = call->worker->daemon;
-	struct loom_balance *balance = balance_of(call);
+	struct loom_balance *balance = service_balance(call);
 
 	if (balance == NULL)
 		return 0;
 	probe_silent(call->worker, balance);
 	loom_balance_note_used(balance, daemon->self.host_id,
-	    loom_admission_used(daemon->admission) / USED_UNIT, loom_now_us());
+	    loom_admission_used(daemon->admission) / UTILIZATION_UNIT,
+	    loom_now_us());
 	return loom_balance_pick(
 	    balance, call->tried, call->ntried, loom_now_us());
 }
@@ -272,46 +276,47 @@
 	loom_retry_first_attempt(
 	    call->worker->daemon->retry, call->service->id, loom_now_us());
 	if (ticket != NULL) {
-		heirs_start(call, ticket);
+		ticket_route_start(call, ticket);
 		return;
 	}
-	host_id = pick(call);
+	host_id = pick_host(call);
 	if (host_id == 0)
-		call_refuse(call, target_none(&refusal));
+		call_refuse(call, target_no_host(&refusal));
 	else
-		target_go_to(call, host_id);
+		target_send_to(call, host_id);
 }
 
 void
-target_again(struct call *call)
+target_retry(struct call *call)
 {
-	uint64_t host_id = pick(call);
+	uint64_t host_id = pick_host(call);
 
 	if (host_id == 0)
-		again_give_up(call);
+		call_retry_refuse(call);
 	else
-		target_go_to(call, host_id);
+		target_send_to(call, host_id);
 }
 
 /*
- * The peer knew our context to be made for an older incarnation of it or an
- * older clock: it has told the newer one, nothing ran, and the context is
- * made anew for the same host.  Once for each host: a ticket that was handed
- * over meets two daemons that may both have started anew.
+ * The peer rejected the context because it was made for an earlier incarnation
+ * of the peer or from an old reading of its clock.  Its answer carries the
+ * current values (Loom-Clock), and nothing was executed, so the call is sent
+ * again to the same host with a new context.  This is done once per host: a
+ * ticket that was handed over may reach two daemons that were both restarted.
  */
 static bool
-resend_for_clock(struct call *call, const struct loom_refusal *refusal)
+resend_with_new_context(struct call *call, const struct loom_refusal *refusal)
 {
 	uint64_t host_id;
 
 	if (refusal->code != LOOM_CONTEXT_STALE || call->ntried == 0)
 		return false;
 	host_id = call->tried[call->ntried - 1];
-	if (host_id == call->clock_resent_id)
+	if (host_id == call->stale_resent_host_id)
 		return false;
-	call->clock_resent_id = host_id;
+	call->stale_resent_host_id = host_id;
 	call->ntried--;
-	target_go_to(call, host_id);
+	target_send_to(call, host_id);
 	return true;
 }
 
@@ -320,12 +325,12 @@
 {
 	struct loom_refusal lost = loom_refusal_of(LOOM_TICKET_LOST);
 
-	if (resend_for_clock(call, refusal))
+	if (resend_with_new_context(call, refusal))
 		return;
-	if (call->ticketed && heirs_try(call, refusal))
+	if (call->routed_by_ticket && ticket_route_try_next(call, refusal))
 		return;
-	if (call->ticketed && heirs_lost(refusal))
+	if (call->routed_by_ticket && ticket_route_is_unresolved(refusal))
 		refusal = &lost;
-	if (!again_ask(call, refusal))
-		again_give_up(call);
+	if (!call_retry_request(call, refusal))
+		call_retry_refuse(call);
 }
--- a/src/daemon/ticketed.c
+++ b/src/daemon/ticketed.c
@@ -1,9 +1,9 @@
 /*
  * Tickets at their executor.
  *
- * A run goes on when its caller goes away: the caller may come back with the
- * same ticket and then gets the answer, where a cancelled run would leave it
- * with an outcome that nobody knows.
+ * A run continues after its caller has disconnected: the caller may return
+ * with the same ticket and then receives the answer.  A cancelled run would
+ * leave the ticket with an unknown outcome.
  */
 
 #include <string.h>
@@ -12,7 +12,7 @@
 #include "daemon/issue.h"
 #include "daemon/ticketed.h"
 
-/* No ticket came: nothing runs, and a fresh one goes with the refusal. */
+/* Refuses a request without a ticket; the refusal carries a new one. */
 static void
 refuse_with_ticket(struct call *call)
 {
@@ -30,7 +30,7 @@
 }
 
 static void
-add_kept_header(struct header_list *list, char *line)
+add_stored_header(struct header_list *list, char *line)
 {
 	char *colon = strstr(line, ": ");
 
@@ -41,9 +41,9 @@
 	    list, g_string_chunk_insert(list->values, line), colon + 2);
 }
 
-/* Give a kept answer. */
+/* Sends an answer that was stored with the ticket. */
 static void
-give(struct call *call, const struct loom_answer *answer)
+answer_from_stored(struct call *call, const struct loom_answer *answer)
 {
 	char *head = g_strndup(answer->head, answer->head_bytes);
 	char **lines = g_strsplit(head, "\r\n", -1);
@@ -52,8 +52,8 @@
 
 	header_list_init(&list);
 	for (line = lines; *line != NULL; line++)
-		add_kept_header(&list, *line);
-	headers_add_own(call, &list);
+		add_stored_header(&list, *line);
+	headers_add_hop(call, &list);
 	call->span.status = answer->status;
 	loom_counter_add(call->worker->daemon->counters.answered, 1);
 	loom_exchange_answer(call->x, answer->status, header_list_items(&list),
@@ -64,8 +64,8 @@
 }
 
 static void
-refuse_as(struct call *call, enum loom_result code, enum loom_outcome outcome,
-    uint64_t heir_host_id)
+refuse_final(struct call *call, enum loom_result code,
+    enum loom_outcome outcome, uint64_t heir_host_id)
 {
 	struct loom_refusal refusal = loom_refusal_of(code);
 
@@ -75,29 +75,30 @@
 	executor_refuse(call, &refusal);
 }
 
-/* The run that this call waited for has ended; on the call's worker. */
+/* Runs on the call's worker after the run that the call waited for has
+ * ended. */
 static void
-attached_done(void *arg)
+on_attached_run_end(void *arg)
 {
 	struct call *call = arg;
 
 	call->attached = false;
-	if (!call->over) {
+	if (!call->exchange_ended) {
 		if (call->attached_answer != NULL)
-			give(call, call->attached_answer);
+			answer_from_stored(call, call->attached_answer);
 		else
-			refuse_as(call, call->attached_code,
+			refuse_final(call, call->attached_code,
 			    call->attached_outcome, 0);
 	}
 	loom_answer_release(call->attached_answer);
 	call->attached_answer = NULL;
-	call_drop(call);
+	call_unref(call);
 }
 
-/* The same, on the thread that ended the run. */
+/* Runs on the thread on which that run ended; posts to the call's worker. */
 static void
-attached_told(void *arg, enum loom_result code, enum loom_outcome outcome,
-    struct loom_answer *answer)
+on_run_end_any_thread(void *arg, enum loom_result code,
+    enum loom_outcome outcome, struct loom_answer *answer)
 {
 	struct call *call = arg;
 
@@ -105,25 +106,25 @@
 	call->attached_outcome = outcome;
 	if (answer != NULL)
 		call->attached_answer = loom_answer_acquire(answer);
-	loom_mailbox_post(call->worker->mailbox, attached_done, call);
+	loom_mailbox_post(call->worker->mailbox, on_attached_run_end, call);
 }
 
 void
-ticketed_leave(struct call *call)
+call_ticket_detach(struct call *call)
 {
 	if (!call->attached)
 		return;
 	call->attached = false;
 	if (loom_tickets_detach(call->worker->daemon->tickets, &call->ticket,
 		&call->ticket_waiter))
-		call_drop(call);
+		call_unref(call);
 }
 
 static void
-begin(struct call *call, struct loom_ticket_begin *begun)
+look_up_ticket(struct call *call, struct loom_ticket_begin *lookup)
 {
 	struct loom_request_digest digest;
-	bool has_body = call->body_whole;
+	bool has_body = call->body_buffered;
 
 	loom_request_digest(&digest, loom_exchange_method(call->x),
 	    loom_exchange_target(call->x),
@@ -131,26 +132,26 @@
 	    loom_buffer_peek(&call->body), loom_buffer_length(&call->body));
 	digest.has_body = has_body;
 	call->ticket_waiter = (struct loom_ticket_waiter){
-		.done = attached_told,
+		.done = on_run_end_any_thread,
 		.arg = call,
 	};
-	call->ticket_begun = true;
-	call_hold(call);
+	call->ticket_checked = true;
+	call_ref(call);
 	call->attached = true;
 	loom_tickets_begin(call->worker->daemon->tickets, &call->ticket,
 	    call->context.team_id, call->route->id, &digest,
-	    &call->ticket_waiter, begun);
-	if (begun->verdict == LOOM_TICKET_VERDICT_ATTACHED)
+	    &call->ticket_waiter, lookup);
+	if (lookup->verdict == LOOM_TICKET_VERDICT_ATTACHED)
 		return;
 	call->attached = false;
-	call_drop(call);
+	call_unref(call);
 }
 
 bool
-ticketed_begin(struct call *call)
+call_ticket_begin(struct call *call)
 {
 	const char *text = call_ticket_text(call);
-	struct loom_ticket_begin begun = { .run = NULL };
+	struct loom_ticket_begin lookup = { .run = NULL };
 
 	if (call->issue_count > 0) {
 		issue_answer(call);
@@ -166,26 +167,27 @@
 		executor_refuse_code(call, LOOM_TICKET_INVALID, 0);
 		return false;
 	}
-	begin(call, &begun);
-	switch (begun.verdict) {
+	look_up_ticket(call, &lookup);
+	switch (lookup.verdict) {
 	case LOOM_TICKET_VERDICT_RUN:
-		call->run = begun.run;
+		call->ticket_run = lookup.run;
 		return true;
 	case LOOM_TICKET_VERDICT_ATTACHED:
 		break;
 	case LOOM_TICKET_VERDICT_ANSWER:
-		give(call, begun.answer);
-		loom_answer_release(begun.answer);
+		answer_from_stored(call, lookup.answer);
+		loom_answer_release(lookup.answer);
 		break;
 	case LOOM_TICKET_VERDICT_REFUSED:
-		refuse_as(call, begun.code, begun.outcome, begun.heir_host_id);
+		refuse_final(
+		    call, lookup.code, lookup.outcome, lookup.heir_host_id);
 		break;
 	}
 	return false;
 }
 
 static struct loom_answer *
-make_answer(const struct call *call)
+copy_answer(const struct call *call)
 {
 	GString *head = g_string_new(NULL);
 	const struct loom_header *items;
@@ -208,30 +210,30 @@
 }
 
 void
-ticketed_ran(struct call *call)
+call_ticket_store_answer(struct call *call)
 {
 	struct loom_answer *answer = NULL;
 
-	if (call->run == NULL)
+	if (call->ticket_run == NULL)
 		return;
-	if (!call->streaming && !call->answer_lost)
-		answer = make_answer(call);
-	loom_tickets_finish(call->worker->daemon->tickets, call->run,
+	if (!call->streaming && !call->answer_too_long)
+		answer = copy_answer(call);
+	loom_tickets_finish(call->worker->daemon->tickets, call->ticket_run,
 	    LOOM_OUTCOME_RAN, LOOM_OK, answer);
-	call->run = NULL;
+	call->ticket_run = NULL;
 	loom_answer_release(answer);
 }
 
 void
-ticketed_settle(
+call_ticket_settle(
     struct call *call, enum loom_result code, enum loom_outcome outcome)
 {
 	struct loom_tickets *tickets = call->worker->daemon->tickets;
-	struct loom_ticket_run *run = call->run;
+	struct loom_ticket_run *run = call->ticket_run;
 
 	if (run == NULL)
 		return;
-	call->run = NULL;
+	call->ticket_run = NULL;
 	if (outcome == LOOM_OUTCOME_NOT_RUN)
 		loom_tickets_abandon(tickets, run, code);
 	else
--- a/src/daemon/ticketed.h
+++ b/src/daemon/ticketed.h
@@ -2,25 +2,29 @@
 #define LOOM_DAEMON_TICKETED_H
 
 /*
- * Calls of routes that may not be repeated, at their executor.
+ * Handles tickets of non-idempotent routes, at their executor.
  */
 
 #include "daemon/call.h"
 
 /*
- * First of all at the executor.  True: go on with admission (no ticket is
- * needed, or it may run now).  False: the call is dealt with.
+ * Called before admission at the executor.  Returns true if the call may
+ * continue to admission: it needs no ticket, or its ticket may run now.
+ * Otherwise the call has been answered, refused or attached to a run in
+ * progress.
  */
-bool ticketed_begin(struct call *);
+bool call_ticket_begin(struct call *);
 
-/* The upstream's answer is whole: keep it with the ticket. */
-void ticketed_ran(struct call *);
+/* Stores the upstream's complete answer with the ticket. */
+void call_ticket_store_answer(struct call *);
 
-/* The run ended in a refusal; nothing happens without a run. */
-void ticketed_settle(
+/* Records that the ticket's run ended in a refusal.  Does nothing if the
+ * call has no run. */
+void call_ticket_settle(
     struct call *, enum loom_result code, enum loom_outcome outcome);
 
-/* The caller went away while it waited for another arrival's run. */
-void ticketed_leave(struct call *);
+/* Cancels the wait for a run that another request with the same ticket
+ * started. */
+void call_ticket_detach(struct call *);
 
 #endif
--- a/src/daemon/upstream.c
+++ b/src/daemon/upstream.c
@@ -1,9 +1,9 @@
 /*
- * The leg to the own upstream: from a place inside admission to the answer.
+ * The leg to the local upstream, from the granted slot to the answer.
  *
- * The last things before a byte is sent, in this order: the body's first
- * bytes are there (they are part of the fingerprint), the quarantine lets the
- * request run, the call stands among the live ones, and its key is still
+ * Before any data is sent, in this order: the first bytes of the body have
+ * arrived, since they are part of the fingerprint; the quarantine lets the
+ * request run; the call is registered in daemon->calls; and its key is still
  * granted.
  */
 
@@ -20,29 +20,36 @@
 #include "daemon/witness.h"
 #include "loom/log.h"
 
-/* How soon a call that the quarantine holds asks again.  Only suspects wait
- * so, one at a time; a finer step would gain them nothing. */
-#define HOLD_RETRY_US 5000
+/*
+ * Interval at which a call that is held by the quarantine checks again.  Only
+ * suspects are held, and they run one at a time, so a shorter interval would
+ * gain nothing.
+ */
+#define QUARANTINE_POLL_US 5000
 
-/* By then the gate for a suspect has closed (src/decide/suspects.c). */
-#define HOLD_RETRY_AFTER_US (1 * LOOM_US_PER_S)
+/* By then the period in which a suspect may run has ended
+ * (src/decide/suspects.c). */
+#define SUSPECT_RETRY_AFTER_US (1 * LOOM_US_PER_S)
 
-/* The upstream is on this host: the kernel knows at once. */
-#define GONE_WAIT_MS 5
+/* Upper limit of the wait for a connection result.  The upstream is on this
+ * host, so the kernel normally knows the result at once. */
+#define CONNECT_CHECK_TIMEOUT_MS 5
 
-/* A process that ends closes its connections one after another: the witnesses
- * may outlive the broken call by as much as this. */
-#define VERDICT_US 5000
+/* A process that exits closes its connections one after another: the
+ * witness connections may close this much later than that of the failed
+ * call. */
+#define CRASH_CHECK_DELAY_US 5000
 
 /*
- * An answer of failure says nothing about how long the upstream's work takes:
- * one whose deeper call was refused fails in a third of the time.  Taken
- * for a measurement it lowers the floor, all that works again after it looks
- * slow, and the limit fell from 104 to 4 of 225 and stayed there for ten
- * seconds after a deep service's fault.
+ * An error answer says nothing about the service time of the upstream: a
+ * request whose nested call was refused fails in a third of the usual time.
+ * When such answers were counted as latency samples they lowered the estimate
+ * of the minimum latency, so that all successful requests looked slow
+ * afterwards; the limit fell from 104 to 4 of 225 slots and stayed there for
+ * ten seconds after a fault of a nested service.
  */
 static enum loom_call_end
-end_of(const struct call *call)
+classify_status(const struct call *call)
 {
 	uint16_t status = loom_fetch_status(call->fetch);
 
@@ -62,40 +69,41 @@
 }
 
 void
-upstream_leave(struct call *call)
+upstream_release(struct call *call)
 {
-	bool sent = call->broke ||
+	bool sent = call->awaits_crash_check ||
 	    (call->fetch != NULL && loom_fetch_sent(call->fetch));
 
 	leave_quarantine(
 	    call, sent ? LOOM_QUARANTINE_BROKEN : LOOM_QUARANTINE_NOT_SENT);
-	TALLOC_FREE(call->hold_timer);
-	if (!call->live)
+	TALLOC_FREE(call->upstream_timer);
+	if (!call->registered)
 		return;
-	call->live = false;
+	call->registered = false;
 	call->deeper_us = loom_calls_deeper_us(
-	    call->worker->daemon->calls, &call->live_id, loom_now_us());
-	loom_calls_end(call->worker->daemon->calls, &call->live_id);
+	    call->worker->daemon->calls, &call->registered_id, loom_now_us());
+	loom_calls_end(call->worker->daemon->calls, &call->registered_id);
 }
 
-/* Some kernels answer a connect on this host only after the call returned:
- * its outcome is waited for, far longer than it takes. */
+/* Some kernels complete a non-blocking connect to a local port only after
+ * the call has returned.  The result is awaited much longer than it takes. */
 static bool
-is_refused(int fd)
+connect_was_refused(int fd)
 {
 	struct pollfd poll_fd = { .fd = fd, .events = POLLOUT };
 	socklen_t size = sizeof(int);
 	int cause = 0;
 
-	return poll(&poll_fd, 1, GONE_WAIT_MS) > 0 &&
+	return poll(&poll_fd, 1, CONNECT_CHECK_TIMEOUT_MS) > 0 &&
 	    getsockopt(fd, SOL_SOCKET, SO_ERROR, &cause, &size) == 0 &&
 	    cause == ECONNREFUSED;
 }
 
 /*
- * A connection broke while a call ran.  When a new one is refused the
- * upstream is gone and not just done with one connection; one that is back
- * already has lost its witnesses.
+ * Checks, after a connection failed during a call, whether the upstream as a
+ * whole is gone: a new connection is then refused.  An upstream that is
+ * already back accepts it, and is recognized by its closed witness connections
+ * instead (on_crash_check()).
  */
 static bool
 refuses_connections(const struct loom_daemon *daemon)
@@ -108,21 +116,21 @@
 		return false;
 	if (connect(fd, (struct sockaddr *)&address, sizeof(address)) != 0)
 		refused = errno == ECONNREFUSED ||
-		    (errno == EINPROGRESS && is_refused(fd));
+		    (errno == EINPROGRESS && connect_was_refused(fd));
 	close(fd);
 	return refused;
 }
 
-/* A call whose connection broke is told apart from one that got none: only
- * what ran can have brought the upstream down. */
+/* A call that was sent is treated differently from one that got no
+ * connection: only a request that ran can have crashed the upstream. */
 static void
-note_crash(struct call *call, bool sent)
+report_crash(struct call *call, bool sent)
 {
 	struct loom_daemon *daemon = call->worker->daemon;
 	uint64_t now_us = loom_now_us();
 
 	loom_log(LOOM_LOG_WARN, "upstream", LOOM_UPSTREAM_CUT,
-	    "the upstream is gone while calls run");
+	    "the upstream refuses connections while calls are in flight");
 	if (sent && call->quarantine != NULL)
 		loom_quarantine_crashed(
 		    daemon->quarantine, call->quarantine, now_us);
@@ -133,14 +141,15 @@
 }
 
 static void
-failed(struct call *call, const struct loom_fetch_end *end, bool crashed)
+refuse_failed_leg(
+    struct call *call, const struct loom_fetch_end *end, bool crashed)
 {
 	struct loom_failure_facts facts = {
 		.leg = LOOM_LEG_UPSTREAM,
 		.failure = LOOM_FAILURE_CUT,
 		.sent = end->sent,
 		.repeatable = call->route->repeatable,
-		.ticketed = call->run != NULL,
+		.ticketed = call->ticket_run != NULL,
 	};
 	struct loom_refusal refusal;
 
@@ -157,23 +166,24 @@
 }
 
 static void
-leg_whole(struct call *call)
+leg_completed(struct call *call)
 {
 	leave_quarantine(call, LOOM_QUARANTINE_ANSWERED);
-	ticketed_ran(call);
-	executor_leave(call, end_of(call));
-	if (!call->over)
-		relay_answer_whole(call);
+	call_ticket_store_answer(call);
+	executor_release(call, classify_status(call));
+	if (!call->exchange_ended)
+		relay_answer_complete(call);
 	call->fetch = NULL;
 }
 
-/* The upstream turned the call away, and says that it did not run. */
+/* Handles an answer by which the upstream rejected the call without running
+ * it. */
 static void
-leg_turned_away(struct call *call)
+leg_shed(struct call *call)
 {
 	leave_quarantine(call, LOOM_QUARANTINE_ANSWERED);
 	call->fetch = NULL;
-	executor_leave(call, LOOM_CALL_OVERLOAD);
+	executor_release(call, LOOM_CALL_OVERLOAD);
 	executor_refuse_code(call, LOOM_UPSTREAM_SHED, 0);
 }
 
@@ -181,33 +191,35 @@
 leg_broken(struct call *call, const struct loom_fetch_end *end, bool crashed)
 {
 	if (crashed)
-		note_crash(call, end->sent);
+		report_crash(call, end->sent);
 	leave_quarantine(call,
 	    end->sent ? LOOM_QUARANTINE_BROKEN : LOOM_QUARANTINE_NOT_SENT);
 	call->fetch = NULL;
-	executor_leave(call, LOOM_CALL_FAILED);
-	if (!call->over && call->streaming) {
-		ticketed_settle(call, LOOM_UPSTREAM_CUT, LOOM_OUTCOME_UNKNOWN);
+	executor_release(call, LOOM_CALL_FAILED);
+	if (!call->exchange_ended && call->streaming) {
+		call_ticket_settle(
+		    call, LOOM_UPSTREAM_CUT, LOOM_OUTCOME_UNKNOWN);
 		loom_counter_add(call->worker->daemon->counters.cut, 1);
 		loom_exchange_abort(call->x);
 	} else {
-		failed(call, end, crashed);
+		refuse_failed_leg(call, end, crashed);
 	}
 }
 
-/* The leg is over, and with it a run that outlived its caller. */
+/* Drops the references of a leg that has ended, and of a run that outlived
+ * its caller. */
 static void
-leg_over(struct call *call)
+finish_leg(struct call *call)
 {
 	if (call->detached) {
 		call->detached = false;
-		call_drop(call);
+		call_unref(call);
 	}
-	call_drop(call);
+	call_unref(call);
 }
 
 static void
-on_verdict(struct tevent_context *ev, struct tevent_timer *timer,
+on_crash_check(struct tevent_context *ev, struct tevent_timer *timer,
     struct timeval now, void *arg)
 {
 	struct call *call = arg;
@@ -218,30 +230,32 @@
 	(void)ev;
 	(void)timer;
 	(void)now;
-	call->hold_timer = NULL;
-	call_hold(call);
+	call->upstream_timer = NULL;
+	call_ref(call);
 	if (crashed)
 		loom_quarantine_back_at_once(daemon->quarantine, now_us);
-	leg_broken(call, &call->broken_end, crashed);
-	call->broke = false;
-	leg_over(call);
+	leg_broken(call, &call->broken_leg_end, crashed);
+	call->awaits_crash_check = false;
+	finish_leg(call);
 }
 
 /*
- * The refusal waits for the verdict, since one that is not final would be
- * retried, and take the culprit to the next host.
+ * Delays the refusal until the crash check.  A refusal that is not final would
+ * be retried, and a request that crashes upstreams would be sent to the next
+ * host.
  */
 static bool
-wait_for_verdict(struct call *call, const struct loom_fetch_end *end)
+defer_crash_check(struct call *call, const struct loom_fetch_end *end)
 {
-	call->hold_timer = tevent_add_timer(call->worker->ev, call,
-	    tevent_timeval_current_ofs(0, VERDICT_US), on_verdict, call);
-	if (call->hold_timer == NULL)
+	call->upstream_timer = tevent_add_timer(call->worker->ev, call,
+	    tevent_timeval_current_ofs(0, CRASH_CHECK_DELAY_US), on_crash_check,
+	    call);
+	if (call->upstream_timer == NULL)
 		return false;
 	call->fetch = NULL;
 	call->sent = true;
-	call->broke = true;
-	call->broken_end = *end;
+	call->awaits_crash_check = true;
+	call->broken_leg_end = *end;
 	return true;
 }
 
@@ -249,30 +263,30 @@
 leg_done(void *arg, const struct loom_fetch_end *end)
 {
 	struct call *call = arg;
-	bool gone;
+	bool upstream_gone;
 
 	call->span.leg_us += loom_now_us() - call->leg_us;
-	call_hold(call);
-	gone = end->result != LOOM_FETCH_WHOLE &&
+	call_ref(call);
+	upstream_gone = end->result != LOOM_FETCH_WHOLE &&
 	    end->result != LOOM_FETCH_TIMEOUT &&
 	    refuses_connections(call->worker->daemon);
 	if (end->result == LOOM_FETCH_WHOLE &&
 	    call->answer_kind == LOOM_ANSWER_NOT_RUN) {
-		leg_turned_away(call);
+		leg_shed(call);
 	} else if (end->result == LOOM_FETCH_WHOLE) {
-		leg_whole(call);
-	} else if (end->result == LOOM_FETCH_CUT && !gone &&
+		leg_completed(call);
+	} else if (end->result == LOOM_FETCH_CUT && !upstream_gone &&
 	    call->worker->daemon->witnesses != NULL &&
-	    wait_for_verdict(call, end)) {
-		call_drop(call);
+	    defer_crash_check(call, end)) {
+		call_unref(call);
 		return;
 	} else {
-		leg_broken(call, end, gone);
+		leg_broken(call, end, upstream_gone);
 	}
-	leg_over(call);
+	finish_leg(call);
 }
 
-/* The answer's kind is known before its first byte goes on. */
+/* Classifies the answer before any of its body is forwarded. */
 static void
 leg_headers(void *arg, struct loom_fetch *fetch)
 {
@@ -283,8 +297,9 @@
 		return;
 	call->answer_kind = dialect->judge(
 	    fetch, loom_exchange_header(call->x, dialect->request_id_header));
-	/* An answer too many came before, and this request's own may follow:
-	 * on this connection no answer can be told from another any more. */
+	/* The upstream sent a surplus answer, and the one to this request
+	 * may still follow: answers on this connection can no longer be
+	 * matched to requests. */
 	if (call->answer_kind == LOOM_ANSWER_FOREIGN)
 		loom_fetch_reject(fetch);
 }
@@ -296,9 +311,10 @@
 	.done = leg_done,
 };
 
-/* The context that the upstream hands back with its deeper calls. */
+/* Registers the call and encodes the context that the upstream returns with
+ * its nested calls. */
 static void
-make_context(
+register_context(
     struct call *call, uint64_t now_us, char text[LOOM_CONTEXT_TEXT_MAX])
 {
 	const struct loom_daemon *daemon = call->worker->daemon;
@@ -309,8 +325,9 @@
 	struct loom_context *context = &live.context;
 
 	context->kind = LOOM_CONTEXT_UPSTREAM;
-	loom_random_bytes(call->live_id.bytes, sizeof(call->live_id.bytes));
-	context->call = call->live_id;
+	loom_random_bytes(
+	    call->registered_id.bytes, sizeof(call->registered_id.bytes));
+	context->call = call->registered_id;
 	if (call->origin != CALL_ORIGIN_PEER)
 		context->hops++;
 	context->remaining_us = call_remaining_us(call, now_us);
@@ -320,7 +337,7 @@
 	context->issuer_host_id = daemon->self.host_id;
 	context->issuer_incarnation = daemon->self.incarnation;
 	loom_calls_begin(daemon->calls, &live);
-	call->live = true;
+	call->registered = true;
 	loom_context_encode(
 	    context, &daemon->context_key, text, LOOM_CONTEXT_TEXT_MAX);
 }
@@ -330,7 +347,7 @@
 {
 	char context[LOOM_CONTEXT_TEXT_MAX];
 
-	make_context(call, call->leg_us, context);
+	register_context(call, call->leg_us, context);
 	header_list_add(list, HEADER_CONTEXT, context);
 }
 
@@ -340,7 +357,8 @@
 	header_list_add(arg, name, value);
 }
 
-/* This start of the own upstream, as the platform lists it; "" if unknown. */
+/* The platform's id of the running instance of the local upstream; "" if
+ * unknown. */
 static const char *
 own_instance(const struct worker *worker)
 {
@@ -382,12 +400,13 @@
 }
 
 /*
- * The key is looked up once more, in the worker's newest manifest, right before
- * the first byte: a call may have waited here for long.  A withdrawal after it
- * finds the call on the worker's list and cuts it (calls_recheck_keys()).
+ * Checks the key again in the worker's newest manifest, immediately before
+ * data is sent, since the call may have been queued for long.  After a later
+ * withdrawal calls_recheck_keys() finds the call in the worker's list and
+ * fails it.
  */
 static bool
-still_granted(const struct call *call)
+key_still_granted(const struct call *call)
 {
 	return auth_key_granted(call->worker->manifest, &call->context);
 }
@@ -413,16 +432,16 @@
 	request.timeout_us = call_remaining_us(call, call->leg_us);
 	request.idle_ms = call->worker->daemon->settings.upstream_idle_ms;
 	call->answer_kind = LOOM_ANSWER_RAN;
-	if (still_granted(call))
+	if (key_still_granted(call))
 		call->fetch = loom_fetch_start(call->worker->fetcher, &request);
 	header_list_clear(&list);
 	if (call->fetch != NULL) {
 		loom_counter_add(call->worker->daemon->counters.executed, 1);
 		return;
 	}
-	executor_leave(call, LOOM_CALL_FAILED);
-	executor_refuse_code(
-	    call, still_granted(call) ? LOOM_NO_MEMORY : LOOM_KEY_WITHDRAWN, 0);
+	executor_release(call, LOOM_CALL_FAILED);
+	executor_refuse_code(call,
+	    key_still_granted(call) ? LOOM_NO_MEMORY : LOOM_KEY_WITHDRAWN, 0);
 }
 
 static void
@@ -439,7 +458,7 @@
 }
 
 static void
-on_hold_over(struct tevent_context *ev, struct tevent_timer *timer,
+on_hold_timer(struct tevent_context *ev, struct tevent_timer *timer,
     struct timeval now, void *arg)
 {
 	struct call *call = arg;
@@ -447,38 +466,41 @@
 	(void)ev;
 	(void)timer;
 	(void)now;
-	call->hold_timer = NULL;
+	call->upstream_timer = NULL;
 	upstream_start(call);
 }
 
-/* The caller is told when it ends: it is known to the microsecond. */
+/* The refusal tells the caller when the quarantine ends, which is known to
+ * the microsecond. */
 static void
-refuse_for_crashes(struct call *call, enum loom_result code,
+refuse_quarantined(struct call *call, enum loom_result code,
     const struct loom_fingerprint *print, uint64_t now_us)
 {
 	uint64_t wait_us = loom_quarantine_wait_us(
 	    call->worker->daemon->quarantine, print, now_us);
 
-	executor_leave(call, LOOM_CALL_FAILED);
+	executor_release(call, LOOM_CALL_FAILED);
 	executor_refuse_code(call, code, wait_us);
 }
 
 /*
- * A call that cannot end in time once it is let go has been given up on: it
- * would keep its slot until its deadline, and its caller from asking again.
+ * Holds a suspect and checks again after QUARANTINE_POLL_US.  A call that
+ * could no longer finish by its deadline if it were released then is refused
+ * now: it would occupy its slot until the deadline and keep its caller from
+ * trying again.
  */
 static void
-hold(struct call *call, uint64_t now_us)
+hold_suspect(struct call *call, uint64_t now_us)
 {
 	if (loom_admission_fits(call->worker->daemon->admission, &call->waiting,
-		now_us + HOLD_RETRY_US)) {
-		call->hold_timer = tevent_add_timer(call->worker->ev, call,
-		    tevent_timeval_current_ofs(0, HOLD_RETRY_US), on_hold_over,
-		    call);
+		now_us + QUARANTINE_POLL_US)) {
+		call->upstream_timer = tevent_add_timer(call->worker->ev, call,
+		    tevent_timeval_current_ofs(0, QUARANTINE_POLL_US),
+		    on_hold_timer, call);
 		return;
 	}
-	executor_leave(call, LOOM_CALL_FAILED);
-	executor_refuse_code(call, LOOM_QUEUE_DEADLINE, HOLD_RETRY_AFTER_US);
+	executor_release(call, LOOM_CALL_FAILED);
+	executor_refuse_code(call, LOOM_QUEUE_DEADLINE, SUSPECT_RETRY_AFTER_US);
 }
 
 static void
@@ -495,21 +517,21 @@
 		send_request(call);
 		break;
 	case LOOM_QUARANTINE_HOLD:
-		hold(call, now_us);
+		hold_suspect(call, now_us);
 		break;
 	case LOOM_QUARANTINE_LATER:
-		refuse_for_crashes(call, LOOM_SUSPECT, &print, now_us);
+		refuse_quarantined(call, LOOM_SUSPECT, &print, now_us);
 		break;
 	case LOOM_QUARANTINE_REFUSE:
-		refuse_for_crashes(call, LOOM_QUARANTINED, &print, now_us);
+		refuse_quarantined(call, LOOM_QUARANTINED, &print, now_us);
 		break;
 	}
 }
 
 static bool
-has_prefix(const struct call *call)
+has_body_prefix(const struct call *call)
 {
-	return call->body_whole || call->body_ended ||
+	return call->body_buffered || call->body_ended ||
 	    loom_buffer_length(&call->body) >= LOOM_FINGERPRINT_PREFIX_BYTES;
 }
 
@@ -517,20 +539,20 @@
 upstream_start(struct call *call)
 {
 	if (call_remaining_us(call, loom_now_us()) == 0) {
-		executor_leave(call, LOOM_CALL_FAILED);
+		executor_release(call, LOOM_CALL_FAILED);
 		executor_refuse_code(call, LOOM_LATE, 0);
-	} else if (!has_prefix(call)) {
-		call->wants_prefix = true;
+	} else if (!has_body_prefix(call)) {
+		call->awaits_body_prefix = true;
 		loom_exchange_take_body(call->x);
 	} else {
-		call->wants_prefix = false;
+		call->awaits_body_prefix = false;
 		enter_quarantine(call);
 	}
 }
 
 void
-upstream_body_came(struct call *call)
+upstream_body_progress(struct call *call)
 {
-	if (call->wants_prefix && has_prefix(call))
+	if (call->awaits_body_prefix && has_body_prefix(call))
 		upstream_start(call);
 }
