--- a/src/daemon/call.h
+++ b/src/daemon/call.h
@@ -199,31 +199,28 @@
 void entry_peer_request(struct worker *, struct loom_exchange *);
 void entry_ready_request(struct worker *, struct loom_exchange *);
 
-/* Implemented in call.c.  Cancels the leg, if any, and refuses the request.
- * The refusal's outcome depends on whether data was sent. */
+/* call.c */
+/* Cancels the leg, if any, and refuses the request.  The refusal's outcome
+ * depends on whether data was sent. */
 void call_fail(struct call *, enum loom_result);
-/* Implemented in call.c.  Called when a body that is buffered completely
- * has arrived. */
+/* Called when a body that is buffered completely has arrived. */
 void call_body_complete(struct call *);
-/* Implemented in call.c.  Starts an accepted call: reads the body if it is
- * to be buffered, then goes on to the target or to the executor. */
+/* Starts an accepted call: reads the body if it is to be buffered, then
+ * goes on to the target or to the executor. */
 void call_start(struct call *);
 
-/* Implemented in target.c.  Chooses a host and sends the call to it. */
+/* target.c */
+/* Chooses a host and sends the call to it. */
 void target_start(struct call *);
-/* Implemented in target.c.  Sends the call to another host after a retry
- * was granted. */
+/* Sends the call to another host after a retry was granted. */
 void target_retry(struct call *);
-/* Implemented in target.c.  Sends the call to a host, which may be this one. */
+/* Sends the call to a host, which may be this one. */
 void target_send_to(struct call *, uint64_t host_id);
-/* Implemented in target.c.  Fills in the refusal for the case that no host
- * is known. */
+/* Fills in the refusal for the case that no host is known. */
 const struct loom_refusal *target_no_host(struct loom_refusal *);
-/* Implemented in target.c.  Handles a refusal or failure of a host or of
- * the local executor. */
+/* Handles a refusal or failure of a host or of the local executor. */
 void target_refused(struct call *, const struct loom_refusal *);
-/* Implemented in target.c.  Cancels the leg to a peer, or the wait for a
- * handover of tickets. */
+/* Cancels the leg to a peer, or the wait for a handover of tickets. */
 void target_cancel(struct call *);
 
 /* executor.c */
@@ -242,7 +239,8 @@
  * other workers. */
 void executor_moved(struct loom_moved *);
 
-/* Implemented in upstream.c.  Starts the leg of a call that holds a slot. */
+/* upstream.c */
+/* Starts the leg of a call that holds a slot. */
 void upstream_start(struct call *);
 /* Called when more of the body has arrived, or its end. */
 void upstream_body_progress(struct call *);
@@ -251,8 +249,10 @@
 void upstream_release(struct call *);
 
 /* relay.c */
+/* Takes body data from the exchange; returns how much it accepted. */
 size_t relay_take_body(struct call *, const uint8_t *data, size_t len);
 void relay_body_end(struct call *);
+/* Callbacks of a leg (struct loom_fetch_ops). */
 size_t relay_read_body(void *arg, uint8_t *buf, size_t max, bool *end);
 bool relay_data(void *arg, const uint8_t *data, size_t len);
 /* Starts to stream the answer, with the part that is buffered. */
--- a/src/daemon/cuts.c
+++ b/src/daemon/cuts.c
@@ -12,12 +12,12 @@
 #include "daemon/cuts.h"
 
 static void
-append_threshold(GString *text, uint64_t service_id, uint16_t cut)
+append_threshold(GString *text, uint64_t service_id, uint16_t threshold)
 {
-	if (cut >= LOOM_CUT_NONE)
+	if (threshold >= LOOM_CUT_NONE)
 		return;
 	g_string_append_printf(text, "%s%" G_GINT64_MODIFIER "x:%x",
-	    text->len > 0 ? "," : "", service_id, (unsigned)cut);
+	    text->len > 0 ? "," : "", service_id, (unsigned)threshold);
 }
 
 char *
--- a/src/daemon/executor.c
+++ b/src/daemon/executor.c
@@ -220,10 +220,10 @@
 on_refused(void *arg)
 {
 	struct call *call = arg;
-	bool waiting = call->admission == CALL_ADMISSION_QUEUED;
+	bool queued = call->admission == CALL_ADMISSION_QUEUED;
 
 	call->admission = CALL_ADMISSION_NONE;
-	if (!call->exchange_ended && waiting)
+	if (!call->exchange_ended && queued)
 		executor_refuse_code(
 		    call, call->waiting.code, call->waiting.retry_after_us);
 	call_unref(call);
--- a/src/daemon/headers.c
+++ b/src/daemon/headers.c
@@ -201,7 +201,7 @@
 {
 	struct worker *worker = call->worker;
 	char trace_id[33];
-	char *cuts, *keep;
+	char *thresholds, *shares;
 	char used[16];
 
 	if (call->origin != CALL_ORIGIN_PEER) {
@@ -210,17 +210,17 @@
 		return;
 	}
 	add_clock(call, list);
-	cuts = shed_thresholds_format(call);
-	if (cuts != NULL)
-		header_list_add(list, HEADER_CUT, cuts);
-	g_free(cuts);
+	thresholds = shed_thresholds_format(call);
+	if (thresholds != NULL)
+		header_list_add(list, HEADER_CUT, thresholds);
+	g_free(thresholds);
 	g_snprintf(used, sizeof(used), "%x",
 	    loom_admission_used(worker->daemon->admission));
 	header_list_add(list, HEADER_USED, used);
-	keep = throttle_format(call);
-	if (keep != NULL)
-		header_list_add(list, HEADER_KEEP, keep);
-	g_free(keep);
+	shares = throttle_format(call);
+	if (shares != NULL)
+		header_list_add(list, HEADER_KEEP, shares);
+	g_free(shares);
 	if (atomic_load(&worker->daemon->draining))
 		header_list_add(list, HEADER_LEAVING, "1");
 }
--- a/src/daemon/headers.h
+++ b/src/daemon/headers.h
@@ -58,7 +58,7 @@
 
 /*
  * Checks the request's headers.  Returns LOOM_OK, or LOOM_HEADER_INVALID with
- * *reason (borrowed, static). key is the key that the client sent, or NULL.
+ * *reason (borrowed, static).  key is the key that the client sent, or NULL.
  */
 enum loom_result headers_check(
     const struct loom_exchange *, const char *key, const char **reason);
--- a/src/daemon/internal.c
+++ b/src/daemon/internal.c
@@ -84,7 +84,7 @@
 	{ .path = "metrics", .answer = answer_metrics },
 };
 
-/* The readiness address serves these two pages only. */
+/* The readiness address serves only dialect->ready_path and /metrics. */
 void
 internal_ready_request(struct call *call)
 {
--- a/src/daemon/issue.c
+++ b/src/daemon/issue.c
@@ -23,7 +23,7 @@
 struct issue_bucket {
 	uint64_t team_id;
 	double level; /* tickets */
-	uint64_t at_us;
+	uint64_t updated_us;
 };
 
 bool
@@ -98,7 +98,7 @@
 	bucket = talloc_zero(worker, struct issue_bucket);
 	bucket->team_id = team->id;
 	bucket->level = MAX(team->burst, LOOM_TICKET_ISSUE_MAX);
-	bucket->at_us = now_us;
+	bucket->updated_us = now_us;
 	g_hash_table_insert(worker->issues, &bucket->team_id, bucket);
 	return bucket;
 }
@@ -129,10 +129,10 @@
 		return LOOM_KEY_WITHDRAWN;
 	bucket = find_bucket(call->worker, team, now_us);
 	capacity = MAX(team->burst, LOOM_TICKET_ISSUE_MAX);
-	bucket->level += team->rate_per_s * (double)(now_us - bucket->at_us) /
-	    (double)LOOM_US_PER_S;
+	bucket->level += team->rate_per_s *
+	    (double)(now_us - bucket->updated_us) / (double)LOOM_US_PER_S;
 	bucket->level = MIN(bucket->level, capacity);
-	bucket->at_us = now_us;
+	bucket->updated_us = now_us;
 	if (bucket->level < count) {
 		*retry_after_us =
 		    refill_wait_us(count - bucket->level, team->rate_per_s);
--- a/src/daemon/keep.c
+++ b/src/daemon/keep.c
@@ -184,15 +184,15 @@
 /* Records for the log line the service that refused the call, or else the
  * one with the lowest share. */
 static void
-note_narrowest(struct call *call, uint64_t service_id, double calls, bool pass,
-    uint64_t now_us)
+note_lowest_share(struct call *call, uint64_t service_id, double calls,
+    bool pass, uint64_t now_us)
 {
 	struct loom_keep_gate *keep = call->worker->keep;
 	double share = loom_keep_share(keep, service_id, now_us);
-	bool is_narrowest =
+	bool is_lowest =
 	    call->below_service_id == 0 || share < call->below_share;
 
-	if (pass && (share >= 1.0 || !is_narrowest))
+	if (pass && (share >= 1.0 || !is_lowest))
 		return;
 	call->below_service_id = service_id;
 	call->below_calls = calls;
@@ -221,7 +221,7 @@
 	bool pass = loom_keep_pass(call->worker->keep, service_id,
 	    call_shed_rank(call), calls, now_us);
 
-	note_narrowest(call, service_id, calls, pass, now_us);
+	note_lowest_share(call, service_id, calls, pass, now_us);
 	return pass;
 }
 
--- a/src/daemon/keep.h
+++ b/src/daemon/keep.h
@@ -19,13 +19,16 @@
  * malformed entry. */
 void throttle_learn(const struct call *, const char *text);
 
-/* Count the start or end of this call's run at the local upstream, and a
- * nested call that the upstream sent without a context. */
+/* Counts the start or end of the call's run at the local upstream. */
 void throttle_count_run(const struct call *, bool begins);
+/* Counts a nested call that the local upstream sent without a context. */
 void throttle_count_nested(const struct call *);
 
-/* Returns false if the root request must be refused, because its service or
- * one that its nested calls reach admits only a share of its requests. */
+/*
+ * Returns false if the root request must be refused: its service, or one that
+ * its nested calls reach, admits only a share of its requests and this one is
+ * not among them.
+ */
 bool throttle_check(struct call *, uint64_t now_us);
 
 #endif
--- a/src/daemon/refuse.c
+++ b/src/daemon/refuse.c
@@ -35,7 +35,7 @@
  * request that ran with this ticket, so a refusal that is made before the
  * ticket's executor was reached must not report not-run.  This includes
  * refusals made before the route is known, such as that of a peer which finds
- * the context stale.  Text that is not a valid ticket cannot have run.
+ * the context stale.  Text that is not a valid ticket never identified a run.
  */
 static bool
 came_with_ticket(const struct call *call)
--- a/src/daemon/upstream.c
+++ b/src/daemon/upstream.c
@@ -45,7 +45,7 @@
  * request whose nested call was refused fails in a third of the usual time.
  * When such answers were counted as latency samples they lowered the estimate
  * of the minimum latency, so that all successful requests looked slow
- * afterwards; the limit fell from 104 to 4 of 225 slots and stayed there for
+ * afterwards; the limit fell from 104 to 4 of 225 and stayed there for
  * ten seconds after a fault of a nested service.
  */
 static enum loom_call_end
@@ -130,7 +130,7 @@
 	uint64_t now_us = loom_now_us();
 
 	loom_log(LOOM_LOG_WARN, "upstream", LOOM_UPSTREAM_CUT,
-	    "the upstream refuses connections while calls are in flight");
+	    "the upstream crashed or stopped while calls were in flight");
 	if (sent && call->quarantine != NULL)
 		loom_quarantine_crashed(
 		    daemon->quarantine, call->quarantine, now_us);
@@ -218,6 +218,8 @@
 	call_unref(call);
 }
 
+/* Runs CRASH_CHECK_DELAY_US after a connection broke.  The upstream has
+ * crashed if its witness connections have closed by then. */
 static void
 on_crash_check(struct tevent_context *ev, struct tevent_timer *timer,
     struct timeval now, void *arg)
