--- a/src/daemon/call.c
+++ b/src/daemon/call.c
@@ -102,7 +102,7 @@
 	if (call->has_parent)
 		loom_calls_deeper_end(call->worker->daemon->calls,
 		    &call->parent_id, loom_now_us());
-	if (call->working)
+	if (call->counted_as_working)
 		atomic_fetch_sub(&call->worker->daemon->working, 1);
 	atomic_fetch_sub(&call->worker->daemon->inflight, 1);
 	talloc_free(call);
@@ -214,7 +214,7 @@
 void
 call_start(struct call *call)
 {
-	call->working = true;
+	call->counted_as_working = true;
 	atomic_fetch_add(&call->worker->daemon->working, 1);
 	if (call->body_length == 0) {
 		call->body_buffered = true;
--- a/src/daemon/call.h
+++ b/src/daemon/call.h
@@ -83,7 +83,7 @@
 	uint64_t below_age_us; /* age of the report of that share */
 	double below_calls; /* calls per request of this route to it */
 	struct loom_id128 parent_id;
-	bool working; /* counted in daemon->working */
+	bool counted_as_working; /* in daemon->working */
 	bool refused; /* a refusal was sent */
 
 	/* rate token of a root request */
