--- a/include/loom/tls.h
+++ b/include/loom/tls.h
@@ -2,9 +2,8 @@
 #define LOOM_TLS_H
 
 /*
- * The key and certificate with which callers are served.  They are looked at
- * before any socket is opened: the HTTP library would say only that it cannot
- * start.
+ * The server's TLS key and certificate. They are checked before any socket is
+ * opened, since libmicrohttpd would report only that it cannot start.
  */
 
 #include <stdbool.h>
@@ -17,9 +16,10 @@
 };
 
 /*
- * Read both files, or none when both names are NULL.  LOOM_SETTING_MISSING
- * when one is, LOOM_FILE_UNREADABLE, LOOM_TLS_PAIR when a file is malformed or
- * the key is not the certificate's.
+ * Reads both files, or none if both names are NULL. Fails with
+ * LOOM_SETTING_MISSING if only one name is NULL, with LOOM_FILE_UNREADABLE, or
+ * with LOOM_TLS_PAIR if a file is malformed or the key does not belong to the
+ * certificate.
  */
 bool loom_tls_load(const char *key_file, const char *cert_file,
     struct loom_tls_pair *, GError **error);
--- a/src/http/hangup.c
+++ b/src/http/hangup.c
@@ -1,12 +1,12 @@
 /*
- * An epoll set of our own, itself watched by tevent.  tevent asks epoll for
- * readable and writable sockets only; a pipelined request would make a socket
- * readable and keep the loop busy, while EPOLLRDHUP alone stays quiet until
- * the other side closes.
+ * A separate epoll set, which tevent polls in turn. tevent itself can only wait
+ * for a socket to become readable or writable. A pipelined request would make a
+ * socket readable and keep the event loop busy, while EPOLLRDHUP alone is not
+ * reported until the remote side closes.
  *
- * A caller that only shuts down its sending side is taken for gone as well:
- * HTTP clients do not do so while they wait, and the two cannot be told
- * apart.
+ * A caller that shuts down only its sending side is treated as disconnected as
+ * well: the two cannot be told apart, and HTTP clients do not do so while they
+ * wait for a response.
  */
 
 #include <sys/epoll.h>
@@ -14,7 +14,7 @@
 
 #include "loom/hangup.h"
 
-#define EVENTS_AT_ONCE 64
+#define EVENTS_PER_DISPATCH 64
 
 struct loom_hangup {
 	int epoll_fd;
@@ -24,7 +24,7 @@
 struct loom_hangup_watch {
 	struct loom_hangup *hangup; /* borrowed */
 	int fd;
-	void (*gone)(void *arg);
+	void (*on_hangup)(void *arg);
 	void *arg; /* borrowed */
 };
 
@@ -35,17 +35,17 @@
 	struct loom_hangup *hangup = arg;
 	struct loom_hangup_watch *watch;
 	struct epoll_event event;
-	int budget = EVENTS_AT_ONCE;
+	int budget = EVENTS_PER_DISPATCH;
 
 	(void)ev;
 	(void)fde;
 	(void)flags;
-	/* One at a time: a callback may free any other watch. */
+	/* One event at a time: a callback may free any other watch. */
 	while (
 	    budget-- > 0 && epoll_wait(hangup->epoll_fd, &event, 1, 0) == 1) {
 		watch = event.data.ptr;
 		epoll_ctl(hangup->epoll_fd, EPOLL_CTL_DEL, watch->fd, NULL);
-		watch->gone(watch->arg);
+		watch->on_hangup(watch->arg);
 	}
 }
 
@@ -88,7 +88,7 @@
 
 struct loom_hangup_watch *
 loom_hangup_watch(TALLOC_CTX *mem, struct loom_hangup *hangup, int fd,
-    void (*gone)(void *arg), void *arg)
+    void (*on_hangup)(void *arg), void *arg)
 {
 	struct loom_hangup_watch *watch;
 	struct epoll_event event;
@@ -98,7 +98,7 @@
 		return NULL;
 	watch->hangup = hangup;
 	watch->fd = fd;
-	watch->gone = gone;
+	watch->on_hangup = on_hangup;
 	watch->arg = arg;
 	event.events = EPOLLRDHUP;
 	event.data.ptr = watch;
--- a/src/http/head.c
+++ b/src/http/head.c
@@ -1,21 +1,23 @@
 /*
- * Names and values lie one behind the other in one text.  It moves while it
- * grows, so places in it are kept until its end.
+ * Names and values are stored one after the other in one string. It may be
+ * reallocated while it grows, so offsets are kept until all headers are
+ * complete.
  */
 
 #include <string.h>
 
 #include "http/head.h"
 
-/* A connection may carry messages with a kilobyte of headers; what a longer one
- * took is not held for all its life. */
-#define TEXT_KEPT_MAX 4096
+/* Enough for messages with a kilobyte of headers. A larger buffer that a longer
+ * message needed is freed before the next message, rather than kept for the
+ * lifetime of the connection. */
+#define TEXT_IDLE_MAX_BYTES 4096
 
 void
 http_head_init(struct http_head *head)
 {
 	head->text = g_string_new(NULL);
-	head->places = g_array_new(FALSE, FALSE, sizeof(size_t));
+	head->offsets = g_array_new(FALSE, FALSE, sizeof(size_t));
 	head->headers = g_array_new(FALSE, FALSE, sizeof(struct loom_header));
 }
 
@@ -23,45 +25,45 @@
 http_head_free(struct http_head *head)
 {
 	g_string_free(head->text, TRUE);
-	g_array_free(head->places, TRUE);
+	g_array_free(head->offsets, TRUE);
 	g_array_free(head->headers, TRUE);
 }
 
 void
 http_head_clear(struct http_head *head)
 {
-	if (head->text->allocated_len > TEXT_KEPT_MAX) {
+	if (head->text->allocated_len > TEXT_IDLE_MAX_BYTES) {
 		g_string_free(head->text, TRUE);
 		head->text = g_string_new(NULL);
 	}
 	g_string_truncate(head->text, 0);
-	g_array_set_size(head->places, 0);
+	g_array_set_size(head->offsets, 0);
 	g_array_set_size(head->headers, 0);
 }
 
-/* A name or value begins where the one before it ends. */
+/* Terminates the current string, if any, and starts the next one. */
 static void
-begin_piece(struct http_head *head)
+begin_string(struct http_head *head)
 {
-	size_t place;
+	size_t offset;
 
 	if (head->text->len > 0)
 		g_string_append_c(head->text, '\0');
-	place = head->text->len;
-	g_array_append_val(head->places, place);
+	offset = head->text->len;
+	g_array_append_val(head->offsets, offset);
 }
 
 static bool
 is_in_name(const struct http_head *head)
 {
-	return head->places->len % 2 == 1;
+	return head->offsets->len % 2 == 1;
 }
 
 void
 http_head_name(struct http_head *head, const char *at, size_t len)
 {
 	if (!is_in_name(head))
-		begin_piece(head);
+		begin_string(head);
 	g_string_append_len(head->text, at, (gssize)len);
 }
 
@@ -69,23 +71,23 @@
 http_head_value(struct http_head *head, const char *at, size_t len)
 {
 	if (is_in_name(head))
-		begin_piece(head);
+		begin_string(head);
 	g_string_append_len(head->text, at, (gssize)len);
 }
 
 bool
 http_head_end(struct http_head *head)
 {
-	const size_t *places = (size_t *)(void *)head->places->data;
+	const size_t *offsets = (size_t *)(void *)head->offsets->data;
 	char *text = head->text->str;
 	struct loom_header header;
 	guint i;
 
-	for (i = 0; i + 1 < head->places->len; i += 2) {
-		header.name = text + places[i];
+	for (i = 0; i + 1 < head->offsets->len; i += 2) {
+		header.name = text + offsets[i];
 		if (strchr(header.name, ' ') != NULL)
 			return false;
-		header.value = g_strchomp(text + places[i + 1]);
+		header.value = g_strchomp(text + offsets[i + 1]);
 		g_array_append_val(head->headers, header);
 	}
 	return true;
--- a/src/http/tls.c
+++ b/src/http/tls.c
@@ -1,5 +1,5 @@
 /*
- * Reading a TLS key and its certificate.
+ * Loads and checks a TLS key and its certificate.
  */
 
 #include <gnutls/gnutls.h>
@@ -30,7 +30,7 @@
 	};
 }
 
-/* GnuTLS reads both and compares the public key of the one to the other. */
+/* GnuTLS parses both and checks that the key belongs to the certificate. */
 static bool
 check_pair(const struct loom_tls_pair *pair, const char *key_file,
     const char *cert_file, GError **error)
@@ -61,7 +61,7 @@
 		return true;
 	if (key_file == NULL || cert_file == NULL)
 		return loom_fail(error, LOOM_SETTING_MISSING,
-		    "tls_key_file and tls_cert_file go together");
+		    "tls_key_file and tls_cert_file must be set together");
 	pair->key = read_pem(key_file, error);
 	if (pair->key == NULL)
 		goto error;
