--- a/src/http/early.c
+++ b/src/http/early.c
@@ -1,17 +1,19 @@
 /*
- * Answers to callers that still send.
+ * Responses to callers that are still sending their request.
  *
- * libmicrohttpd queues an answer before a body or after its end, never in the
- * middle.  A request that is given up there (its key was withdrawn, its
- * deadline passed, its body is too long) would be answered by a reset alone,
- * and its caller could not tell not-run from unknown.  So the answer is
- * written to the connection here, whole and at once, and nothing after it.  An
- * answer before the body goes this way too, since libmicrohttpd closes the
- * connection after it without having read what the caller sends all the same.
+ * libmicrohttpd queues a response before the body or after its end, but not in
+ * between. A request that is given up while its body is received (its key was
+ * withdrawn, its deadline passed, its body is too long) could only be reset,
+ * and its caller could not tell whether it had been executed. The response is
+ * therefore written to the connection's socket here, completely and in one go,
+ * and nothing is sent after it. A response before the body is sent in the same
+ * way, since libmicrohttpd closes the connection after such a response without
+ * reading the body that the caller may send nevertheless.
  *
- * Then our side is shut down and what still comes is read and dropped: a close
- * with unread bytes is a reset, which may overtake the answer.  That ends with
- * the body, after EXCHANGE_DISCARD_MAX bytes, or after EXCHANGE_LINGER_US.
+ * Then the sending side of the connection is shut down, and further received
+ * data is read and discarded: closing a socket with unread data sends a reset,
+ * which may reach the caller before the response. Discarding ends with the
+ * body, after EXCHANGE_DISCARD_MAX_BYTES, or after EXCHANGE_LINGER_US.
  */
 
 #include <gnutls/gnutls.h>
@@ -20,8 +22,8 @@
 #include "http/mhd_exchange.h"
 
 static GString *
-format(uint16_t status, const struct loom_header *headers, size_t nheaders,
-    const void *body, size_t len)
+format_response(uint16_t status, const struct loom_header *headers,
+    size_t nheaders, const void *body, size_t len)
 {
 	GString *text = g_string_new(NULL);
 	size_t i;
@@ -60,11 +62,11 @@
 }
 
 bool
-exchange_send_early(struct mhd_exchange *x, uint16_t status,
+exchange_send_early_response(struct mhd_exchange *x, uint16_t status,
     const struct loom_header *headers, size_t nheaders, const void *body,
     size_t len)
 {
-	GString *text = format(status, headers, nheaders, body, len);
+	GString *text = format_response(status, headers, nheaders, body, len);
 	const union MHD_ConnectionInfo *tls;
 	bool sent;
 
--- a/src/http/exchange.c
+++ b/src/http/exchange.c
@@ -1,5 +1,6 @@
 /*
- * The exchange as its owner sees it, whichever server made it.
+ * The public functions of an exchange, which dispatch to the server that
+ * created it.
  */
 
 #include <glib.h>
@@ -10,26 +11,26 @@
 const char *
 loom_exchange_method(const struct loom_exchange *x)
 {
-	return x->kind->method(x);
+	return x->vtable->method(x);
 }
 
 const char *
 loom_exchange_target(const struct loom_exchange *x)
 {
-	return x->kind->target(x);
+	return x->vtable->target(x);
 }
 
 const char *
 loom_exchange_header(const struct loom_exchange *x, const char *name)
 {
-	return x->kind->header(x, name);
+	return x->vtable->header(x, name);
 }
 
 void
 loom_exchange_headers(const struct loom_exchange *x,
     void (*each)(void *arg, const char *name, const char *value), void *arg)
 {
-	x->kind->headers(x, each, arg);
+	x->vtable->headers(x, each, arg);
 }
 
 struct header_count {
@@ -82,7 +83,7 @@
 void
 loom_exchange_take_body(struct loom_exchange *x)
 {
-	x->kind->take_body(x);
+	x->vtable->resume_body(x);
 }
 
 void
@@ -90,44 +91,45 @@
     const struct loom_header *headers, size_t nheaders, const void *body,
     size_t len)
 {
-	x->kind->answer(x, status, headers, nheaders, body, len);
+	x->vtable->respond(x, status, headers, nheaders, body, len);
 }
 
 void
 loom_exchange_stream(struct loom_exchange *x, uint16_t status,
     const struct loom_header *headers, size_t nheaders, int64_t length)
 {
-	x->kind->stream(x, status, headers, nheaders, length);
+	x->vtable->stream(x, status, headers, nheaders, length);
 }
 
 bool
 loom_exchange_push(struct loom_exchange *x, const void *data, size_t len)
 {
-	return x->kind->push(x, data, len);
+	return x->vtable->push(x, data, len);
 }
 
 void
 loom_exchange_finish(struct loom_exchange *x)
 {
-	x->kind->finish(x);
+	x->vtable->finish(x);
 }
 
 void
 loom_exchange_abort(struct loom_exchange *x)
 {
-	x->kind->abort(x);
+	x->vtable->abort(x);
 }
 
 bool
 loom_exchange_answered(const struct loom_exchange *x)
 {
-	return x->kind->answered(x);
+	return x->vtable->responded(x);
 }
 
 /*
- * SO_LINGER does not help where the connection is shut down before it is
- * closed, as libmicrohttpd does: an end comes before the reset.  Dissolving the
- * association sends the reset with nothing before it.
+ * Connecting a TCP socket to AF_UNSPEC dissolves the association, which sends a
+ * reset and nothing before it. SO_LINGER would not work here: libmicrohttpd
+ * shuts a connection down before it closes it, so a FIN would be sent before
+ * the reset.
  */
 void
 exchange_reset(int fd)
--- a/src/http/exchange.h
+++ b/src/http/exchange.h
@@ -2,35 +2,35 @@
 #define LOOM_HTTP_EXCHANGE_H
 
 /*
- * What a server has to do for the exchanges that it makes; the functions of
- * loom/server.h go to these.
+ * The operations that each HTTP server implements for its exchanges. The
+ * loom_exchange functions of loom/server.h call them.
  */
 
 #include "loom/clock.h"
 #include "loom/server.h"
 
-/* A stream's bytes wait in memory up to here, and its owner goes on below the
- * half of it. */
-#define EXCHANGE_HIGH_WATER (64 * 1024)
-#define EXCHANGE_LOW_WATER (EXCHANGE_HIGH_WATER / 2)
+/* A streamed response buffers up to the high water mark; the handler is asked
+ * for more below the low water mark. */
+#define EXCHANGE_HIGH_WATER_BYTES (64 * 1024)
+#define EXCHANGE_LOW_WATER_BYTES (EXCHANGE_HIGH_WATER_BYTES / 2)
 
 /*
- * After the answer to a request that is still being sent so much of its body is
- * read and dropped, for so long; whoever sends more is cut off, or its upload
- * would hold a connection for a request that was given up.
+ * Limits for reading and discarding the rest of a request body after the
+ * response. Beyond either limit the connection is closed; otherwise an upload
+ * could occupy a connection for a request that was already given up.
  */
-#define EXCHANGE_DISCARD_MAX (1024 * 1024)
+#define EXCHANGE_DISCARD_MAX_BYTES (1024 * 1024)
 #define EXCHANGE_LINGER_US (1 * LOOM_US_PER_S)
 
-struct exchange_kind {
+struct exchange_vtable {
 	const char *(*method)(const struct loom_exchange *);
 	const char *(*target)(const struct loom_exchange *);
 	const char *(*header)(const struct loom_exchange *, const char *name);
 	void (*headers)(const struct loom_exchange *,
 	    void (*each)(void *arg, const char *name, const char *value),
 	    void *arg);
-	void (*take_body)(struct loom_exchange *);
-	void (*answer)(struct loom_exchange *, uint16_t status,
+	void (*resume_body)(struct loom_exchange *);
+	void (*respond)(struct loom_exchange *, uint16_t status,
 	    const struct loom_header *headers, size_t nheaders,
 	    const void *body, size_t len);
 	void (*stream)(struct loom_exchange *, uint16_t status,
@@ -38,18 +38,19 @@
 	bool (*push)(struct loom_exchange *, const void *data, size_t len);
 	void (*finish)(struct loom_exchange *);
 	void (*abort)(struct loom_exchange *);
-	bool (*answered)(const struct loom_exchange *);
+	bool (*responded)(const struct loom_exchange *);
 };
 
-/* The first member of a server's own. */
+/* The base of each server's exchange struct, as its first member. */
 struct loom_exchange {
-	const struct exchange_kind *kind;
+	const struct exchange_vtable *vtable;
 	void *user; /* borrowed */
 };
 
 /*
- * Reset a connection now.  A reader of an answer whose end is the end of the
- * connection (HTTP/1.0) takes a plain close for that end.
+ * Resets a connection immediately. An HTTP/1.0 response without a length ends
+ * where the connection is closed, so a client would take an ordinary close for
+ * the end of a complete response.
  */
 void exchange_reset(int fd);
 
--- a/src/http/listen.c
+++ b/src/http/listen.c
@@ -16,7 +16,7 @@
 
 #define LISTEN_BACKLOG 1024
 
-/* Where a TCP segment has its flags, and SYN among them. */
+/* Offset of the flags byte in a TCP header, and the SYN flag in it. */
 #define TCP_FLAGS_OFFSET 13
 #define TCP_FLAG_BYTE_SYN 0x02
 
@@ -88,13 +88,14 @@
 }
 
 /*
- * A filter on the listening socket drops each SYN.  Without it a connection
- * that the kernel accepts between our last accept and the close is reset, and
- * its caller sees a cut request.  Handshakes that have begun are let through;
- * they are accepted and answered before the close.
+ * Attaches a socket filter that drops each SYN. Without it, a connection that
+ * the kernel establishes between the last accept() and the close of the socket
+ * would be reset, and its caller would see a request cut off. Handshakes that
+ * have already begun complete; those connections are accepted and served before
+ * the close.
  */
 void
-listen_hold_off(int fd)
+listen_drop_new_connections(int fd)
 {
 	struct sock_filter drop_syn[] = {
 		BPF_STMT(BPF_LD | BPF_B | BPF_ABS, TCP_FLAGS_OFFSET),
@@ -110,6 +111,6 @@
 	if (setsockopt(fd, SOL_SOCKET, SO_ATTACH_FILTER, &program,
 		sizeof(program)) != 0)
 		loom_log(LOOM_LOG_WARN, "http", LOOM_OK,
-		    "new connections cannot be held off: %s",
+		    "cannot attach the filter that drops new connections: %s",
 		    g_strerror(errno));
 }
--- a/src/http/listen.h
+++ b/src/http/listen.h
@@ -1,8 +1,8 @@
 #ifndef LOOM_HTTP_LISTEN_H
 #define LOOM_HTTP_LISTEN_H
 
-/* New connections to a listening socket are no longer made; those that were go
- * on. */
-void listen_hold_off(int fd);
+/* Drops new connection attempts at a listening socket; established connections
+ * are still accepted and served. */
+void listen_drop_new_connections(int fd);
 
 #endif
--- a/src/http/mhd_exchange.c
+++ b/src/http/mhd_exchange.c
@@ -1,15 +1,16 @@
 /*
- * One request and its answer on top of libmicrohttpd.
+ * One request and its response, on top of libmicrohttpd.
  *
- * libmicrohttpd calls its access handler again and again: first with the
- * headers, then with pieces of the body, then once with none, and an answer
- * may be queued in the first or the last of these calls only.  Between calls
- * the connection is suspended whenever its owner has to wait, so that no
- * thread waits and the caller's bytes stay in the kernel (back-pressure).
+ * libmicrohttpd calls its access handler repeatedly for a request: first with
+ * the headers, then with each piece of the body, and at the end without data. A
+ * response may be queued in the first or the last of these calls only. Between
+ * calls the connection is suspended whenever the handler has to wait. This
+ * blocks no thread, and leaves the unread body in the kernel's socket buffer,
+ * so that TCP flow control slows the sender down.
  *
- * Suspending in the first call holds the body back and "100 Continue" with
- * it: a refusal that is found while the request waits for a slot reaches a
- * caller before it has sent 200 MB in vain.
+ * Suspending in the first call delays both the body and the "100 Continue"
+ * response. A request that is refused while it waits in the queue for a slot is
+ * thus refused before its caller has sent, say, 200 MB for nothing.
  */
 
 #include <string.h>
@@ -17,8 +18,9 @@
 
 #include "http/mhd_exchange.h"
 
-/* Two of these wait at most: one is written while the next is fetched. */
-#define STREAM_BLOCK (EXCHANGE_HIGH_WATER / 2)
+/* Two blocks fit below the high water mark: one is written while the next is
+ * fetched. */
+#define STREAM_BLOCK_BYTES (EXCHANGE_HIGH_WATER_BYTES / 2)
 
 static struct mhd_exchange *
 mhd_of(struct loom_exchange *base)
@@ -44,7 +46,7 @@
 	return info == NULL ? -1 : info->connect_fd;
 }
 
-struct http_connection *
+struct caller_connection *
 exchange_connection(struct MHD_Connection *connection)
 {
 	return MHD_get_connection_info(
@@ -57,62 +59,69 @@
 {
 	if (!x->suspended)
 		return;
-	exchange_connection(x->connection)->waiting = NULL;
+	exchange_connection(x->connection)->suspended_exchange = NULL;
 	x->suspended = false;
 	MHD_resume_connection(x->connection);
-	loom_server_kick(x->server);
+	loom_server_schedule_run(x->server);
 }
 
+/* Tells the handler that its caller has disconnected, and lets libmicrohttpd
+ * end the exchange. */
 static void
-caller_gone(struct mhd_exchange *x)
+notify_disconnect(struct mhd_exchange *x)
 {
-	x->gone = true;
+	x->disconnected = true;
 	x->server->ops->gone(&x->base);
 	resume(x);
 }
 
 static void
-hung_up(void *arg)
+on_hangup(void *arg)
 {
-	struct http_connection *connection = arg;
+	struct caller_connection *connection = arg;
 
-	connection->gone = true;
-	if (connection->waiting != NULL)
-		caller_gone(connection->waiting);
+	connection->hung_up = true;
+	if (connection->suspended_exchange != NULL)
+		notify_disconnect(connection->suspended_exchange);
 }
 
 /*
- * The watch stays for the connection's life: setting it for each request
- * would be two system calls of some twenty that a request takes.  A caller
- * that closed before this request began to wait was told of once, and is not
- * again; the next step of the exchange then ends it.
+ * Suspends the connection until resume() is called, and watches its socket for
+ * a hangup meanwhile.
+ *
+ * The watch is kept for the lifetime of the connection: adding and removing it
+ * for each request would take two system calls, where a whole request takes
+ * some twenty. A hangup is reported only once. If it was reported before this
+ * request is suspended, the request's handler is notified here, and the next
+ * exchange_step() ends the exchange.
  */
 static void
 suspend(struct mhd_exchange *x)
 {
-	struct http_connection *connection = exchange_connection(x->connection);
+	struct caller_connection *connection =
+	    exchange_connection(x->connection);
 
 	if (x->suspended)
 		return;
-	if (connection->gone) {
-		caller_gone(x);
+	if (connection->hung_up) {
+		notify_disconnect(x);
 		return;
 	}
 	x->suspended = true;
-	connection->waiting = x;
+	connection->suspended_exchange = x;
 	MHD_suspend_connection(x->connection);
 	if (connection->watch == NULL)
 		connection->watch = loom_hangup_watch(connection,
-		    x->server->hangup, exchange_fd(x), hung_up, connection);
+		    x->server->hangup, exchange_fd(x), on_hangup, connection);
 }
 
 static enum MHD_Result
-queue_answer(struct mhd_exchange *x)
+queue_response(struct mhd_exchange *x)
 {
 	struct MHD_Response *response = x->response;
 	enum MHD_Result queued;
 
-	TALLOC_FREE(x->body_timer);
+	TALLOC_FREE(x->linger_timer);
 	x->response = NULL;
 	queued = MHD_queue_response(x->connection, x->status, response);
 	MHD_destroy_response(response);
@@ -120,9 +129,10 @@
 }
 
 /*
- * libmicrohttpd closes the connection after an answer that is queued in the
- * first call.  A request without a body therefore goes on to the last call at
- * once, and its connection is kept.
+ * First call of the access handler, with the headers. libmicrohttpd closes the
+ * connection after a response that is queued in this call. A request without a
+ * body therefore proceeds to the last call immediately, so that its connection
+ * is kept alive.
  */
 static enum MHD_Result
 step_headers(struct mhd_exchange *x)
@@ -133,27 +143,32 @@
 		return MHD_YES;
 	}
 	if (x->response != NULL)
-		return queue_answer(x);
-	if (x->body_wanted || x->early)
+		return queue_response(x);
+	if (x->body_wanted || x->responded_early)
 		x->phase = PHASE_BODY;
 	else
 		suspend(x);
 	return MHD_YES;
 }
 
+/* Call of the access handler with a piece of the body.  Suspends the connection
+ * when the handler does not consume all of it; the rest comes again in the next
+ * call.  After the response the body is discarded. */
 static enum MHD_Result
 step_body(struct mhd_exchange *x, const char *upload, size_t *upload_len)
 {
 	size_t taken;
 
-	if (x->answered) {
+	if (x->responded) {
 		x->discarded_bytes += *upload_len;
 		*upload_len = 0;
-		return x->discarded_bytes > EXCHANGE_DISCARD_MAX ? MHD_NO
-								 : MHD_YES;
+		return x->discarded_bytes > EXCHANGE_DISCARD_MAX_BYTES
+		    ? MHD_NO
+		    : MHD_YES;
 	}
-	/* The owner may ask for more from inside, when what it took has gone on
-	 * at once and left room. */
+	/* The callback may call loom_exchange_take_body() itself, when the data
+	 * that it consumed was passed on immediately and there is room for
+	 * more. */
 	do {
 		x->body_wanted = false;
 		taken = x->server->ops->body(
@@ -161,26 +176,28 @@
 		upload += taken;
 		*upload_len -= taken;
 	} while (
-	    *upload_len > 0 && x->body_wanted && !x->answered && !x->aborted);
-	if (*upload_len > 0 && !x->answered && !x->aborted) {
+	    *upload_len > 0 && x->body_wanted && !x->responded && !x->aborted);
+	if (*upload_len > 0 && !x->responded && !x->aborted) {
 		x->body_blocked = true;
 		suspend(x);
 	}
 	return MHD_YES;
 }
 
+/* Call of the access handler at the end of the request.  Queues the response,
+ * or suspends the connection until there is one. */
 static enum MHD_Result
 step_end(struct mhd_exchange *x)
 {
 	if (!x->body_ended) {
 		x->body_ended = true;
-		if (!x->answered)
+		if (!x->responded)
 			x->server->ops->body_end(&x->base);
 	}
-	if (x->early)
+	if (x->responded_early)
 		return MHD_NO;
 	if (x->response != NULL)
-		return queue_answer(x);
+		return queue_response(x);
 	if (!x->aborted)
 		suspend(x);
 	return MHD_YES;
@@ -196,7 +213,7 @@
 		x->method = method;
 		x->server->ops->request(x->server->arg, &x->base);
 	}
-	if (x->gone || x->aborted)
+	if (x->disconnected || x->aborted)
 		return MHD_NO;
 	if (x->phase == PHASE_HEADERS)
 		return step_headers(x);
@@ -206,11 +223,12 @@
 }
 
 void
-exchange_completed(struct mhd_exchange *x, bool whole)
+exchange_completed(struct mhd_exchange *x, bool completed_ok)
 {
 	if (x->started) {
-		if (!whole && !x->gone && !x->aborted && !x->early) {
-			x->gone = true;
+		if (!completed_ok && !x->disconnected && !x->aborted &&
+		    !x->responded_early) {
+			x->disconnected = true;
 			x->server->ops->gone(&x->base);
 		}
 		x->server->ops->end(&x->base);
@@ -273,7 +291,7 @@
 }
 
 static void
-mhd_take_body(struct loom_exchange *base)
+mhd_resume_body(struct loom_exchange *base)
 {
 	struct mhd_exchange *x = mhd_of(base);
 
@@ -286,16 +304,17 @@
 	}
 }
 
-/* What a caller sends from now on is not waited for. */
+/* Ends the reading of a body whose response is already sent. */
 static void
-end_reading(struct mhd_exchange *x)
+stop_reading(struct mhd_exchange *x)
 {
 	resume(x);
 	shutdown(exchange_fd(x), SHUT_RD);
 }
 
+/* The body did not end in time after the response. */
 static void
-on_linger_over(struct tevent_context *ev, struct tevent_timer *timer,
+on_linger_timeout(struct tevent_context *ev, struct tevent_timer *timer,
     struct timeval now, void *arg)
 {
 	struct mhd_exchange *x = arg;
@@ -303,9 +322,9 @@
 	(void)ev;
 	(void)timer;
 	(void)now;
-	x->body_timer = NULL;
-	if (x->early)
-		end_reading(x);
+	x->linger_timer = NULL;
+	if (x->responded_early)
+		stop_reading(x);
 	else
 		abort_exchange(x);
 }
@@ -313,20 +332,21 @@
 static void
 start_linger(struct mhd_exchange *x)
 {
-	x->body_timer = tevent_add_timer(x->server->ev, x,
+	x->linger_timer = tevent_add_timer(x->server->ev, x,
 	    tevent_timeval_current_ofs(EXCHANGE_LINGER_US / LOOM_US_PER_S, 0),
-	    on_linger_over, x);
+	    on_linger_timeout, x);
 }
 
-/* The caller is in the middle of its body. */
+/* Whether part of the request body has still to be received. */
 static bool
 is_sending(const struct mhd_exchange *x)
 {
 	return x->phase == PHASE_BODY && !x->body_ended;
 }
 
-/* An answer that is queued while only the headers are in is followed by a close
- * with unread bytes, whose reset may overtake it. */
+/* After a response that is queued while only the headers were read,
+ * libmicrohttpd closes the connection with unread bytes. The kernel then sends
+ * a reset, which may reach the caller before the response. */
 static bool
 has_unread_body(const struct mhd_exchange *x)
 {
@@ -335,10 +355,10 @@
 		loom_exchange_body_length(&x->base) != 0);
 }
 
-/* Give the answer, if there was memory for it, to libmicrohttpd as soon as it
- * may be queued. */
+/* Adds the headers to the response and lets libmicrohttpd queue it as soon as
+ * possible. Aborts the exchange if the response could not be allocated. */
 static void
-set_answer(struct mhd_exchange *x, uint16_t status,
+set_response(struct mhd_exchange *x, uint16_t status,
     const struct loom_header *headers, size_t nheaders)
 {
 	size_t i;
@@ -359,38 +379,41 @@
 }
 
 static void
-answer_early(struct mhd_exchange *x, uint16_t status,
+respond_early(struct mhd_exchange *x, uint16_t status,
     const struct loom_header *headers, size_t nheaders, const void *body,
     size_t len)
 {
-	if (!exchange_send_early(x, status, headers, nheaders, body, len)) {
+	if (!exchange_send_early_response(
+		x, status, headers, nheaders, body, len)) {
 		abort_exchange(x);
 		return;
 	}
-	x->early = true;
+	x->responded_early = true;
 	start_linger(x);
 	resume(x);
 }
 
 static void
-mhd_answer(struct loom_exchange *base, uint16_t status,
+mhd_respond(struct loom_exchange *base, uint16_t status,
     const struct loom_header *headers, size_t nheaders, const void *body,
     size_t len)
 {
 	struct mhd_exchange *x = mhd_of(base);
 
-	if (x->answered || x->gone)
+	if (x->responded || x->disconnected)
 		return;
-	x->answered = true;
+	x->responded = true;
 	if (has_unread_body(x)) {
-		answer_early(x, status, headers, nheaders, body, len);
+		respond_early(x, status, headers, nheaders, body, len);
 		return;
 	}
 	x->response = MHD_create_response_from_buffer(
 	    len, (void *)body, MHD_RESPMEM_MUST_COPY);
-	set_answer(x, status, headers, nheaders);
+	set_response(x, status, headers, nheaders);
 }
 
+/* Content reader callback of a streamed response.  Suspends the connection when
+ * no data is buffered. */
 static ssize_t
 read_stream(void *cls, uint64_t pos, char *buf, size_t max)
 {
@@ -398,7 +421,7 @@
 	size_t len = loom_buffer_length(&x->out);
 
 	(void)pos;
-	if (x->aborted || x->gone)
+	if (x->aborted || x->disconnected)
 		return MHD_CONTENT_READER_END_WITH_ERROR;
 	if (len == 0) {
 		if (x->finished)
@@ -409,7 +432,8 @@
 	len = MIN(len, max);
 	memcpy(buf, loom_buffer_peek(&x->out), len);
 	loom_buffer_consume(&x->out, len);
-	if (loom_buffer_length(&x->out) < EXCHANGE_LOW_WATER && !x->finished)
+	if (loom_buffer_length(&x->out) < EXCHANGE_LOW_WATER_BYTES &&
+	    !x->finished)
 		x->server->ops->drained(&x->base);
 	return (ssize_t)len;
 }
@@ -420,14 +444,14 @@
 {
 	struct mhd_exchange *x = mhd_of(base);
 
-	if (x->answered || x->gone)
+	if (x->responded || x->disconnected)
 		return;
-	x->answered = true;
+	x->responded = true;
 	x->streaming = true;
 	x->response = MHD_create_response_from_callback(
-	    length < 0 ? MHD_SIZE_UNKNOWN : (uint64_t)length, STREAM_BLOCK,
-	    read_stream, x, NULL);
-	set_answer(x, status, headers, nheaders);
+	    length < 0 ? MHD_SIZE_UNKNOWN : (uint64_t)length,
+	    STREAM_BLOCK_BYTES, read_stream, x, NULL);
+	set_response(x, status, headers, nheaders);
 }
 
 static bool
@@ -435,13 +459,13 @@
 {
 	struct mhd_exchange *x = mhd_of(base);
 
-	if (x->gone || x->aborted)
+	if (x->disconnected || x->aborted)
 		return true;
 	if (!loom_buffer_append(&x->out, x, data, len))
 		abort_exchange(x);
 	else if (len > 0)
 		resume(x);
-	return loom_buffer_length(&x->out) < EXCHANGE_HIGH_WATER;
+	return loom_buffer_length(&x->out) < EXCHANGE_HIGH_WATER_BYTES;
 }
 
 static void
@@ -453,10 +477,11 @@
 	resume(x);
 }
 
+/* Resets the connection; libmicrohttpd then ends the exchange. */
 static void
 abort_exchange(struct mhd_exchange *x)
 {
-	if (x->aborted || x->gone)
+	if (x->aborted || x->disconnected)
 		return;
 	x->aborted = true;
 	if (x->connection != NULL)
@@ -471,25 +496,25 @@
 }
 
 static bool
-mhd_answered(const struct loom_exchange *base)
+mhd_responded(const struct loom_exchange *base)
 {
 	const struct mhd_exchange *x = const_mhd_of(base);
 
-	return x->answered;
+	return x->responded;
 }
 
-static const struct exchange_kind mhd_kind = {
+static const struct exchange_vtable mhd_vtable = {
 	.method = mhd_method,
 	.target = mhd_target,
 	.header = mhd_header,
 	.headers = mhd_headers,
-	.take_body = mhd_take_body,
-	.answer = mhd_answer,
+	.resume_body = mhd_resume_body,
+	.respond = mhd_respond,
 	.stream = mhd_stream,
 	.push = mhd_push,
 	.finish = mhd_finish,
 	.abort = mhd_abort,
-	.answered = mhd_answered,
+	.responded = mhd_responded,
 };
 
 struct mhd_exchange *
@@ -499,7 +524,7 @@
 
 	if (x == NULL)
 		return NULL;
-	x->base.kind = &mhd_kind;
+	x->base.vtable = &mhd_vtable;
 	x->server = server;
 	x->target = talloc_strdup(x, target);
 	if (x->target == NULL) {
--- a/src/http/mhd_exchange.h
+++ b/src/http/mhd_exchange.h
@@ -2,8 +2,10 @@
 #define LOOM_HTTP_MHD_EXCHANGE_H
 
 /*
- * What server.c and mhd_exchange.c share: libmicrohttpd's callbacks are in the
- * first, the life of one request in the second.
+ * Declarations shared by server.c, which has libmicrohttpd's callbacks,
+ * mhd_exchange.c, which handles one request from its headers to the end of its
+ * response, and early.c, which sends responses before the end of the request
+ * body.
  */
 
 #include <microhttpd.h>
@@ -18,7 +20,7 @@
 	struct tevent_context *ev; /* borrowed */
 	struct tevent_fd *fde;
 	struct tevent_timer *timer;
-	struct tevent_immediate *kick;
+	struct tevent_immediate *run_immediate;
 	struct loom_hangup *hangup; /* borrowed */
 	const struct loom_exchange_ops *ops;
 	void *arg;
@@ -28,16 +30,16 @@
 };
 
 enum exchange_phase {
-	PHASE_HEADERS, /* the owner has not yet asked for the body */
-	PHASE_BODY, /* the body flows, or is complete */
+	PHASE_HEADERS, /* the handler has not yet asked for the body */
+	PHASE_BODY, /* the body is being received, or is complete */
 };
 
-/* A connection of a caller, over all of its requests. */
-struct http_connection {
-	bool understood; /* it has brought a request */
-	bool gone; /* its caller closed it */
-	struct loom_hangup_watch *watch; /* owned; NULL before the first wait */
-	struct mhd_exchange *waiting; /* borrowed: suspended; NULL for none */
+/* State of a connection, kept across its requests. */
+struct caller_connection {
+	bool received_request;
+	bool hung_up; /* the caller closed the connection */
+	struct loom_hangup_watch *watch; /* owned; NULL until it is needed */
+	struct mhd_exchange *suspended_exchange; /* borrowed; or NULL */
 };
 
 struct mhd_exchange {
@@ -47,46 +49,51 @@
 	const char *method; /* borrowed from connection */
 	char *target; /* owned */
 	enum exchange_phase phase;
-	bool started; /* the owner knows of it */
+	bool started; /* ops->request was called */
 	bool suspended;
-	bool body_wanted; /* its owner has asked for more */
-	bool body_blocked; /* the owner took less than it was given */
+	bool body_wanted; /* the handler has asked for more of the body */
+	bool body_blocked; /* the handler consumed less than it was given */
 	bool body_ended;
-	bool gone;
-	/* the answer */
+	bool disconnected;
+	/* the response */
 	struct MHD_Response *response; /* owned until it is queued */
-	bool answered;
+	bool responded;
 	bool streaming;
 	bool finished;
 	bool aborted;
-	bool early; /* answered in mid-body, past libmicrohttpd */
+	bool responded_early; /* bypassing libmicrohttpd, see early.c */
 	uint16_t status;
 	uint64_t discarded_bytes;
-	struct tevent_timer *body_timer; /* an answered body must end by then */
-	struct loom_buffer out; /* streamed bytes not yet written */
+	struct tevent_timer *linger_timer; /* ends reading the body */
+	struct loom_buffer out; /* streamed, not yet read by libmicrohttpd */
 };
 
-/* Run the event loop's next round of the server soon. */
-void loom_server_kick(struct loom_server *);
+/* Runs libmicrohttpd in the next iteration of the event loop. */
+void loom_server_schedule_run(struct loom_server *);
 
 struct mhd_exchange *exchange_new(struct loom_server *, const char *target);
 
 int exchange_fd(const struct mhd_exchange *);
 
-/* What is kept with the connection; borrowed. */
-struct http_connection *exchange_connection(struct MHD_Connection *);
+/* The state of the connection; borrowed. */
+struct caller_connection *exchange_connection(struct MHD_Connection *);
 
-/* Write a whole answer to a caller that still sends, and end our side of the
- * connection.  False when it could not be written: abort. */
-bool exchange_send_early(struct mhd_exchange *, uint16_t status,
+/*
+ * Writes a complete response to a caller that is still sending its request, and
+ * shuts down the sending side of the connection. Returns false when the
+ * response could not be written completely: the caller of this function must
+ * then abort the exchange.
+ */
+bool exchange_send_early_response(struct mhd_exchange *, uint16_t status,
     const struct loom_header *headers, size_t nheaders, const void *body,
     size_t len);
 
-/* One call of libmicrohttpd's access handler. */
+/* Handles one call of libmicrohttpd's access handler. */
 enum MHD_Result exchange_step(struct mhd_exchange *, struct MHD_Connection *,
     const char *method, const char *upload, size_t *upload_len);
 
-/* libmicrohttpd is done with the request: the last thing of an exchange. */
-void exchange_completed(struct mhd_exchange *, bool whole);
+/* Ends and frees the exchange; libmicrohttpd no longer uses it. completed_ok:
+ * the response was sent completely. */
+void exchange_completed(struct mhd_exchange *, bool completed_ok);
 
 #endif
--- a/src/http/peer_connection.c
+++ b/src/http/peer_connection.c
@@ -1,10 +1,11 @@
 /*
- * A connection of another daemon: requests one after another, until one of the
- * two sides wants no more.
+ * A connection from another daemon. It carries one request after another until
+ * one of the two sides closes it.
  *
- * A connection that ends while bytes of its last request may still come is shut
- * down on our side, and those are read and dropped: a close with unread bytes
- * is a reset, which may overtake the answer.
+ * A connection that is closed while bytes of its last request may still arrive
+ * lingers: the sending side is shut down, and received data is read and
+ * discarded. Closing a socket with unread data sends a reset, which may reach
+ * the other side before the response.
  */
 
 #include <errno.h>
@@ -18,16 +19,17 @@
 #include "http/peer_server.h"
 #include "loom/clock.h"
 
-/* A connection keeps no more than this for the next answer. */
-#define OUT_KEPT_MAX (16 * 1024)
+/* A larger send buffer is freed once it is empty, not kept for the next
+ * response. */
+#define OUT_IDLE_MAX_BYTES (16 * 1024)
 
-/* What may wait behind a request that is being answered. */
-#define IN_MAX (64 * 1024)
+/* Receive buffer for data that arrives while a request is being processed. */
+#define IN_MAX_BYTES (64 * 1024)
 
 static int
 connection_destructor(struct peer_connection *connection)
 {
-	sockets_clear_time(connection->socket.sockets, &connection->time);
+	sockets_clear_time(connection->socket.sockets, &connection->timer);
 	if (connection->socket.fd >= 0)
 		close(connection->socket.fd);
 	http_head_free(&connection->head);
@@ -47,28 +49,31 @@
 	talloc_free(x);
 }
 
+/* Ends the exchange, closes the socket, and lets the server accept connections
+ * again if it was at its limit. */
 static void
 close_connection(struct peer_connection *connection)
 {
 	struct loom_peer_server *server = connection->server;
 
 	end_exchange(connection);
-	if (!connection->understood)
+	if (!connection->received_request)
 		loom_counter_add(server->unused, 1);
-	sockets_clear_time(connection->socket.sockets, &connection->time);
-	g_queue_unlink(&server->connections, &connection->in_server);
+	sockets_clear_time(connection->socket.sockets, &connection->timer);
+	g_queue_unlink(&server->connections, &connection->server_link);
 	sockets_watch(&server->listener, EPOLLIN);
 	sockets_close(&connection->socket);
 }
 
-/* The other side has closed, or broken, the connection. */
+/* Closes the connection without a response, and notifies the handler of a
+ * request in progress. */
 static void
-hung_up(struct peer_connection *connection)
+disconnect(struct peer_connection *connection)
 {
 	struct peer_exchange *x = connection->x;
 
-	if (x != NULL && !x->gone && !x->aborted) {
-		x->gone = true;
+	if (x != NULL && !x->disconnected && !x->aborted) {
+		x->disconnected = true;
 		connection->server->ops->gone(&x->base);
 	}
 	close_connection(connection);
@@ -81,14 +86,14 @@
 	close_connection(connection);
 }
 
-/* Reading stops only while more waits than is bounded: then the other side's
- * end alone is told. */
+/* Updates the epoll events. While the receive buffer is full the socket is not
+ * read, and only a hangup of the other side is reported. */
 static void
-watch(struct peer_connection *connection)
+update_events(struct peer_connection *connection)
 {
 	uint32_t events = EPOLLRDHUP;
 
-	if (loom_buffer_length(&connection->in) < IN_MAX)
+	if (loom_buffer_length(&connection->in) < IN_MAX_BYTES)
 		events |= EPOLLIN;
 	if (loom_buffer_length(&connection->out) > 0)
 		events |= EPOLLOUT;
@@ -105,30 +110,31 @@
 		taken = send(connection->socket.fd, loom_buffer_peek(out),
 		    loom_buffer_length(out), MSG_NOSIGNAL);
 		if (taken < 0)
-			break; /* an error is told as an event */
+			break; /* epoll reports errors as events */
 		loom_buffer_consume(out, (size_t)taken);
-		connection->moved_us = loom_now_us();
+		connection->last_activity_us = loom_now_us();
 	}
-	if (loom_buffer_length(out) == 0 && out->capacity > OUT_KEPT_MAX)
+	if (loom_buffer_length(out) == 0 && out->capacity > OUT_IDLE_MAX_BYTES)
 		loom_buffer_clear(out);
-	watch(connection);
+	update_events(connection);
 }
 
-/* Nothing more goes out; what still comes is dropped for a while. */
+/* Shuts down the sending side. Received data is discarded until the timer
+ * expires, or until it exceeds EXCHANGE_DISCARD_MAX_BYTES. */
 static void
-end_connection(struct peer_connection *connection)
+start_linger(struct peer_connection *connection)
 {
 	if (shutdown(connection->socket.fd, SHUT_WR) != 0) {
 		close_connection(connection);
 		return;
 	}
-	connection->ended = true;
-	sockets_set_time(connection->socket.sockets, &connection->time,
+	connection->lingering = true;
+	sockets_set_time(connection->socket.sockets, &connection->timer,
 	    loom_now_us() + EXCHANGE_LINGER_US);
 }
 
 static bool
-is_over(const struct peer_connection *connection)
+is_response_sent(const struct peer_connection *connection)
 {
 	const struct peer_exchange *x = connection->x;
 
@@ -136,8 +142,11 @@
 	    loom_buffer_length(&connection->out) == 0;
 }
 
+/* Responds with status 400 and closes the connection.  If the malformed input
+ * belongs to the body of a request that the handler has already received, the
+ * connection is closed without a response. */
 static void
-answer_malformed(struct peer_connection *connection)
+reject_malformed_request(struct peer_connection *connection)
 {
 	static const char text[] = "HTTP/1.1 400 Bad Request\r\n"
 				   "Content-Length: 0\r\n"
@@ -145,13 +154,13 @@
 
 	loom_counter_add(connection->server->malformed, 1);
 	if (connection->x != NULL) {
-		hung_up(connection);
+		disconnect(connection);
 		return;
 	}
 	if (loom_buffer_append(
 		&connection->out, connection, text, sizeof(text) - 1))
 		peer_connection_flush(connection);
-	end_connection(connection);
+	start_linger(connection);
 }
 
 static bool
@@ -159,35 +168,36 @@
 {
 	if (peer_request_parse(connection, data, len) == PEER_PARSING_ON)
 		return true;
-	answer_malformed(connection);
+	reject_malformed_request(connection);
 	return false;
 }
 
-/* False when there is nothing more to be parsed, or the connection ended. */
+/* Parses buffered data. Returns false if there was nothing to parse, or if the
+ * connection was closed. */
 static bool
-parse_waiting(struct peer_connection *connection)
+parse_pending(struct peer_connection *connection)
 {
-	struct loom_buffer waiting = connection->in;
+	struct loom_buffer pending = connection->in;
 	bool ok;
 
 	if (!peer_request_may_go_on(connection) ||
-	    (loom_buffer_length(&waiting) == 0 &&
-		loom_buffer_length(&connection->held) == 0))
+	    (loom_buffer_length(&pending) == 0 &&
+		loom_buffer_length(&connection->pending_body) == 0))
 		return false;
 	connection->in = (struct loom_buffer){ 0 };
-	ok = parse(connection, loom_buffer_peek(&waiting),
-	    loom_buffer_length(&waiting));
-	loom_buffer_clear(&waiting);
+	ok = parse(connection, loom_buffer_peek(&pending),
+	    loom_buffer_length(&pending));
+	loom_buffer_clear(&pending);
 	return ok;
 }
 
-/* What is next: the end of the exchange, of the connection, or more of what
- * waits. */
+/* Performs all steps that are due: ends a finished or aborted exchange, closes
+ * the connection, or parses the next buffered data. */
 static void
-settle(struct peer_connection *connection)
+advance(struct peer_connection *connection)
 {
 	const struct peer_exchange *x;
-	bool closes;
+	bool closes_connection;
 
 	for (;;) {
 		x = connection->x;
@@ -195,55 +205,59 @@
 			peer_connection_abort(connection);
 			return;
 		}
-		if (is_over(connection)) {
-			closes = x->closes || !x->body_ended;
+		if (is_response_sent(connection)) {
+			closes_connection =
+			    x->closes_connection || !x->body_ended;
 			end_exchange(connection);
-			if (closes) {
-				end_connection(connection);
+			if (closes_connection) {
+				start_linger(connection);
 				return;
 			}
 		}
-		if (connection->ended || !parse_waiting(connection))
+		if (connection->lingering || !parse_pending(connection))
 			break;
 	}
 	if (connection->socket.fd >= 0)
-		watch(connection);
+		update_events(connection);
 }
 
 static void
-settle_now(struct tevent_context *ev, struct tevent_immediate *later, void *arg)
+on_advance(struct tevent_context *ev,
+    struct tevent_immediate *advance_immediate, void *arg)
 {
 	struct peer_connection *connection = arg;
 	struct loom_sockets *sockets = connection->socket.sockets;
 
 	(void)ev;
-	(void)later;
+	(void)advance_immediate;
 	sockets_begin_turn(sockets);
 	if (connection->socket.fd >= 0)
-		settle(connection);
+		advance(connection);
 	sockets_end_turn(sockets);
 }
 
 void
-peer_connection_settle_later(struct peer_connection *connection)
+peer_connection_schedule_advance(struct peer_connection *connection)
 {
-	tevent_schedule_immediate(
-	    connection->later, connection->server->ev, settle_now, connection);
+	tevent_schedule_immediate(connection->advance_immediate,
+	    connection->server->ev, on_advance, connection);
 }
 
 static void
 discard(struct peer_connection *connection, size_t len)
 {
 	connection->discarded_bytes += len;
-	if (connection->discarded_bytes > EXCHANGE_DISCARD_MAX)
+	if (connection->discarded_bytes > EXCHANGE_DISCARD_MAX_BYTES)
 		close_connection(connection);
 }
 
+/* Parses received data at once if possible, otherwise buffers it.  A lingering
+ * connection discards it. */
 static void
-take(struct peer_connection *connection, const uint8_t *data, size_t len)
+on_data(struct peer_connection *connection, const uint8_t *data, size_t len)
 {
-	connection->moved_us = loom_now_us();
-	if (connection->ended) {
+	connection->last_activity_us = loom_now_us();
+	if (connection->lingering) {
 		discard(connection, len);
 		return;
 	}
@@ -253,10 +267,10 @@
 			return;
 	} else if (!loom_buffer_append(
 		       &connection->in, connection, data, len)) {
-		hung_up(connection);
+		disconnect(connection);
 		return;
 	}
-	settle(connection);
+	advance(connection);
 }
 
 static void
@@ -267,28 +281,31 @@
 
 	got = recv(connection->socket.fd, block, SOCKETS_BLOCK, 0);
 	if (got > 0)
-		take(connection, block, (size_t)got);
+		on_data(connection, block, (size_t)got);
 	else if (got == 0 || errno != EAGAIN)
-		hung_up(connection);
+		disconnect(connection);
 }
 
 static void
-send_more(struct peer_connection *connection)
+on_writable(struct peer_connection *connection)
 {
 	struct peer_exchange *x;
 
 	peer_connection_flush(connection);
 	x = connection->x;
-	if (x != NULL && x->full &&
-	    loom_buffer_length(&connection->out) < EXCHANGE_LOW_WATER) {
-		x->full = false;
+	if (x != NULL && x->above_high_water &&
+	    loom_buffer_length(&connection->out) < EXCHANGE_LOW_WATER_BYTES) {
+		x->above_high_water = false;
 		connection->server->ops->drained(&x->base);
 	}
-	settle(connection);
+	advance(connection);
 }
 
-/* A request that was read to its end may have its answer awaited by a side
- * that has closed: it is gone, as HTTP clients do not shut down one half. */
+/*
+ * Once a request was read completely, EPOLLRDHUP means that its caller has
+ * disconnected and no longer waits for the response: HTTP clients do not shut
+ * down only their sending side. Before that the remaining data is read first.
+ */
 static void
 ready(struct watched_socket *socket, uint32_t events)
 {
@@ -296,43 +313,44 @@
 	    (struct peer_connection *)(void *)socket;
 
 	if ((events & (EPOLLERR | EPOLLHUP)) != 0) {
-		hung_up(connection);
+		disconnect(connection);
 		return;
 	}
 	if ((events & EPOLLRDHUP) != 0 && connection->x != NULL &&
 	    connection->x->body_ended) {
-		hung_up(connection);
+		disconnect(connection);
 		return;
 	}
 	if ((events & EPOLLOUT) != 0)
-		send_more(connection);
+		on_writable(connection);
 	if ((events & (EPOLLIN | EPOLLRDHUP)) != 0 &&
 	    connection->socket.fd >= 0)
 		receive(connection);
 }
 
-/* Work that goes on here is no idleness of the connection. */
+/* Idle timeout, or the end of lingering. A connection whose request is still
+ * being processed is not idle. */
 static void
 expired(struct timed *timed)
 {
 	struct peer_connection *connection =
 	    (struct peer_connection *)(void *)((char *)timed -
-		offsetof(struct peer_connection, time));
+		offsetof(struct peer_connection, timer));
 	const struct loom_peer_server *server = connection->server;
 	const uint64_t now_us = loom_now_us();
 
-	if (connection->ended) {
+	if (connection->lingering) {
 		close_connection(connection);
 		return;
 	}
 	if (connection->x != NULL && connection->x->body_ended &&
 	    loom_buffer_length(&connection->out) == 0)
-		connection->moved_us = now_us;
-	if (now_us - connection->moved_us >= server->idle_us)
-		hung_up(connection);
+		connection->last_activity_us = now_us;
+	if (now_us - connection->last_activity_us >= server->idle_us)
+		disconnect(connection);
 	else
 		sockets_set_time(connection->socket.sockets, timed,
-		    connection->moved_us + server->idle_us);
+		    connection->last_activity_us + server->idle_us);
 }
 
 void
@@ -352,22 +370,22 @@
 		.ready = ready,
 	};
 	connection->server = server;
-	connection->time.expired = expired;
-	connection->moved_us = loom_now_us();
+	connection->timer.expired = expired;
+	connection->last_activity_us = loom_now_us();
 	http_head_init(&connection->head);
 	connection->target = g_string_new(NULL);
 	http_parser_init(&connection->parser, HTTP_REQUEST);
 	connection->parser.data = connection;
 	talloc_set_destructor(connection, connection_destructor);
-	connection->later = tevent_create_immediate(connection);
+	connection->advance_immediate = tevent_create_immediate(connection);
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-	if (connection->later == NULL ||
+	if (connection->advance_immediate == NULL ||
 	    !sockets_watch(&connection->socket, EPOLLIN | EPOLLRDHUP)) {
 		talloc_free(connection);
 		return;
 	}
-	connection->in_server.data = connection;
-	g_queue_push_head_link(&server->connections, &connection->in_server);
-	sockets_set_time(connection->socket.sockets, &connection->time,
-	    connection->moved_us + server->idle_us);
+	connection->server_link.data = connection;
+	g_queue_push_head_link(&server->connections, &connection->server_link);
+	sockets_set_time(connection->socket.sockets, &connection->timer,
+	    connection->last_activity_us + server->idle_us);
 }
--- a/src/http/peer_exchange.c
+++ b/src/http/peer_exchange.c
@@ -1,7 +1,8 @@
 /*
- * The exchange as its owner uses it.  Answers go to the socket at once; what
- * follows from them (the end of the exchange, the next request) waits for a
- * turn of the event loop, since the owner may be anywhere.
+ * The operations of an exchange. Response data is sent at once. Everything that
+ * follows from it (the end of the exchange, the next request) is left to the
+ * next iteration of the event loop, since the handler may call these functions
+ * from anywhere, including its own callbacks.
  */
 
 #include "http/peer_server.h"
@@ -70,19 +71,19 @@
 {
 	struct peer_exchange *x = peer_of(base);
 
-	if (x->aborted || x->gone)
+	if (x->aborted || x->disconnected)
 		return;
 	x->aborted = true;
-	peer_connection_settle_later(x->connection);
+	peer_connection_schedule_advance(x->connection);
 }
 
 static void
-peer_take_body(struct loom_exchange *base)
+peer_resume_body(struct loom_exchange *base)
 {
 	struct peer_exchange *x = peer_of(base);
 	struct peer_connection *connection = x->connection;
 
-	if (x->answered || x->aborted)
+	if (x->responded || x->aborted)
 		return;
 	x->body_wanted = true;
 	if (x->expects_continue) {
@@ -94,10 +95,11 @@
 		peer_connection_flush(connection);
 	}
 	if (!connection->parsing)
-		peer_connection_settle_later(connection);
+		peer_connection_schedule_advance(connection);
 }
 
-/* length -1: it is not known. */
+/* Appends the headers that tell where the body ends. length is -1 if it is not
+ * known. */
 static bool
 put_framing(struct peer_exchange *x, uint16_t status, int64_t length)
 {
@@ -106,15 +108,17 @@
 	if (length >= 0)
 		return http_put_length(
 		    &x->connection->out, x->connection, (uint64_t)length);
-	if (x->old_protocol) {
-		x->closes = true;
+	if (x->is_http_1_0) {
+		x->closes_connection = true;
 		return true;
 	}
-	x->in_chunks = true;
+	x->chunked = true;
 	return put_header(x->connection, "Transfer-Encoding", "chunked");
 }
 
-/* The rest of a body that nobody wants ends with the connection. */
+/* Whether the connection has to be closed after this response. If the request
+ * body was not read completely, its rest could only be discarded, so the
+ * connection is closed instead. */
 static bool
 must_close(const struct peer_exchange *x)
 {
@@ -140,31 +144,33 @@
 	}
 	if (!put_framing(x, status, length))
 		return false;
-	x->closes = x->closes || must_close(x);
-	if (x->closes && !put_header(connection, "Connection", "close"))
+	x->closes_connection = x->closes_connection || must_close(x);
+	if (x->closes_connection &&
+	    !put_header(connection, "Connection", "close"))
 		return false;
 	return put(connection, "\r\n");
 }
 
 static void
-sent_whole(struct peer_exchange *x)
+finish_response(struct peer_exchange *x)
 {
 	x->finished = true;
 	peer_connection_flush(x->connection);
-	peer_connection_settle_later(x->connection);
+	peer_connection_schedule_advance(x->connection);
 }
 
 static void
-peer_answer(struct loom_exchange *base, uint16_t status,
+peer_respond(struct loom_exchange *base, uint16_t status,
     const struct loom_header *headers, size_t nheaders, const void *body,
     size_t len)
 {
 	struct peer_exchange *x = peer_of(base);
-	const bool has_body = !x->is_head && !http_status_has_no_body(status);
+	const bool has_body =
+	    !x->is_head_request && !http_status_has_no_body(status);
 
-	if (x->answered || x->gone || x->aborted)
+	if (x->responded || x->disconnected || x->aborted)
 		return;
-	x->answered = true;
+	x->responded = true;
 	if (!put_head(x, status, headers, nheaders, (int64_t)len) ||
 	    (has_body &&
 		!http_put_piece(
@@ -172,7 +178,7 @@
 		peer_abort(base);
 		return;
 	}
-	sent_whole(x);
+	finish_response(x);
 }
 
 static void
@@ -181,9 +187,9 @@
 {
 	struct peer_exchange *x = peer_of(base);
 
-	if (x->answered || x->gone || x->aborted)
+	if (x->responded || x->disconnected || x->aborted)
 		return;
-	x->answered = true;
+	x->responded = true;
 	if (!put_head(x, status, headers, nheaders, length)) {
 		peer_abort(base);
 		return;
@@ -196,17 +202,17 @@
 {
 	struct peer_exchange *x = peer_of(base);
 
-	if (x->gone || x->aborted || x->is_head || len == 0)
+	if (x->disconnected || x->aborted || x->is_head_request || len == 0)
 		return true;
 	if (!http_put_piece(
-		&x->connection->out, x->connection, data, len, x->in_chunks)) {
+		&x->connection->out, x->connection, data, len, x->chunked)) {
 		peer_abort(base);
 		return true;
 	}
 	peer_connection_flush(x->connection);
-	x->full =
-	    loom_buffer_length(&x->connection->out) >= EXCHANGE_HIGH_WATER;
-	return !x->full;
+	x->above_high_water = loom_buffer_length(&x->connection->out) >=
+	    EXCHANGE_HIGH_WATER_BYTES;
+	return !x->above_high_water;
 }
 
 static void
@@ -214,32 +220,32 @@
 {
 	struct peer_exchange *x = peer_of(base);
 
-	if (x->gone || x->aborted || x->finished)
+	if (x->disconnected || x->aborted || x->finished)
 		return;
-	if (x->in_chunks && !x->is_head &&
+	if (x->chunked && !x->is_head_request &&
 	    !http_put_last_chunk(&x->connection->out, x->connection)) {
 		peer_abort(base);
 		return;
 	}
-	sent_whole(x);
+	finish_response(x);
 }
 
 static bool
-peer_answered(const struct loom_exchange *base)
+peer_responded(const struct loom_exchange *base)
 {
-	return const_peer_of(base)->answered;
+	return const_peer_of(base)->responded;
 }
 
-const struct exchange_kind peer_exchange_kind = {
+const struct exchange_vtable peer_exchange_vtable = {
 	.method = peer_method,
 	.target = peer_target,
 	.header = peer_header,
 	.headers = peer_headers,
-	.take_body = peer_take_body,
-	.answer = peer_answer,
+	.resume_body = peer_resume_body,
+	.respond = peer_respond,
 	.stream = peer_stream,
 	.push = peer_push,
 	.finish = peer_finish,
 	.abort = peer_abort,
-	.answered = peer_answered,
+	.responded = peer_responded,
 };
--- a/src/http/peer_request.c
+++ b/src/http/peer_request.c
@@ -1,18 +1,19 @@
 /*
- * A request by http_parser.
+ * Parsing of a request with http_parser.
  *
- * The parser is paused at the end of the headers until the owner asks for the
- * body, in the middle of a body of which the owner takes no more, and at the
- * end of the request until its answer is sent.  What it has not seen by then
- * waits in the connection.
+ * The parser is paused at the end of the headers until the handler asks for the
+ * body, inside a body while the handler consumes no more of it, and at the end
+ * of the request until the response was sent. Data that was received but not
+ * yet parsed is then kept in the connection.
  */
 
 #include <string.h>
 
 #include "http/peer_server.h"
 
-/* Headers and target; more is refused.  Contexts are some 200 bytes. */
-#define HEAD_MAX (32 * 1024)
+/* Limit for the target and the headers together; a longer request is refused.
+ * Call contexts take up some 200 bytes of it. */
+#define HEAD_MAX_BYTES (32 * 1024)
 
 static struct peer_connection *
 connection_of(const http_parser *parser)
@@ -33,7 +34,8 @@
 static bool
 is_too_long(const struct peer_connection *connection)
 {
-	return connection->target->len + connection->head.text->len > HEAD_MAX;
+	return connection->target->len + connection->head.text->len >
+	    HEAD_MAX_BYTES;
 }
 
 static int
@@ -50,7 +52,7 @@
 {
 	struct peer_connection *connection = connection_of(parser);
 
-	/* trailers are dropped */
+	/* trailers, which follow the body, are ignored */
 	if (connection->x == NULL)
 		http_head_name(&connection->head, at, len);
 	return is_too_long(connection);
@@ -90,19 +92,19 @@
 
 	if (parser->http_major != 1 || !http_head_end(&connection->head))
 		return -1;
-	connection->understood = true;
+	connection->received_request = true;
 	x = talloc_zero(connection, struct peer_exchange);
 	if (x == NULL)
 		return -1;
 	*x = (struct peer_exchange){
-		.base.kind = &peer_exchange_kind,
+		.base.vtable = &peer_exchange_vtable,
 		.connection = connection,
 		.has_body = has_body(parser),
-		.is_head = parser->method == HTTP_HEAD,
+		.is_head_request = parser->method == HTTP_HEAD,
 		.expects_continue = expects_continue(connection),
-		.old_protocol =
+		.is_http_1_0 =
 		    parser->http_major == 1 && parser->http_minor == 0,
-		.closes = http_should_keep_alive(parser) == 0,
+		.closes_connection = http_should_keep_alive(parser) == 0,
 	};
 	connection->x = x;
 	connection->server->ops->request(connection->server->arg, &x->base);
@@ -112,11 +114,13 @@
 }
 
 /*
- * The owner may ask for more from inside, when what it took has gone on at once
- * and left room.  Returns what it took.
+ * Passes body data to the handler, again as long as the handler asks for more
+ * from inside the callback: it does so when the data that it consumed was
+ * passed on immediately and left room. Returns how many bytes were consumed.
  */
 static size_t
-offer_body(struct peer_connection *connection, const uint8_t *data, size_t len)
+deliver_body(
+    struct peer_connection *connection, const uint8_t *data, size_t len)
 {
 	struct peer_exchange *x = connection->x;
 	size_t taken = 0;
@@ -125,7 +129,7 @@
 		x->body_wanted = false;
 		taken += connection->server->ops->body(
 		    &x->base, data + taken, len - taken);
-	} while (taken < len && x->body_wanted && !x->answered && !x->aborted);
+	} while (taken < len && x->body_wanted && !x->responded && !x->aborted);
 	if (taken == len)
 		x->body_wanted = true;
 	return taken;
@@ -138,14 +142,14 @@
 	struct peer_exchange *x = connection->x;
 	size_t taken;
 
-	/* an answered request's body is read and dropped */
-	if (x->answered || x->aborted)
+	/* after the response the body is read and discarded */
+	if (x->responded || x->aborted)
 		return 0;
-	taken = offer_body(connection, (const uint8_t *)at, len);
-	if (taken == len || x->answered)
+	taken = deliver_body(connection, (const uint8_t *)at, len);
+	if (taken == len || x->responded)
 		return 0;
 	if (!loom_buffer_append(
-		&connection->held, connection, at + taken, len - taken))
+		&connection->pending_body, connection, at + taken, len - taken))
 		return -1;
 	http_parser_pause(parser, 1);
 	return 0;
@@ -158,7 +162,7 @@
 	struct peer_exchange *x = connection->x;
 
 	x->body_ended = true;
-	if (x->has_body && !x->answered && !x->aborted)
+	if (x->has_body && !x->responded && !x->aborted)
 		connection->server->ops->body_end(&x->base);
 	http_parser_pause(parser, 1);
 	return 0;
@@ -174,23 +178,24 @@
 	.on_message_complete = on_message_complete,
 };
 
-/* The owner takes what was held back of the body first. */
+/* Passes the body data that the handler did not consume earlier. Returns
+ * whether none is left. */
 static bool
-give_held(struct peer_connection *connection)
+deliver_pending_body(struct peer_connection *connection)
 {
-	struct loom_buffer *held = &connection->held;
+	struct loom_buffer *pending_body = &connection->pending_body;
 	size_t taken;
 
-	if (loom_buffer_length(held) == 0)
+	if (loom_buffer_length(pending_body) == 0)
 		return true;
-	if (connection->x->answered) {
-		loom_buffer_clear(held);
+	if (connection->x->responded) {
+		loom_buffer_clear(pending_body);
 		return true;
 	}
-	taken = offer_body(
-	    connection, loom_buffer_peek(held), loom_buffer_length(held));
-	loom_buffer_consume(held, taken);
-	return loom_buffer_length(held) == 0;
+	taken = deliver_body(connection, loom_buffer_peek(pending_body),
+	    loom_buffer_length(pending_body));
+	loom_buffer_consume(pending_body, taken);
+	return loom_buffer_length(pending_body) == 0;
 }
 
 bool
@@ -200,7 +205,8 @@
 
 	if (x == NULL)
 		return true;
-	return !x->body_ended && !x->aborted && (x->body_wanted || x->answered);
+	return !x->body_ended && !x->aborted &&
+	    (x->body_wanted || x->responded);
 }
 
 enum peer_parsing
@@ -211,7 +217,7 @@
 	size_t used;
 
 	connection->parsing = true;
-	if (connection->x != NULL && !give_held(connection)) {
+	if (connection->x != NULL && !deliver_pending_body(connection)) {
 		connection->parsing = false;
 		return loom_buffer_append(
 			   &connection->in, connection, data, len)
@@ -220,7 +226,9 @@
 	}
 	if (HTTP_PARSER_ERRNO(parser) == HPE_PAUSED)
 		http_parser_pause(parser, 0);
-	if (len == 0) { /* the parser would take it for the end */
+	/* http_parser interprets an empty input as the end of the connection.
+	 */
+	if (len == 0) {
 		connection->parsing = false;
 		return PEER_PARSING_ON;
 	}
--- a/src/http/peer_server.c
+++ b/src/http/peer_server.c
@@ -1,6 +1,7 @@
 /*
- * The listening socket of the peers' server.  All workers accept from
- * duplicates of one; who is called in vain finds nothing to accept.
+ * The listening socket of the HTTP server for peer daemons. All workers accept
+ * from duplicates of one socket; a worker that is woken for a connection which
+ * another one has accepted gets EAGAIN.
  */
 
 #include <errno.h>
@@ -13,7 +14,8 @@
 #include "http/peer_server.h"
 #include "loom/clock.h"
 
-/* Accepted in one turn, so that a flood cannot hold back calls. */
+/* Connections accepted in one event, so that a flood of connections cannot
+ * delay calls. */
 #define ACCEPT_BATCH 64
 
 static bool
@@ -40,7 +42,8 @@
 			break;
 		peer_connection_new(server, fd);
 	}
-	/* until a connection has ended; also without a descriptor left */
+	/* At the connection limit, or out of file descriptors, stop accepting
+	 * until a connection is closed. */
 	if (i < ACCEPT_BATCH && server->connections.length > 0)
 		sockets_watch(listener, 0);
 }
@@ -87,7 +90,8 @@
 	return server;
 
 error:
-	loom_fail(error, LOOM_START, "the peers' server cannot start");
+	loom_fail(
+	    error, LOOM_START, "the HTTP server for peer daemons cannot start");
 	talloc_free(server);
 	return NULL;
 }
@@ -101,5 +105,5 @@
 void
 loom_peer_server_hold_off(struct loom_peer_server *server)
 {
-	listen_hold_off(server->listener.fd);
+	listen_drop_new_connections(server->listener.fd);
 }
--- a/src/http/peer_server.h
+++ b/src/http/peer_server.h
@@ -2,12 +2,12 @@
 #define LOOM_HTTP_PEER_SERVER_H
 
 /*
- * What the files of the peers' server share:
+ * Declarations shared by the files of the HTTP server for peer daemons:
  *
- *   peer_server.c      listens, and holds what all connections share
- *   peer_connection.c  a socket: receiving, sending, its end
- *   peer_request.c     the request, by http_parser
- *   peer_exchange.c    the exchange as its owner uses it, the answer as bytes
+ *   peer_server.c      listening socket, state shared by all connections
+ *   peer_connection.c  one socket: receiving, sending, closing
+ *   peer_request.c     parsing of requests with http_parser
+ *   peer_exchange.c    operations of an exchange, formatting of the response
  */
 
 #include <http_parser.h>
@@ -24,7 +24,7 @@
 	struct tevent_context *ev; /* borrowed */
 	const struct loom_exchange_ops *ops;
 	void *arg; /* borrowed */
-	GQueue connections; /* of peer_connection.in_server */
+	GQueue connections; /* of peer_connection.server_link */
 	uint32_t connections_max;
 	uint64_t idle_us;
 	bool draining;
@@ -32,78 +32,82 @@
 	struct loom_counter *unused; /* borrowed */
 };
 
-/* One request at a time; what comes behind it waits in in. */
+/* Handles one request at a time; pipelined requests wait in the buffer "in". */
 struct peer_connection {
 	struct watched_socket socket; /* the first member */
 	struct loom_peer_server *server; /* borrowed */
-	GList in_server;
+	GList server_link;
 	struct peer_exchange *x; /* owned; NULL between two requests */
-	struct tevent_immediate *later; /* owned */
-	struct timed time; /* of no use for too long */
-	uint64_t moved_us; /* a byte came or went */
+	struct tevent_immediate *advance_immediate; /* owned */
+	struct timed timer; /* idle timeout, or the end of lingering */
+	uint64_t last_activity_us; /* when a byte was last received or sent */
 	http_parser parser;
 	struct http_head head; /* of the request */
-	GString *target; /* owned: raw, with query */
-	struct loom_buffer in; /* received, and not yet parsed */
-	struct loom_buffer held; /* of the body, not yet taken by its owner */
-	struct loom_buffer out; /* not yet taken by the socket */
+	GString *target; /* owned: undecoded, with the query */
+	struct loom_buffer in; /* received, not yet parsed */
+	struct loom_buffer pending_body; /* not yet consumed by the handler */
+	struct loom_buffer out; /* not yet sent */
 	uint64_t discarded_bytes;
-	bool understood; /* it has brought a request */
-	bool parsing; /* the parser calls back */
-	bool ended; /* nothing more is answered: what comes is dropped */
+	bool received_request;
+	bool parsing; /* peer_request_parse() is on the call stack */
+	bool lingering; /* our sending side is shut down; received data is
+			   discarded */
 };
 
 struct peer_exchange {
 	struct loom_exchange base; /* the first member */
 	struct peer_connection *connection; /* borrowed */
 	bool has_body;
-	bool is_head;
+	bool is_head_request;
 	bool expects_continue;
-	bool old_protocol; /* HTTP/1.0 */
-	bool body_wanted; /* its owner takes more */
+	bool is_http_1_0;
+	bool body_wanted; /* the handler has asked for more of the body */
 	bool body_ended;
-	bool answered;
-	bool in_chunks; /* how the answer is sent */
-	bool finished; /* the answer is whole in out */
-	bool closes; /* the connection ends with this answer */
-	bool full; /* its owner waits for room */
-	bool gone;
+	bool responded;
+	bool chunked; /* the response uses chunked encoding */
+	bool finished; /* the whole response was appended to out */
+	bool closes_connection; /* after this response */
+	bool above_high_water; /* out was filled; ops->drained is due */
+	bool disconnected;
 	bool aborted;
 };
 
 /* peer_connection.c */
 
-/* Serve a connection; owned by the server (talloc). */
+/* Starts serving an accepted connection; owned by the server (talloc). */
 void peer_connection_new(struct loom_peer_server *, int fd);
 
-/* Send what waits; what the socket does not take goes when it can. */
+/* Sends the buffered data; what the socket does not accept is sent when it
+ * becomes writable. */
 void peer_connection_flush(struct peer_connection *);
 
-/* Break the connection, and with it the exchange. */
+/* Resets the connection and ends its exchange. */
 void peer_connection_abort(struct peer_connection *);
 
-/* Look soon at what is to be done next, not from inside the caller: it may end
- * the exchange. */
-void peer_connection_settle_later(struct peer_connection *);
+/* Schedules the next step of the connection (see advance()) for the next
+ * iteration of the event loop. It must not run inside the calling function,
+ * since it may free the exchange. */
+void peer_connection_schedule_advance(struct peer_connection *);
 
 /* peer_request.c */
 
 extern const http_parser_settings peer_request_settings;
 
 enum peer_parsing {
-	PEER_PARSING_ON, /* all was taken, or the rest waits in connection->in
-			  */
-	PEER_PARSING_BROKEN, /* no request */
+	PEER_PARSING_ON, /* all data was consumed, or the rest was stored in
+			    connection->in */
+	PEER_PARSING_BROKEN, /* not a valid request, or out of memory */
 };
 
+/* Parses received data, after any body data that is still to be delivered. */
 enum peer_parsing peer_request_parse(
     struct peer_connection *, const uint8_t *data, size_t len);
 
-/* The parser may go on with what waits. */
+/* Whether the parser can continue with the buffered data. */
 bool peer_request_may_go_on(const struct peer_connection *);
 
 /* peer_exchange.c */
 
-extern const struct exchange_kind peer_exchange_kind;
+extern const struct exchange_vtable peer_exchange_vtable;
 
 #endif
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -1,11 +1,12 @@
 /*
- * libmicrohttpd under tevent.
+ * Runs libmicrohttpd inside a tevent event loop.
  *
- * Each worker thread runs a server of its own without threads: its epoll
- * descriptor is watched by the worker's tevent context.  All workers accept
- * from duplicates of one listening socket.  With a socket for each worker
- * (SO_REUSEPORT) the kernel would bind waiting connections to a worker, and a
- * worker that stops would reset those it has not yet accepted.
+ * Each worker thread runs its own libmicrohttpd daemon, which starts no
+ * threads: the worker's tevent context polls the daemon's epoll descriptor. All
+ * workers accept from duplicates of one listening socket. With one SO_REUSEPORT
+ * socket for each worker, the kernel would assign pending connections to a
+ * particular worker, and a worker that stops would reset those that it has not
+ * yet accepted.
  */
 
 #include <fcntl.h>
@@ -15,18 +16,22 @@
 #include "loom/log.h"
 
 /*
- * Headers of one request; larger ones are refused by libmicrohttpd (431).  It
- * clears this much memory after each request of a connection, so more, to
- * refuse large headers with a number of ours, would cost every caller.
+ * Memory of a connection, which limits the headers of a request; libmicrohttpd
+ * refuses larger headers with status 431. It clears this much memory after each
+ * request, so a limit high enough to refuse large headers here, with an error
+ * code of this project, would slow down every request.
  */
-#define CONNECTION_MEMORY (32 * 1024)
+#define CONNECTION_MEMORY_BYTES (32 * 1024)
 
 /*
- * libmicrohttpd answers what it cannot parse by itself and tells its log
- * alone, in this format; tests/faults/test_malformed holds it.
+ * libmicrohttpd answers a request that it cannot parse without calling any
+ * callback but the log function, which gets this format string.
+ * tests/faults/test_malformed checks that the format is still the same.
  */
-static const char refusal_format[] = "Error processing request (";
+static const char parse_error_format[] = "Error processing request (";
 
+/* Creates the exchange of a request; libmicrohttpd passes it to the other
+ * callbacks as con_cls. */
 static void *
 on_target(void *cls, const char *target, struct MHD_Connection *connection)
 {
@@ -34,23 +39,26 @@
 	return exchange_new(cls, target);
 }
 
-/* Bytes that are no HTTP at all are not even answered: the connection is
- * closed, and nothing in the log says so. */
+/*
+ * Allocates and frees the state of a connection. When the received bytes are
+ * not HTTP at all, libmicrohttpd closes the connection without a response or a
+ * log line, so connections that end without a request are counted here.
+ */
 static void
 on_connection(void *cls, struct MHD_Connection *connection,
     void **socket_context, enum MHD_ConnectionNotificationCode code)
 {
 	const struct loom_server *server = cls;
-	struct http_connection *kept = *socket_context;
+	struct caller_connection *state = *socket_context;
 
 	(void)connection;
 	if (code == MHD_CONNECTION_NOTIFY_STARTED) {
-		*socket_context = talloc_zero(server, struct http_connection);
+		*socket_context = talloc_zero(server, struct caller_connection);
 		return;
 	}
-	if (!kept->understood)
+	if (!state->received_request)
 		loom_counter_add(server->unused, 1);
-	talloc_free(kept);
+	talloc_free(state);
 }
 
 static enum MHD_Result
@@ -63,7 +71,7 @@
 	(void)version;
 	if (*con_cls == NULL)
 		return MHD_NO;
-	exchange_connection(connection)->understood = true;
+	exchange_connection(connection)->received_request = true;
 	return exchange_step(*con_cls, connection, method, upload, upload_len);
 }
 
@@ -80,19 +88,21 @@
 	*con_cls = NULL;
 }
 
+/* Counts the requests that libmicrohttpd cannot parse, and logs its messages at
+ * debug level. */
 static void
 on_log(void *cls, const char *fmt, va_list ap)
 {
 	const struct loom_server *server = cls;
 	char *message = g_strdup_vprintf(fmt, ap);
 
-	if (g_str_has_prefix(fmt, refusal_format))
+	if (g_str_has_prefix(fmt, parse_error_format))
 		loom_counter_add(server->malformed, 1);
 	loom_log(LOOM_LOG_DEBUG, "http", LOOM_OK, "%s", g_strchomp(message));
 	g_free(message);
 }
 
-static void run(struct loom_server *);
+static void run_mhd(struct loom_server *);
 
 static void
 on_timer(struct tevent_context *ev, struct tevent_timer *timer,
@@ -104,15 +114,16 @@
 	(void)timer;
 	(void)now;
 	server->timer = NULL;
-	run(server);
+	run_mhd(server);
 }
 
 static void
-on_kick(struct tevent_context *ev, struct tevent_immediate *kick, void *arg)
+on_run_immediate(struct tevent_context *ev,
+    struct tevent_immediate *run_immediate, void *arg)
 {
 	(void)ev;
-	(void)kick;
-	run(arg);
+	(void)run_immediate;
+	run_mhd(arg);
 }
 
 static void
@@ -122,11 +133,13 @@
 	(void)ev;
 	(void)fde;
 	(void)flags;
-	run(arg);
+	run_mhd(arg);
 }
 
+/* Lets libmicrohttpd process its events, and schedules the next run for when
+ * its next timeout is due. */
 static void
-run(struct loom_server *server)
+run_mhd(struct loom_server *server)
 {
 	MHD_UNSIGNED_LONG_LONG wait_ms;
 	struct timeval at;
@@ -136,7 +149,7 @@
 	if (MHD_get_timeout(server->mhd, &wait_ms) != MHD_YES)
 		return;
 	if (wait_ms == 0) {
-		loom_server_kick(server);
+		loom_server_schedule_run(server);
 		return;
 	}
 	at = tevent_timeval_current_ofs(
@@ -146,9 +159,10 @@
 }
 
 void
-loom_server_kick(struct loom_server *server)
+loom_server_schedule_run(struct loom_server *server)
 {
-	tevent_schedule_immediate(server->kick, server->ev, on_kick, server);
+	tevent_schedule_immediate(
+	    server->run_immediate, server->ev, on_run_immediate, server);
 }
 
 static int
@@ -187,9 +201,9 @@
 	    MHD_OPTION_LISTEN_SOCKET, fd, MHD_OPTION_CONNECTION_LIMIT,
 	    (unsigned)o->connections_max, MHD_OPTION_CONNECTION_TIMEOUT,
 	    (unsigned)o->idle_timeout_s, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-	    (size_t)CONNECTION_MEMORY, MHD_OPTION_URI_LOG_CALLBACK, on_target,
-	    server, MHD_OPTION_NOTIFY_COMPLETED, on_completed, server,
-	    MHD_OPTION_NOTIFY_CONNECTION, on_connection, server,
+	    (size_t)CONNECTION_MEMORY_BYTES, MHD_OPTION_URI_LOG_CALLBACK,
+	    on_target, server, MHD_OPTION_NOTIFY_COMPLETED, on_completed,
+	    server, MHD_OPTION_NOTIFY_CONNECTION, on_connection, server,
 	    MHD_OPTION_STRICT_FOR_CLIENT, 1, MHD_OPTION_ARRAY,
 	    has_tls ? tls : &tls[2], MHD_OPTION_END);
 }
@@ -212,9 +226,9 @@
 	    "Requests that were answered without a code.");
 	server->unused = loom_counter("loom_connections_unused_total", NULL,
 	    "Connections that ended without one whole request.");
-	server->kick = tevent_create_immediate(server);
+	server->run_immediate = tevent_create_immediate(server);
 	server->mhd = start_mhd(server, options);
-	if (server->kick == NULL || server->mhd == NULL)
+	if (server->run_immediate == NULL || server->mhd == NULL)
 		goto error;
 	talloc_set_destructor(server, server_destructor);
 	info = MHD_get_daemon_info(server->mhd, MHD_DAEMON_INFO_EPOLL_FD);
@@ -242,5 +256,5 @@
 	const union MHD_DaemonInfo *info;
 
 	info = MHD_get_daemon_info(server->mhd, MHD_DAEMON_INFO_LISTEN_FD);
-	listen_hold_off(info->listen_fd);
+	listen_drop_new_connections(info->listen_fd);
 }
