--- a/tests/http/test_peer_server.c
+++ b/tests/http/test_peer_server.c
@@ -1,6 +1,6 @@
 /*
- * The peers' server against whatever is sent to it: what counts as a request,
- * how an answer looks, and when the connection ends.
+ * Tests of the HTTP server for peer daemons: which input is accepted as a
+ * request, the exact bytes of the response, and when the connection is closed.
  */
 
 #include <arpa/inet.h>
@@ -14,76 +14,77 @@
 #include "support/loop.h"
 #include "support/test.h"
 
-#define ANSWER_MAX (256 * 1024)
+#define RESPONSE_MAX_BYTES (256 * 1024)
 #define CONNECTIONS_MAX 50
 
-/* What the owner of the exchanges does with a request, by its target. */
-enum deed {
-	DEED_ANSWER, /* when it is whole, with its method, target and body */
-	DEED_EARLY, /* 413 when the headers are in */
-	DEED_STREAM, /* the same in pieces, length unknown */
-	DEED_ABORT, /* after a piece */
-	DEED_WAIT, /* never */
-	DEED_SLOW, /* the body is taken a byte a turn */
-	DEED_EAGER, /* the same, and the next asked for from inside */
+/* How the test handler processes a request, selected by its target. */
+enum action {
+	ACTION_RESPOND, /* after the body, with method, target and body */
+	ACTION_REJECT_EARLY, /* status 413 after the headers */
+	ACTION_STREAM, /* like ACTION_RESPOND, streamed with unknown length */
+	ACTION_ABORT, /* abort after one streamed piece */
+	ACTION_NEVER_RESPOND,
+	ACTION_READ_SLOWLY, /* one byte of the body at a time */
+	ACTION_RESUME_FROM_CALLBACK, /* the same, see on_body() */
 };
 
 static const struct {
 	const char *target;
-	enum deed deed;
-} deeds[] = {
-	{ "/answer", DEED_ANSWER },
-	{ "/early", DEED_EARLY },
-	{ "/stream", DEED_STREAM },
-	{ "/abort", DEED_ABORT },
-	{ "/wait", DEED_WAIT },
-	{ "/slow", DEED_SLOW },
-	{ "/eager", DEED_EAGER },
+	enum action action;
+} actions[] = {
+	{ "/answer", ACTION_RESPOND },
+	{ "/early", ACTION_REJECT_EARLY },
+	{ "/stream", ACTION_STREAM },
+	{ "/abort", ACTION_ABORT },
+	{ "/wait", ACTION_NEVER_RESPOND },
+	{ "/slow", ACTION_READ_SLOWLY },
+	{ "/eager", ACTION_RESUME_FROM_CALLBACK },
 };
 
-/* One request at the owner. */
-struct owned {
-	struct owner *owner;
+/* State of one request; the exchange's user pointer. */
+struct request {
+	struct test_server *test_server;
 	struct loom_exchange *x;
-	enum deed deed;
+	enum action action;
 	GString *body;
 	struct tevent_timer *timer;
 };
 
-struct owner {
+struct test_server {
 	struct tevent_context *ev;
 	struct loom_peer_server *server;
 	int listen_fd;
 	uint32_t requests;
-	uint32_t gone;
+	uint32_t disconnects;
 	uint32_t ended;
 };
 
-static enum deed
-deed_of(const struct loom_exchange *x)
+static enum action
+action_of(const struct loom_exchange *x)
 {
 	const char *target = loom_exchange_target(x);
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(deeds); i++) {
-		if (g_str_has_prefix(target, deeds[i].target))
-			return deeds[i].deed;
+	for (i = 0; i < G_N_ELEMENTS(actions); i++) {
+		if (g_str_has_prefix(target, actions[i].target))
+			return actions[i].action;
 	}
-	return DEED_ANSWER;
+	return ACTION_RESPOND;
 }
 
 static void
-answer(struct owned *owned)
+respond(struct request *request)
 {
 	static const struct loom_header headers[] = { { "X-A", "b" } };
-	struct loom_exchange *x = owned->x;
+	struct loom_exchange *x = request->x;
 	char *text = g_strdup_printf("%s %s [%s]", loom_exchange_method(x),
-	    loom_exchange_target(x), owned->body->str);
+	    loom_exchange_target(x), request->body->str);
 
-	if (owned->deed == DEED_STREAM || owned->deed == DEED_ABORT) {
+	if (request->action == ACTION_STREAM ||
+	    request->action == ACTION_ABORT) {
 		loom_exchange_stream(x, 200, headers, 1, -1);
 		loom_exchange_push(x, text, strlen(text));
-		if (owned->deed == DEED_ABORT)
+		if (request->action == ACTION_ABORT)
 			loom_exchange_abort(x);
 		else
 			loom_exchange_finish(x);
@@ -96,60 +97,61 @@
 static void
 on_request(void *arg, struct loom_exchange *x)
 {
-	struct owner *owner = arg;
-	struct owned *owned = g_new0(struct owned, 1);
-
-	owned->owner = owner;
-	owned->x = x;
-	owned->deed = deed_of(x);
-	owned->body = g_string_new(NULL);
-	loom_exchange_set_user(x, owned);
-	owner->requests++;
-	if (owned->deed == DEED_EARLY)
+	struct test_server *test_server = arg;
+	struct request *request = g_new0(struct request, 1);
+
+	request->test_server = test_server;
+	request->x = x;
+	request->action = action_of(x);
+	request->body = g_string_new(NULL);
+	loom_exchange_set_user(x, request);
+	test_server->requests++;
+	if (request->action == ACTION_REJECT_EARLY)
 		loom_exchange_answer(x, 413, NULL, 0, "long", 4);
 	else if (loom_exchange_body_length(x) != 0)
 		loom_exchange_take_body(x);
-	else if (owned->deed != DEED_WAIT)
-		answer(owned);
+	else if (request->action != ACTION_NEVER_RESPOND)
+		respond(request);
 }
 
 static void
-take_more(struct tevent_context *ev, struct tevent_timer *timer,
+on_resume_timer(struct tevent_context *ev, struct tevent_timer *timer,
     struct timeval now, void *arg)
 {
-	struct owned *owned = arg;
+	struct request *request = arg;
 
 	(void)ev;
 	(void)timer;
 	(void)now;
-	owned->timer = NULL;
-	loom_exchange_take_body(owned->x);
+	request->timer = NULL;
+	loom_exchange_take_body(request->x);
 }
 
 static size_t
 on_body(struct loom_exchange *x, const uint8_t *data, size_t len)
 {
-	struct owned *owned = loom_exchange_user(x);
+	struct request *request = loom_exchange_user(x);
 
-	if (owned->deed == DEED_EAGER) {
+	if (request->action == ACTION_RESUME_FROM_CALLBACK) {
+		/* ask for more from inside the callback */
 		len = MIN(len, 1);
 		loom_exchange_take_body(x);
 	}
-	if (owned->deed == DEED_SLOW) {
+	if (request->action == ACTION_READ_SLOWLY) {
 		len = MIN(len, 1);
-		if (owned->timer == NULL)
-			owned->timer =
-			    tevent_add_timer(owned->owner->ev, owned->owner->ev,
-				tevent_timeval_zero(), take_more, owned);
+		if (request->timer == NULL)
+			request->timer = tevent_add_timer(
+			    request->test_server->ev, request->test_server->ev,
+			    tevent_timeval_zero(), on_resume_timer, request);
 	}
-	g_string_append_len(owned->body, (const char *)data, (gssize)len);
+	g_string_append_len(request->body, (const char *)data, (gssize)len);
 	return len;
 }
 
 static void
 on_body_end(struct loom_exchange *x)
 {
-	answer(loom_exchange_user(x));
+	respond(loom_exchange_user(x));
 }
 
 static void
@@ -161,20 +163,20 @@
 static void
 on_gone(struct loom_exchange *x)
 {
-	struct owned *owned = loom_exchange_user(x);
+	struct request *request = loom_exchange_user(x);
 
-	owned->owner->gone++;
+	request->test_server->disconnects++;
 }
 
 static void
 on_end(struct loom_exchange *x)
 {
-	struct owned *owned = loom_exchange_user(x);
+	struct request *request = loom_exchange_user(x);
 
-	owned->owner->ended++;
-	talloc_free(owned->timer);
-	g_string_free(owned->body, TRUE);
-	g_free(owned);
+	request->test_server->ended++;
+	talloc_free(request->timer);
+	g_string_free(request->body, TRUE);
+	g_free(request);
 }
 
 static const struct loom_exchange_ops ops = {
@@ -187,39 +189,41 @@
 };
 
 static void
-owner_start(struct owner *owner, uint32_t connections_max, uint32_t idle_s)
+test_server_start(
+    struct test_server *test_server, uint32_t connections_max, uint32_t idle_s)
 {
 	struct loom_server_options options = {
 		.connections_max = connections_max,
 		.idle_timeout_s = idle_s,
 		.ops = &ops,
-		.arg = owner,
+		.arg = test_server,
 	};
 	GError *error = NULL;
 
-	memset(owner, 0, sizeof(*owner));
-	owner->listen_fd = loom_server_listen("127.0.0.1:0", &error);
-	options.listen_fd = owner->listen_fd;
-	owner->ev = tevent_context_init(NULL);
-	owner->server = loom_peer_server_new(owner->ev, owner->ev,
-	    loom_sockets_new(owner->ev, owner->ev), &options, &error);
-	CU_ASSERT_PTR_NOT_NULL_FATAL(owner->server);
+	memset(test_server, 0, sizeof(*test_server));
+	test_server->listen_fd = loom_server_listen("127.0.0.1:0", &error);
+	options.listen_fd = test_server->listen_fd;
+	test_server->ev = tevent_context_init(NULL);
+	test_server->server = loom_peer_server_new(test_server->ev,
+	    test_server->ev, loom_sockets_new(test_server->ev, test_server->ev),
+	    &options, &error);
+	CU_ASSERT_PTR_NOT_NULL_FATAL(test_server->server);
 }
 
 static void
-owner_stop(struct owner *owner)
+test_server_stop(struct test_server *test_server)
 {
-	TALLOC_FREE(owner->server);
-	close(owner->listen_fd);
-	talloc_free(owner->ev);
+	TALLOC_FREE(test_server->server);
+	close(test_server->listen_fd);
+	talloc_free(test_server->ev);
 }
 
 static int
-connect_to(const struct owner *owner)
+connect_to(const struct test_server *test_server)
 {
 	const struct sockaddr_in address = {
 		.sin_family = AF_INET,
-		.sin_port = htons(loom_server_port(owner->listen_fd)),
+		.sin_port = htons(loom_server_port(test_server->listen_fd)),
 		.sin_addr.s_addr = htonl(INADDR_LOOPBACK),
 	};
 	const int on = 1;
@@ -231,15 +235,16 @@
 	return fd;
 }
 
-/* What a caller sends, and what it got until the end or the marker. */
+/* A client thread: sends text and receives until the expected end or until the
+ * connection ends. */
 struct caller {
 	int fd;
 	const char *text;
-	bool in_bytes;
-	const char *until; /* the last bytes of the answer; NULL: its end */
-	char got[ANSWER_MAX];
+	bool byte_by_byte;
+	const char *expected_end; /* NULL: the end of the connection */
+	char received[RESPONSE_MAX_BYTES];
 	bool closed;
-	gint over;
+	gint done;
 	GThread *thread;
 };
 
@@ -247,7 +252,7 @@
 send_text(const struct caller *caller)
 {
 	const size_t len = strlen(caller->text);
-	const size_t step = caller->in_bytes ? 1 : len;
+	const size_t step = caller->byte_by_byte ? 1 : len;
 	size_t i;
 
 	for (i = 0; i < len; i += step) {
@@ -264,17 +269,17 @@
 	ssize_t n = 1;
 
 	send_text(caller);
-	while (caller->until == NULL ||
-	    !g_str_has_suffix(caller->got, caller->until)) {
-		n = recv(
-		    caller->fd, caller->got + len, ANSWER_MAX - 1 - len, 0);
+	while (caller->expected_end == NULL ||
+	    !g_str_has_suffix(caller->received, caller->expected_end)) {
+		n = recv(caller->fd, caller->received + len,
+		    RESPONSE_MAX_BYTES - 1 - len, 0);
 		if (n <= 0)
 			break;
 		len += (size_t)n;
-		caller->got[len] = '\0';
+		caller->received[len] = '\0';
 	}
 	caller->closed = n == 0;
-	g_atomic_int_set(&caller->over, 1);
+	g_atomic_int_set(&caller->done, 1);
 	return NULL;
 }
 
@@ -288,28 +293,29 @@
 	    on_tick, arg);
 }
 
-/* Call, and serve until the caller is done; the connection stays open. */
+/* Runs the client and the event loop until the client is done; its connection
+ * stays open. */
 static void
-call(struct owner *owner, struct caller *caller)
+run_exchange(struct test_server *test_server, struct caller *caller)
 {
-	bool passed = false;
+	bool timed_out = false;
 	struct tevent_timer *limit =
-	    test_loop_limit(owner->ev, owner->ev, &passed);
+	    test_loop_limit(test_server->ev, test_server->ev, &timed_out);
 
 	caller->thread = g_thread_new("caller", run_caller, caller);
-	on_tick(owner->ev, NULL, tevent_timeval_zero(), NULL);
-	while (!g_atomic_int_get(&caller->over) && !passed)
-		tevent_loop_once(owner->ev);
-	CU_ASSERT_FALSE(passed);
-	if (passed)
+	on_tick(test_server->ev, NULL, tevent_timeval_zero(), NULL);
+	while (!g_atomic_int_get(&caller->done) && !timed_out)
+		tevent_loop_once(test_server->ev);
+	CU_ASSERT_FALSE(timed_out);
+	if (timed_out)
 		shutdown(caller->fd, SHUT_RDWR);
 	g_thread_join(caller->thread);
 	talloc_free(limit);
 }
 
-#define GOT(body, length) \
+#define RESPONSE(body, length) \
 	"HTTP/1.1 200 OK\r\nX-A: b\r\nContent-Length: " length "\r\n\r\n" body
-#define GOT_LAST(body, length)                                 \
+#define RESPONSE_AND_CLOSE(body, length)                       \
 	"HTTP/1.1 200 OK\r\nX-A: b\r\nContent-Length: " length \
 	"\r\nConnection: close\r\n\r\n" body
 #define MALFORMED                                           \
@@ -319,104 +325,111 @@
 static const struct request_case {
 	const char *name;
 	const char *text;
-	const char *answer;
+	const char *response;
 	bool closed;
 } request_cases[] = {
-	{ "get", "GET /answer?q=1 HTTP/1.1\r\nHost: h\r\n\r\n",
-	    GOT("GET /answer?q=1 []", "18"), false },
-	{ "length", "POST /answer HTTP/1.1\r\nContent-Length: 5\r\n\r\nhello",
-	    GOT("POST /answer [hello]", "20"), false },
+	{ "GET", "GET /answer?q=1 HTTP/1.1\r\nHost: h\r\n\r\n",
+	    RESPONSE("GET /answer?q=1 []", "18"), false },
+	{ "body with length",
+	    "POST /answer HTTP/1.1\r\nContent-Length: 5\r\n\r\nhello",
+	    RESPONSE("POST /answer [hello]", "20"), false },
 	{ "length 0", "POST /answer HTTP/1.1\r\nContent-Length: 0\r\n\r\n",
-	    GOT("POST /answer []", "15"), false },
-	{ "chunks",
+	    RESPONSE("POST /answer []", "15"), false },
+	{ "chunked body",
 	    "PUT /answer HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
 	    "3\r\nhel\r\n2\r\nlo\r\n0\r\nX-T: z\r\n\r\n",
-	    GOT("PUT /answer [hello]", "19"), false },
-	{ "head", "HEAD /answer HTTP/1.1\r\n\r\n", GOT("", "15"), false },
-	{ "taken slowly",
+	    RESPONSE("PUT /answer [hello]", "19"), false },
+	{ "HEAD", "HEAD /answer HTTP/1.1\r\n\r\n", RESPONSE("", "15"), false },
+	{ "body read slowly",
 	    "POST /slow HTTP/1.1\r\nContent-Length: 12\r\n\r\nhello, hello",
-	    GOT("POST /slow [hello, hello]", "25"), false },
-	{ "chunks taken slowly",
+	    RESPONSE("POST /slow [hello, hello]", "25"), false },
+	{ "chunks read slowly",
 	    "POST /slow HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
 	    "6\r\nhello,\r\n6\r\n hello\r\n0\r\n\r\n",
-	    GOT("POST /slow [hello, hello]", "25"), false },
-	{ "asked for from inside",
+	    RESPONSE("POST /slow [hello, hello]", "25"), false },
+	{ "body resumed from callback",
 	    "POST /eager HTTP/1.1\r\nContent-Length: 12\r\n\r\nhello, hello",
-	    GOT("POST /eager [hello, hello]", "26"), false },
+	    RESPONSE("POST /eager [hello, hello]", "26"), false },
 	{ "stream", "GET /stream HTTP/1.1\r\n\r\n",
 	    "HTTP/1.1 200 OK\r\nX-A: b\r\nTransfer-Encoding: chunked\r\n\r\n"
 	    "e\r\nGET /stream []\r\n0\r\n\r\n",
 	    false },
-	{ "two at once",
+	{ "pipelined requests",
 	    "GET /answer/1 HTTP/1.1\r\n\r\n"
 	    "POST /answer/2 HTTP/1.1\r\nContent-Length: 1\r\n\r\nx",
-	    GOT("GET /answer/1 []", "16") GOT("POST /answer/2 [x]", "18"),
+	    RESPONSE("GET /answer/1 []", "16")
+		RESPONSE("POST /answer/2 [x]", "18"),
 	    false },
-	{ "goes on after the body",
+	{ "100-continue",
 	    "POST /answer HTTP/1.1\r\nExpect: 100-continue\r\n"
 	    "Content-Length: 1\r\n\r\nx",
-	    "HTTP/1.1 100 Continue\r\n\r\n" GOT("POST /answer [x]", "16"),
+	    "HTTP/1.1 100 Continue\r\n\r\n" RESPONSE("POST /answer [x]", "16"),
 	    false },
-	{ "last", "GET /answer HTTP/1.1\r\nConnection: close\r\n\r\n",
-	    GOT_LAST("GET /answer []", "14"), true },
+	{ "Connection: close",
+	    "GET /answer HTTP/1.1\r\nConnection: close\r\n\r\n",
+	    RESPONSE_AND_CLOSE("GET /answer []", "14"), true },
 	{ "HTTP/1.0", "GET /answer HTTP/1.0\r\n\r\n",
-	    GOT_LAST("GET /answer []", "14"), true },
-	{ "early", "POST /early HTTP/1.1\r\nContent-Length: 500\r\n\r\nbegun",
+	    RESPONSE_AND_CLOSE("GET /answer []", "14"), true },
+	{ "response before the body",
+	    "POST /early HTTP/1.1\r\nContent-Length: 500\r\n\r\nbegun",
 	    "HTTP/1.1 413 Payload Too Large\r\nContent-Length: 4\r\n"
 	    "Connection: close\r\n\r\nlong",
 	    true },
-	{ "broken off", "GET /abort HTTP/1.1\r\n\r\n", NULL, false },
+	{ "aborted", "GET /abort HTTP/1.1\r\n\r\n", NULL, false },
 	{ "garbage", "\x16\x03\x01 and so on\r\n\r\n", MALFORMED, true },
-	{ "garbage behind a request",
+	{ "garbage after a request",
 	    "GET /answer HTTP/1.1\r\n\r\n\x16\x03\x01 and so on\r\n\r\n",
-	    GOT("GET /answer []", "14") MALFORMED, true },
-	{ "garbage behind a body taken slowly",
+	    RESPONSE("GET /answer []", "14") MALFORMED, true },
+	{ "garbage after a body read slowly",
 	    "POST /slow HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi"
 	    "\x16\x03\x01 and so on\r\n\r\n",
-	    GOT("POST /slow [hi]", "15") MALFORMED, true },
-	{ "broken chunks, taken slowly",
+	    RESPONSE("POST /slow [hi]", "15") MALFORMED, true },
+	{ "malformed chunks, read slowly",
 	    "POST /slow HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
 	    "2\r\nhi\r\nzz\r\n",
 	    "", true },
-	{ "no protocol", "GET /answer\r\n\r\n", MALFORMED, true },
+	{ "no HTTP version", "GET /answer\r\n\r\n", MALFORMED, true },
 	{ "two lengths",
 	    "POST /answer HTTP/1.1\r\nContent-Length: 1\r\n"
 	    "Content-Length: 2\r\n\r\nxy",
 	    MALFORMED, true },
-	{ "length and chunks",
+	{ "length and chunked",
 	    "POST /answer HTTP/1.1\r\nContent-Length: 1\r\n"
 	    "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
 	    MALFORMED, true },
-	{ "length of letters",
+	{ "length is not a number",
 	    "POST /answer HTTP/1.1\r\nContent-Length: one\r\n\r\nx", MALFORMED,
 	    true },
-	{ "space behind a name",
+	{ "space after a name",
 	    "POST /answer HTTP/1.1\r\nContent-Length : 1\r\n\r\nx", MALFORMED,
 	    true },
 };
 
 static void
-check_request(const struct request_case *c, bool in_bytes)
+check_request(const struct request_case *c, bool byte_by_byte)
 {
 	struct caller *caller = g_new0(struct caller, 1);
-	struct owner owner;
+	struct test_server test_server;
 
-	owner_start(&owner, CONNECTIONS_MAX, 30);
-	caller->fd = connect_to(&owner);
+	test_server_start(&test_server, CONNECTIONS_MAX, 30);
+	caller->fd = connect_to(&test_server);
 	caller->text = c->text;
-	caller->in_bytes = in_bytes;
-	caller->until = c->closed ? NULL : c->answer;
-	call(&owner, caller);
-	TEST_CHECK(c->answer == NULL || strcmp(caller->got, c->answer) == 0,
-	    "%s: got '%s'", c->name, caller->got);
-	/* bytes that come after an end without an answer make it a reset */
+	caller->byte_by_byte = byte_by_byte;
+	caller->expected_end = c->closed ? NULL : c->response;
+	run_exchange(&test_server, caller);
+	TEST_CHECK(
+	    c->response == NULL || strcmp(caller->received, c->response) == 0,
+	    "%s: got '%s'", c->name, caller->received);
+	/* When the server closes without a response, data that arrives
+	 * afterwards turns the close into a reset. */
 	TEST_CHECK(caller->closed == c->closed ||
-		(c->answer != NULL && c->answer[0] == '\0'),
+		(c->response != NULL && c->response[0] == '\0'),
 	    "%s: closed %d", c->name, caller->closed);
 	close(caller->fd);
-	owner_stop(&owner);
-	TEST_CHECK(owner.requests == owner.ended, "%s: %u requests, %u ended",
-	    c->name, owner.requests, owner.ended);
+	test_server_stop(&test_server);
+	TEST_CHECK(test_server.requests == test_server.ended,
+	    "%s: %u requests, %u ended", c->name, test_server.requests,
+	    test_server.ended);
 	g_free(caller);
 }
 
@@ -432,56 +445,61 @@
 }
 
 static struct loom_server *
-callers_server_start(struct owner *owner)
+caller_server_start(struct test_server *test_server)
 {
 	struct loom_server_options options = {
 		.connections_max = CONNECTIONS_MAX,
 		.idle_timeout_s = 30,
 		.ops = &ops,
-		.arg = owner,
+		.arg = test_server,
 	};
 	struct loom_server *server;
 	GError *error = NULL;
 
-	owner->listen_fd = loom_server_listen("127.0.0.1:0", &error);
-	options.listen_fd = owner->listen_fd;
-	owner->ev = tevent_context_init(NULL);
-	server = loom_server_new(owner->ev, owner->ev,
-	    loom_hangup_new(owner->ev, owner->ev), &options, &error);
+	test_server->listen_fd = loom_server_listen("127.0.0.1:0", &error);
+	options.listen_fd = test_server->listen_fd;
+	test_server->ev = tevent_context_init(NULL);
+	server = loom_server_new(test_server->ev, test_server->ev,
+	    loom_hangup_new(test_server->ev, test_server->ev), &options,
+	    &error);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(server);
 	return server;
 }
 
 static void
-callers_server_stop(struct owner *owner, struct loom_server *server)
+caller_server_stop(struct test_server *test_server, struct loom_server *server)
 {
 	talloc_free(server);
-	close(owner->listen_fd);
-	talloc_free(owner->ev);
+	close(test_server->listen_fd);
+	talloc_free(test_server->ev);
 }
 
-/* Guards against an upload that stops for good at either server: its owner
- * asked for more from inside the taking of a piece. */
+/*
+ * Checks that an upload completes, at the server for callers, when the handler
+ * asks for more of the body from inside the body callback. The upload used to
+ * stop forever at either server; "body resumed from callback" in request_cases
+ * covers the other one.
+ */
 static void
-test_asked_from_inside(void)
+test_resume_from_callback(void)
 {
 	struct caller *caller = g_new0(struct caller, 1);
-	struct owner owner = { .requests = 0 };
-	struct loom_server *server = callers_server_start(&owner);
+	struct test_server test_server = { .requests = 0 };
+	struct loom_server *server = caller_server_start(&test_server);
 
-	caller->fd = connect_to(&owner);
+	caller->fd = connect_to(&test_server);
 	caller->text = "POST /eager HTTP/1.1\r\nHost: h\r\n"
 		       "Content-Length: 12\r\n\r\nhello, hello";
-	caller->until = "[hello, hello]";
-	call(&owner, caller);
-	CU_ASSERT_TRUE(g_str_has_suffix(caller->got, "[hello, hello]"));
+	caller->expected_end = "[hello, hello]";
+	run_exchange(&test_server, caller);
+	CU_ASSERT_TRUE(g_str_has_suffix(caller->received, "[hello, hello]"));
 	close(caller->fd);
-	callers_server_stop(&owner, server);
+	caller_server_stop(&test_server, server);
 	g_free(caller);
 }
 
 static void
-ignore_timer(struct tevent_context *ev, struct tevent_timer *timer,
+on_wakeup(struct tevent_context *ev, struct tevent_timer *timer,
     struct timeval now, void *arg)
 {
 	(void)ev;
@@ -490,24 +508,26 @@
 	(void)arg;
 }
 
-/* Let the server do what there is, for a millisecond. */
+/* Runs one iteration of the event loop; returns after a millisecond at the
+ * latest. */
 static void
-turn(struct owner *owner)
+run_loop_once(struct test_server *test_server)
 {
-	tevent_add_timer(owner->ev, owner->ev,
-	    tevent_timeval_current_ofs(0, 1000), ignore_timer, NULL);
-	tevent_loop_once(owner->ev);
+	tevent_add_timer(test_server->ev, test_server->ev,
+	    tevent_timeval_current_ofs(0, 1000), on_wakeup, NULL);
+	tevent_loop_once(test_server->ev);
 }
 
-/* Send so many bytes in pieces; the error of the connection, 0 for none. */
+/* Sends this many bytes in pieces while the event loop runs. Returns the errno
+ * of the connection, 0 for none. */
 static int
-send_slowly(struct owner *owner, int fd, size_t bytes)
+send_in_pieces(struct test_server *test_server, int fd, size_t bytes)
 {
 	static const char piece[16384];
 	ssize_t n;
 
 	while (bytes > 0) {
-		turn(owner);
+		run_loop_once(test_server);
 		n = send(fd, piece, MIN(bytes, sizeof(piece)),
 		    MSG_NOSIGNAL | MSG_DONTWAIT);
 		if (n < 0 && errno != EAGAIN)
@@ -518,131 +538,140 @@
 	return 0;
 }
 
-/* Guards against a reset that overtakes the answer to an upload which was
- * refused by its headers, while its caller sends it all the same. */
+/*
+ * Checks that the response to an upload that was refused because of its headers
+ * is received although the caller keeps sending the body. Closing the socket
+ * with unread data would send a reset, which could overtake the response.
+ */
 static void
 test_refused_upload(void)
 {
 	static const char text[] = "POST /early HTTP/1.1\r\nHost: h\r\n"
 				   "Content-Length: 524288\r\n\r\n";
-	struct owner owner = { .requests = 0 };
-	struct loom_server *server = callers_server_start(&owner);
-	char got[64] = "";
-	int fd = connect_to(&owner);
+	struct test_server test_server = { .requests = 0 };
+	struct loom_server *server = caller_server_start(&test_server);
+	char received[64] = "";
+	int fd = connect_to(&test_server);
 
 	send(fd, text, strlen(text), MSG_NOSIGNAL);
-	while (recv(fd, got, sizeof(got) - 1, MSG_PEEK | MSG_DONTWAIT) <= 0)
-		turn(&owner);
-	CU_ASSERT_EQUAL(send_slowly(&owner, fd, 524288), 0);
-	CU_ASSERT_TRUE(recv(fd, got, sizeof(got) - 1, MSG_DONTWAIT) > 0);
-	CU_ASSERT_TRUE(g_str_has_prefix(got, "HTTP/1.1 413 "));
+	while (recv(fd, received, sizeof(received) - 1,
+		   MSG_PEEK | MSG_DONTWAIT) <= 0)
+		run_loop_once(&test_server);
+	CU_ASSERT_EQUAL(send_in_pieces(&test_server, fd, 524288), 0);
+	CU_ASSERT_TRUE(
+	    recv(fd, received, sizeof(received) - 1, MSG_DONTWAIT) > 0);
+	CU_ASSERT_TRUE(g_str_has_prefix(received, "HTTP/1.1 413 "));
 	close(fd);
-	callers_server_stop(&owner, server);
+	caller_server_stop(&test_server, server);
 }
 
-/* Guards against work that goes on for a caller that has gone away. */
+/* Checks that the handler is notified when a caller disconnects; otherwise its
+ * request would be processed for nobody. */
 static void
-test_gone(void)
+test_caller_disconnects(void)
 {
 	static const char *const texts[] = {
 		"GET /wait HTTP/1.1\r\n\r\n",
 		"POST /answer HTTP/1.1\r\nContent-Length: 500\r\n\r\nbegun",
 	};
-	struct owner owner;
+	struct test_server test_server;
 	size_t i;
 	int fd;
 
 	for (i = 0; i < G_N_ELEMENTS(texts); i++) {
-		owner_start(&owner, CONNECTIONS_MAX, 30);
-		fd = connect_to(&owner);
+		test_server_start(&test_server, CONNECTIONS_MAX, 30);
+		fd = connect_to(&test_server);
 		send(fd, texts[i], strlen(texts[i]), MSG_NOSIGNAL);
-		while (owner.requests == 0)
-			tevent_loop_once(owner.ev);
-		CU_ASSERT_EQUAL(owner.gone, 0);
+		while (test_server.requests == 0)
+			tevent_loop_once(test_server.ev);
+		CU_ASSERT_EQUAL(test_server.disconnects, 0);
 		close(fd);
-		while (owner.ended == 0)
-			tevent_loop_once(owner.ev);
-		CU_ASSERT_EQUAL(owner.gone, 1);
-		owner_stop(&owner);
+		while (test_server.ended == 0)
+			tevent_loop_once(test_server.ev);
+		CU_ASSERT_EQUAL(test_server.disconnects, 1);
+		test_server_stop(&test_server);
 	}
 }
 
-/* A connection that brings nothing ends; one whose request is worked on does
- * not. */
+/* Checks that an idle connection is closed, but not one whose request is being
+ * processed. */
 static void
 test_idle(void)
 {
 	struct caller *caller = g_new0(struct caller, 1);
-	struct owner owner;
+	struct test_server test_server;
 	int fd;
 
-	owner_start(&owner, CONNECTIONS_MAX, 1);
-	fd = connect_to(&owner);
+	test_server_start(&test_server, CONNECTIONS_MAX, 1);
+	fd = connect_to(&test_server);
 	send(fd, "GET /wait HTTP/1.1\r\n\r\n", 22, MSG_NOSIGNAL);
-	while (owner.requests == 0)
-		tevent_loop_once(owner.ev);
-	caller->fd = connect_to(&owner);
+	while (test_server.requests == 0)
+		tevent_loop_once(test_server.ev);
+	caller->fd = connect_to(&test_server);
 	caller->text = "GET /answ";
-	call(&owner, caller);
+	run_exchange(&test_server, caller);
 	CU_ASSERT_TRUE(caller->closed);
-	CU_ASSERT_EQUAL(owner.gone, 0);
+	CU_ASSERT_EQUAL(test_server.disconnects, 0);
 	close(caller->fd);
 	close(fd);
-	owner_stop(&owner);
+	test_server_stop(&test_server);
 	g_free(caller);
 }
 
-/* A connection too many waits until another one ends. */
+/* Checks that a connection over the limit is served once another one is closed.
+ */
 static void
-test_full(void)
+test_connection_limit(void)
 {
 	struct caller *caller = g_new0(struct caller, 1);
-	struct owner owner;
+	struct test_server test_server;
 	int first;
 
-	owner_start(&owner, 1, 30);
-	first = connect_to(&owner);
+	test_server_start(&test_server, 1, 30);
+	first = connect_to(&test_server);
 	send(first, "GET /wait HTTP/1.1\r\n\r\n", 22, MSG_NOSIGNAL);
-	while (owner.requests == 0)
-		tevent_loop_once(owner.ev);
-	caller->fd = connect_to(&owner);
+	while (test_server.requests == 0)
+		tevent_loop_once(test_server.ev);
+	caller->fd = connect_to(&test_server);
 	caller->text = "GET /answer HTTP/1.1\r\n\r\n";
-	caller->until = "[]";
+	caller->expected_end = "[]";
 	close(first);
-	call(&owner, caller);
-	CU_ASSERT_TRUE(g_str_has_suffix(caller->got, "[]"));
+	run_exchange(&test_server, caller);
+	CU_ASSERT_TRUE(g_str_has_suffix(caller->received, "[]"));
 	close(caller->fd);
-	owner_stop(&owner);
+	test_server_stop(&test_server);
 	g_free(caller);
 }
 
-/* Each answer of a server that drains is the last of its connection. */
+/* Checks that a draining server closes each connection after its next response.
+ */
 static void
-test_drains(void)
+test_drain(void)
 {
 	struct caller *caller = g_new0(struct caller, 1);
-	struct owner owner;
+	struct test_server test_server;
 
-	owner_start(&owner, CONNECTIONS_MAX, 30);
-	loom_peer_server_drain(owner.server);
-	caller->fd = connect_to(&owner);
+	test_server_start(&test_server, CONNECTIONS_MAX, 30);
+	loom_peer_server_drain(test_server.server);
+	caller->fd = connect_to(&test_server);
 	caller->text = "GET /answer HTTP/1.1\r\n\r\n";
-	call(&owner, caller);
+	run_exchange(&test_server, caller);
 	CU_ASSERT_TRUE(caller->closed);
-	CU_ASSERT_STRING_EQUAL(caller->got, GOT_LAST("GET /answer []", "14"));
+	CU_ASSERT_STRING_EQUAL(
+	    caller->received, RESPONSE_AND_CLOSE("GET /answer []", "14"));
 	close(caller->fd);
-	owner_stop(&owner);
+	test_server_stop(&test_server);
 	g_free(caller);
 }
 
 static const struct test_case tests[] = {
 	{ "requests", test_requests },
-	{ "asked from inside", test_asked_from_inside },
+	{ "body resumed from callback", test_resume_from_callback },
 	{ "refused upload", test_refused_upload },
-	{ "caller gone", test_gone },
+	{ "caller disconnects", test_caller_disconnects },
 	{ "idle", test_idle },
-	{ "full", test_full },
-	{ "drains", test_drains },
+	{ "connection limit", test_connection_limit },
+	{ "drain", test_drain },
 };
 
 TEST_MAIN("peer_server", tests)
