--- a/include/loom/hangup.h
+++ b/include/loom/hangup.h
@@ -5,7 +5,7 @@
  * Detects that the remote side of a socket has closed it while nobody reads
  * from the socket.
  *
- * libmicrohttpd does not poll the socket of a suspended connection. Without
+ * libmicrohttpd does not poll the socket of a suspended connection.  Without
  * this watch a caller that gives up would be noticed only when its response is
  * written, and the upstream would work on a request that nobody waits for.
  */
@@ -21,7 +21,7 @@
 
 /*
  * Watches fd, which must stay open until the watch is freed. on_hangup is
- * called at most once, from the event loop. The watch is owned by the caller:
+ * called at most once, from the event loop.  The watch is owned by the caller:
  * talloc_free() removes it.
  */
 struct loom_hangup_watch *loom_hangup_watch(TALLOC_CTX *, struct loom_hangup *,
--- a/include/loom/peer_server.h
+++ b/include/loom/peer_server.h
@@ -2,10 +2,10 @@
 #define LOOM_PEER_SERVER_H
 
 /*
- * HTTP server for other daemons, on one worker thread. It creates the same
+ * HTTP server for other daemons, on one worker thread.  It creates the same
  * exchanges as loom/server.h, but is based on http_parser and supports only
- * HTTP/1.1 without TLS. Callers, who may send anything and may use TLS, are
- * served by loom/server.h.
+ * HTTP/1.1 and HTTP/1.0 without TLS. Callers, who may send anything and may use
+ * TLS, are served by loom/server.h.
  */
 
 #include "loom/server.h"
@@ -14,7 +14,7 @@
 struct loom_peer_server;
 
 /* Starts serving; owned by the caller (talloc), the sockets are borrowed.
- * options->tls is ignored. Returns NULL with LOOM_START on failure. */
+ * options->tls is ignored.  Returns NULL with LOOM_START on failure. */
 struct loom_peer_server *loom_peer_server_new(TALLOC_CTX *,
     struct tevent_context *, struct loom_sockets *,
     const struct loom_server_options *, GError **error);
--- a/include/loom/server.h
+++ b/include/loom/server.h
@@ -2,11 +2,11 @@
 #define LOOM_SERVER_H
 
 /*
- * HTTP server for the callers of the daemon, on one worker thread. It is the
+ * HTTP server for the callers of the daemon, on one worker thread.  It is the
  * only interface to libmicrohttpd.
  *
- * An exchange is one request and its response. It exists from the request's
- * headers until ops->end, which is called exactly once. Its functions may be
+ * An exchange is one request and its response.  It exists from the request's
+ * headers until ops->end, which is called exactly once.  Its functions may be
  * called on the worker's thread only.
  *
  * The handler of an exchange is the code behind loom_exchange_ops.
@@ -33,11 +33,11 @@
 };
 
 struct loom_exchange_ops {
-	/* The headers were received; no byte of the body was read yet. The
+	/* The headers were received; no byte of the body was read yet.  The
 	 * handler responds or asks for the body with loom_exchange_take_body(),
 	 * now or later. */
 	void (*request)(void *arg, struct loom_exchange *);
-	/* Part of the body was received. Returns how many bytes were consumed;
+	/* Part of the body was received.  Returns how many bytes were consumed;
 	 * if fewer than len, the callback is not called again until the next
 	 * loom_exchange_take_body(). */
 	size_t (*body)(struct loom_exchange *, const uint8_t *data, size_t len);
@@ -64,19 +64,20 @@
 	void *arg; /* borrowed, passed to ops->request */
 };
 
-/* Parses "ip:port". Fails with LOOM_LISTEN. */
+/* Parses "ip:port".  Fails with LOOM_LISTEN. */
 bool loom_server_address(
     const char *text, struct sockaddr_in *address, GError **error);
 
 /* Opens a non-blocking listening socket on "ip:port"; port 0 selects a free
- * port. Returns the descriptor, owned by the caller, or -1 with LOOM_LISTEN. */
+ * port.  Returns the descriptor, owned by the caller, or -1 with LOOM_LISTEN.
+ */
 int loom_server_listen(const char *address, GError **error);
 
 /* The port that a listening socket is bound to. */
 uint16_t loom_server_port(int listen_fd);
 
-/* Starts serving; owned by the caller (talloc). Returns NULL with LOOM_START on
- * failure. */
+/* Starts serving; owned by the caller (talloc).  Returns NULL with LOOM_START
+ * on failure. */
 struct loom_server *loom_server_new(TALLOC_CTX *, struct tevent_context *,
     struct loom_hangup *, const struct loom_server_options *, GError **error);
 
@@ -85,12 +86,12 @@
 
 /*
  * Drops new connection attempts; established connections are still accepted and
- * served. Until the listening socket is closed an attempt gets no reply, and
+ * served.  Until the listening socket is closed an attempt gets no reply, and
  * after that it is refused.
  */
 void loom_server_hold_off(struct loom_server *);
 
-/* The request. Strings are borrowed from the exchange. */
+/* The request.  Strings are borrowed from the exchange. */
 const char *loom_exchange_method(const struct loom_exchange *);
 const char *loom_exchange_target(
     const struct loom_exchange *); /* undecoded, with the query */
@@ -113,8 +114,8 @@
 void loom_exchange_take_body(struct loom_exchange *);
 
 /*
- * Responds with a complete body, which is copied. If the request body was not
- * read completely, the connection is closed after the response. Only the first
+ * Responds with a complete body, which is copied.  If the request body was not
+ * read completely, the connection is closed after the response.  Only the first
  * response takes effect.
  */
 void loom_exchange_answer(struct loom_exchange *, uint16_t status,
@@ -123,7 +124,7 @@
 
 /*
  * Starts a response whose body is sent with loom_exchange_push() and ended with
- * loom_exchange_finish(). length is -1 if it is not known. A response to HEAD
+ * loom_exchange_finish(). length is -1 if it is not known.  A response to HEAD
  * announces its length and has no body.
  */
 void loom_exchange_stream(struct loom_exchange *, uint16_t status,
--- a/include/loom/tls.h
+++ b/include/loom/tls.h
@@ -2,7 +2,7 @@
 #define LOOM_TLS_H
 
 /*
- * The server's TLS key and certificate. They are checked before any socket is
+ * The server's TLS key and certificate.  They are checked before any socket is
  * opened, since libmicrohttpd would report only that it cannot start.
  */
 
--- a/src/http/early.c
+++ b/src/http/early.c
@@ -2,17 +2,17 @@
  * Responses to callers that are still sending their request.
  *
  * libmicrohttpd queues a response before the body or after its end, but not in
- * between. A request that is given up while its body is received (its key was
+ * between.  A request that is given up while its body is received (its key was
  * withdrawn, its deadline passed, its body is too long) could only be reset,
- * and its caller could not tell whether it had been executed. The response is
+ * and its caller could not tell whether it had been executed.  The response is
  * therefore written to the connection's socket here, completely and in one go,
- * and nothing is sent after it. A response before the body is sent in the same
+ * and nothing is sent after it.  A response before the body is sent in the same
  * way, since libmicrohttpd closes the connection after such a response without
  * reading the body that the caller may send nevertheless.
  *
  * Then the sending side of the connection is shut down, and further received
  * data is read and discarded: closing a socket with unread data sends a reset,
- * which may reach the caller before the response. Discarding ends with the
+ * which may reach the caller before the response.  Discarding ends with the
  * body, after EXCHANGE_DISCARD_MAX_BYTES, or after EXCHANGE_LINGER_US.
  */
 
--- a/src/http/exchange.c
+++ b/src/http/exchange.c
@@ -48,6 +48,7 @@
 		count->n++;
 }
 
+/* Header names are compared without regard to case. */
 uint32_t
 loom_exchange_header_count(const struct loom_exchange *x, const char *name)
 {
@@ -127,7 +128,7 @@
 
 /*
  * Connecting a TCP socket to AF_UNSPEC dissolves the association, which sends a
- * reset and nothing before it. SO_LINGER would not work here: libmicrohttpd
+ * reset and nothing before it.  SO_LINGER would not work here: libmicrohttpd
  * shuts a connection down before it closes it, so a FIN would be sent before
  * the reset.
  */
--- a/src/http/exchange.h
+++ b/src/http/exchange.h
@@ -2,7 +2,7 @@
 #define LOOM_HTTP_EXCHANGE_H
 
 /*
- * The operations that each HTTP server implements for its exchanges. The
+ * The operations that each HTTP server implements for its exchanges.  The
  * loom_exchange functions of loom/server.h call them.
  */
 
@@ -16,7 +16,7 @@
 
 /*
  * Limits for reading and discarding the rest of a request body after the
- * response. Beyond either limit the connection is closed; otherwise an upload
+ * response.  Beyond either limit the connection is closed; otherwise an upload
  * could occupy a connection for a request that was already given up.
  */
 #define EXCHANGE_DISCARD_MAX_BYTES (1024 * 1024)
@@ -48,7 +48,7 @@
 };
 
 /*
- * Resets a connection immediately. An HTTP/1.0 response without a length ends
+ * Resets a connection immediately.  An HTTP/1.0 response without a length ends
  * where the connection is closed, so a client would take an ordinary close for
  * the end of a complete response.
  */
--- a/src/http/hangup.c
+++ b/src/http/hangup.c
@@ -1,7 +1,7 @@
 /*
  * A separate epoll set, which tevent polls in turn. tevent itself can only wait
- * for a socket to become readable or writable. A pipelined request would make a
- * socket readable and keep the event loop busy, while EPOLLRDHUP alone is not
+ * for a socket to become readable or writable.  A pipelined request would make
+ * a socket readable and keep the event loop busy, while EPOLLRDHUP alone is not
  * reported until the remote side closes.
  *
  * A caller that shuts down only its sending side is treated as disconnected as
--- a/src/http/head.c
+++ b/src/http/head.c
@@ -1,5 +1,5 @@
 /*
- * Names and values are stored one after the other in one string. It may be
+ * Names and values are stored one after the other in one string.  It may be
  * reallocated while it grows, so offsets are kept until all headers are
  * complete.
  */
@@ -8,9 +8,9 @@
 
 #include "http/head.h"
 
-/* Enough for messages with a kilobyte of headers. A larger buffer that a longer
- * message needed is freed before the next message, rather than kept for the
- * lifetime of the connection. */
+/* Enough for messages with a kilobyte of headers.  A larger buffer that a
+ * longer message needed is freed before the next message, rather than kept for
+ * the lifetime of the connection. */
 #define TEXT_IDLE_MAX_BYTES 4096
 
 void
--- a/src/http/head.h
+++ b/src/http/head.h
@@ -3,7 +3,7 @@
 
 /*
  * Collects the headers of a message as http_parser reports them, piece by
- * piece. The memory is reused for the next message of the connection.
+ * piece.  The memory is reused for the next message of the connection.
  */
 
 #include <glib.h>
@@ -27,8 +27,8 @@
 void http_head_name(struct http_head *, const char *at, size_t len);
 void http_head_value(struct http_head *, const char *at, size_t len);
 
-/* Completes the headers, which can be read from now on. Returns false if a name
- * contains a space: http_parser accepts it, but other HTTP implementations
+/* Completes the headers, which can be read from now on.  Returns false if a
+ * name contains a space: http_parser accepts it, but other HTTP implementations
  * interpret such a header differently. */
 bool http_head_end(struct http_head *);
 
--- a/src/http/listen.c
+++ b/src/http/listen.c
@@ -90,7 +90,7 @@
 /*
  * Attaches a socket filter that drops each SYN. Without it, a connection that
  * the kernel establishes between the last accept() and the close of the socket
- * would be reset, and its caller would see a request cut off. Handshakes that
+ * would be reset, and its caller would see a request cut off.  Handshakes that
  * have already begun complete; those connections are accepted and served before
  * the close.
  */
--- a/src/http/mhd_exchange.c
+++ b/src/http/mhd_exchange.c
@@ -2,15 +2,15 @@
  * One request and its response, on top of libmicrohttpd.
  *
  * libmicrohttpd calls its access handler repeatedly for a request: first with
- * the headers, then with each piece of the body, and at the end without data. A
- * response may be queued in the first or the last of these calls only. Between
- * calls the connection is suspended whenever the handler has to wait. This
- * blocks no thread, and leaves the unread body in the kernel's socket buffer,
- * so that TCP flow control slows the sender down.
+ * the headers, then with each piece of the body, and at the end without data.
+ * A response may be queued in the first or the last of these calls only.
+ * Between calls the connection is suspended whenever the handler has to wait.
+ * This blocks no thread, and leaves the unread body in the kernel's socket
+ * buffer, so that TCP flow control slows the sender down.
  *
  * Suspending in the first call delays both the body and the "100 Continue"
- * response. A request that is refused while it waits in the queue for a slot is
- * thus refused before its caller has sent, say, 200 MB for nothing.
+ * response.  A request that is refused while it waits in the queue for a slot
+ * is thus refused before its caller has sent, say, 200 MB for nothing.
  */
 
 #include <string.h>
@@ -23,13 +23,13 @@
 #define STREAM_BLOCK_BYTES (EXCHANGE_HIGH_WATER_BYTES / 2)
 
 static struct mhd_exchange *
-mhd_of(struct loom_exchange *base)
+mhd_exchange_of(struct loom_exchange *base)
 {
 	return (struct mhd_exchange *)(void *)base;
 }
 
 static const struct mhd_exchange *
-const_mhd_of(const struct loom_exchange *base)
+const_mhd_exchange_of(const struct loom_exchange *base)
 {
 	return (const struct mhd_exchange *)(const void *)base;
 }
@@ -91,7 +91,7 @@
  *
  * The watch is kept for the lifetime of the connection: adding and removing it
  * for each request would take two system calls, where a whole request takes
- * some twenty. A hangup is reported only once. If it was reported before this
+ * some twenty.  A hangup is reported only once.  If it was reported before this
  * request is suspended, the request's handler is notified here, and the next
  * exchange_step() ends the exchange.
  */
@@ -130,7 +130,7 @@
 
 /*
  * First call of the access handler, with the headers. libmicrohttpd closes the
- * connection after a response that is queued in this call. A request without a
+ * connection after a response that is queued in this call.  A request without a
  * body therefore proceeds to the last call immediately, so that its connection
  * is kept alive.
  */
@@ -151,9 +151,11 @@
 	return MHD_YES;
 }
 
-/* Call of the access handler with a piece of the body.  Suspends the connection
- * when the handler does not consume all of it; the rest comes again in the next
- * call.  After the response the body is discarded. */
+/*
+ * Call of the access handler with a piece of the body.  Suspends the connection
+ * when the handler does not consume all of it; libmicrohttpd passes the rest
+ * again in the next call.  After the response the body is discarded.
+ */
 static enum MHD_Result
 step_body(struct mhd_exchange *x, const char *upload, size_t *upload_len)
 {
@@ -241,7 +243,7 @@
 static const char *
 mhd_method(const struct loom_exchange *base)
 {
-	const struct mhd_exchange *x = const_mhd_of(base);
+	const struct mhd_exchange *x = const_mhd_exchange_of(base);
 
 	return x->method;
 }
@@ -249,7 +251,7 @@
 static const char *
 mhd_target(const struct loom_exchange *base)
 {
-	const struct mhd_exchange *x = const_mhd_of(base);
+	const struct mhd_exchange *x = const_mhd_exchange_of(base);
 
 	return x->target;
 }
@@ -257,7 +259,7 @@
 static const char *
 mhd_header(const struct loom_exchange *base, const char *name)
 {
-	const struct mhd_exchange *x = const_mhd_of(base);
+	const struct mhd_exchange *x = const_mhd_exchange_of(base);
 
 	return MHD_lookup_connection_value(
 	    x->connection, MHD_HEADER_KIND, name);
@@ -283,7 +285,7 @@
 mhd_headers(const struct loom_exchange *base,
     void (*each)(void *arg, const char *name, const char *value), void *arg)
 {
-	const struct mhd_exchange *x = const_mhd_of(base);
+	const struct mhd_exchange *x = const_mhd_exchange_of(base);
 	struct header_visit visit = { .each = each, .arg = arg };
 
 	MHD_get_connection_values(
@@ -293,7 +295,7 @@
 static void
 mhd_resume_body(struct loom_exchange *base)
 {
-	struct mhd_exchange *x = mhd_of(base);
+	struct mhd_exchange *x = mhd_exchange_of(base);
 
 	x->body_wanted = true;
 	if (x->phase == PHASE_HEADERS) {
@@ -304,7 +306,8 @@
 	}
 }
 
-/* Ends the reading of a body whose response is already sent. */
+/* Stops waiting for the rest of a body whose response is already sent: reading
+ * from the connection now returns end of file. */
 static void
 stop_reading(struct mhd_exchange *x)
 {
@@ -344,9 +347,11 @@
 	return x->phase == PHASE_BODY && !x->body_ended;
 }
 
-/* After a response that is queued while only the headers were read,
- * libmicrohttpd closes the connection with unread bytes. The kernel then sends
- * a reset, which may reach the caller before the response. */
+/*
+ * Whether part of the request body is unread.  After a response that is queued
+ * before the body, libmicrohttpd closes the connection with unread bytes; the
+ * kernel then sends a reset, which may reach the caller before the response.
+ */
 static bool
 has_unread_body(const struct mhd_exchange *x)
 {
@@ -356,7 +361,7 @@
 }
 
 /* Adds the headers to the response and lets libmicrohttpd queue it as soon as
- * possible. Aborts the exchange if the response could not be allocated. */
+ * possible.  Aborts the exchange if the response could not be allocated. */
 static void
 set_response(struct mhd_exchange *x, uint16_t status,
     const struct loom_header *headers, size_t nheaders)
@@ -398,7 +403,7 @@
     const struct loom_header *headers, size_t nheaders, const void *body,
     size_t len)
 {
-	struct mhd_exchange *x = mhd_of(base);
+	struct mhd_exchange *x = mhd_exchange_of(base);
 
 	if (x->responded || x->disconnected)
 		return;
@@ -442,7 +447,7 @@
 mhd_stream(struct loom_exchange *base, uint16_t status,
     const struct loom_header *headers, size_t nheaders, int64_t length)
 {
-	struct mhd_exchange *x = mhd_of(base);
+	struct mhd_exchange *x = mhd_exchange_of(base);
 
 	if (x->responded || x->disconnected)
 		return;
@@ -457,7 +462,7 @@
 static bool
 mhd_push(struct loom_exchange *base, const void *data, size_t len)
 {
-	struct mhd_exchange *x = mhd_of(base);
+	struct mhd_exchange *x = mhd_exchange_of(base);
 
 	if (x->disconnected || x->aborted)
 		return true;
@@ -471,7 +476,7 @@
 static void
 mhd_finish(struct loom_exchange *base)
 {
-	struct mhd_exchange *x = mhd_of(base);
+	struct mhd_exchange *x = mhd_exchange_of(base);
 
 	x->finished = true;
 	resume(x);
@@ -492,13 +497,13 @@
 static void
 mhd_abort(struct loom_exchange *base)
 {
-	abort_exchange(mhd_of(base));
+	abort_exchange(mhd_exchange_of(base));
 }
 
 static bool
 mhd_responded(const struct loom_exchange *base)
 {
-	const struct mhd_exchange *x = const_mhd_of(base);
+	const struct mhd_exchange *x = const_mhd_exchange_of(base);
 
 	return x->responded;
 }
--- a/src/http/mhd_exchange.h
+++ b/src/http/mhd_exchange.h
@@ -24,8 +24,8 @@
 	struct loom_hangup *hangup; /* borrowed */
 	const struct loom_exchange_ops *ops;
 	void *arg;
-	struct loom_counter *malformed; /* borrowed */
-	struct loom_counter *unused; /* borrowed */
+	struct loom_counter *malformed_requests; /* borrowed */
+	struct loom_counter *unused_connections; /* borrowed */
 	bool draining;
 };
 
@@ -80,7 +80,7 @@
 
 /*
  * Writes a complete response to a caller that is still sending its request, and
- * shuts down the sending side of the connection. Returns false when the
+ * shuts down the sending side of the connection.  Returns false when the
  * response could not be written completely: the caller of this function must
  * then abort the exchange.
  */
--- a/src/http/peer_connection.c
+++ b/src/http/peer_connection.c
@@ -1,10 +1,10 @@
 /*
- * A connection from another daemon. It carries one request after another until
+ * A connection from another daemon.  It carries one request after another until
  * one of the two sides closes it.
  *
  * A connection that is closed while bytes of its last request may still arrive
  * lingers: the sending side is shut down, and received data is read and
- * discarded. Closing a socket with unread data sends a reset, which may reach
+ * discarded.  Closing a socket with unread data sends a reset, which may reach
  * the other side before the response.
  */
 
@@ -58,7 +58,7 @@
 
 	end_exchange(connection);
 	if (!connection->received_request)
-		loom_counter_add(server->unused, 1);
+		loom_counter_add(server->unused_connections, 1);
 	sockets_clear_time(connection->socket.sockets, &connection->timer);
 	g_queue_unlink(&server->connections, &connection->server_link);
 	sockets_watch(&server->listener, EPOLLIN);
@@ -86,7 +86,7 @@
 	close_connection(connection);
 }
 
-/* Updates the epoll events. While the receive buffer is full the socket is not
+/* Updates the epoll events.  While the receive buffer is full the socket is not
  * read, and only a hangup of the other side is reported. */
 static void
 update_events(struct peer_connection *connection)
@@ -119,7 +119,7 @@
 	update_events(connection);
 }
 
-/* Shuts down the sending side. Received data is discarded until the timer
+/* Shuts down the sending side.  Received data is discarded until the timer
  * expires, or until it exceeds EXCHANGE_DISCARD_MAX_BYTES. */
 static void
 start_linger(struct peer_connection *connection)
@@ -152,7 +152,7 @@
 				   "Content-Length: 0\r\n"
 				   "Connection: close\r\n\r\n";
 
-	loom_counter_add(connection->server->malformed, 1);
+	loom_counter_add(connection->server->malformed_requests, 1);
 	if (connection->x != NULL) {
 		disconnect(connection);
 		return;
@@ -172,7 +172,7 @@
 	return false;
 }
 
-/* Parses buffered data. Returns false if there was nothing to parse, or if the
+/* Parses buffered data.  Returns false if there was nothing to parse, or if the
  * connection was closed. */
 static bool
 parse_pending(struct peer_connection *connection)
@@ -302,9 +302,10 @@
 }
 
 /*
- * Once a request was read completely, EPOLLRDHUP means that its caller has
- * disconnected and no longer waits for the response: HTTP clients do not shut
- * down only their sending side. Before that the remaining data is read first.
+ * Handles the events of a connection.  Once a request was read completely,
+ * EPOLLRDHUP means that its caller has disconnected and no longer waits for the
+ * response: HTTP clients do not shut down only their sending side.  Before that
+ * the remaining data is read first.
  */
 static void
 ready(struct watched_socket *socket, uint32_t events)
@@ -328,7 +329,7 @@
 		receive(connection);
 }
 
-/* Idle timeout, or the end of lingering. A connection whose request is still
+/* Idle timeout, or the end of lingering.  A connection whose request is still
  * being processed is not idle. */
 static void
 expired(struct timed *timed)
--- a/src/http/peer_exchange.c
+++ b/src/http/peer_exchange.c
@@ -1,21 +1,21 @@
 /*
- * The operations of an exchange. Response data is sent at once. Everything that
- * follows from it (the end of the exchange, the next request) is left to the
- * next iteration of the event loop, since the handler may call these functions
- * from anywhere, including its own callbacks.
+ * The operations of an exchange.  Response data is sent at once.  Everything
+ * that follows from it (the end of the exchange, the next request) is left to
+ * the next iteration of the event loop, since the handler may call these
+ * functions from anywhere, including its own callbacks.
  */
 
 #include "http/peer_server.h"
 #include "http/text.h"
 
 static struct peer_exchange *
-peer_of(struct loom_exchange *base)
+peer_exchange_of(struct loom_exchange *base)
 {
 	return (struct peer_exchange *)(void *)base;
 }
 
 static const struct peer_exchange *
-const_peer_of(const struct loom_exchange *base)
+const_peer_exchange_of(const struct loom_exchange *base)
 {
 	return (const struct peer_exchange *)(const void *)base;
 }
@@ -24,7 +24,7 @@
 peer_method(const struct loom_exchange *base)
 {
 	const struct peer_connection *connection =
-	    const_peer_of(base)->connection;
+	    const_peer_exchange_of(base)->connection;
 
 	return http_method_str((enum http_method)connection->parser.method);
 }
@@ -32,13 +32,14 @@
 static const char *
 peer_target(const struct loom_exchange *base)
 {
-	return const_peer_of(base)->connection->target->str;
+	return const_peer_exchange_of(base)->connection->target->str;
 }
 
 static const char *
 peer_header(const struct loom_exchange *base, const char *name)
 {
-	return http_head_find(&const_peer_of(base)->connection->head, name);
+	return http_head_find(
+	    &const_peer_exchange_of(base)->connection->head, name);
 }
 
 static void
@@ -48,7 +49,8 @@
 	const struct loom_header *headers;
 	size_t i, n;
 
-	headers = http_head_items(&const_peer_of(base)->connection->head, &n);
+	headers = http_head_items(
+	    &const_peer_exchange_of(base)->connection->head, &n);
 	for (i = 0; i < n; i++)
 		each(arg, headers[i].name, headers[i].value);
 }
@@ -69,7 +71,7 @@
 static void
 peer_abort(struct loom_exchange *base)
 {
-	struct peer_exchange *x = peer_of(base);
+	struct peer_exchange *x = peer_exchange_of(base);
 
 	if (x->aborted || x->disconnected)
 		return;
@@ -80,7 +82,7 @@
 static void
 peer_resume_body(struct loom_exchange *base)
 {
-	struct peer_exchange *x = peer_of(base);
+	struct peer_exchange *x = peer_exchange_of(base);
 	struct peer_connection *connection = x->connection;
 
 	if (x->responded || x->aborted)
@@ -116,7 +118,7 @@
 	return put_header(x->connection, "Transfer-Encoding", "chunked");
 }
 
-/* Whether the connection has to be closed after this response. If the request
+/* Whether the connection has to be closed after this response.  If the request
  * body was not read completely, its rest could only be discarded, so the
  * connection is closed instead. */
 static bool
@@ -126,6 +128,7 @@
 	    (x->has_body && !x->body_ended);
 }
 
+/* Appends the status line and the headers of the response. */
 static bool
 put_head(struct peer_exchange *x, uint16_t status,
     const struct loom_header *headers, size_t nheaders, int64_t length)
@@ -151,6 +154,8 @@
 	return put(connection, "\r\n");
 }
 
+/* The whole response is in the send buffer: sends it, then lets the connection
+ * proceed to its next request. */
 static void
 finish_response(struct peer_exchange *x)
 {
@@ -164,7 +169,7 @@
     const struct loom_header *headers, size_t nheaders, const void *body,
     size_t len)
 {
-	struct peer_exchange *x = peer_of(base);
+	struct peer_exchange *x = peer_exchange_of(base);
 	const bool has_body =
 	    !x->is_head_request && !http_status_has_no_body(status);
 
@@ -185,7 +190,7 @@
 peer_stream(struct loom_exchange *base, uint16_t status,
     const struct loom_header *headers, size_t nheaders, int64_t length)
 {
-	struct peer_exchange *x = peer_of(base);
+	struct peer_exchange *x = peer_exchange_of(base);
 
 	if (x->responded || x->disconnected || x->aborted)
 		return;
@@ -200,7 +205,7 @@
 static bool
 peer_push(struct loom_exchange *base, const void *data, size_t len)
 {
-	struct peer_exchange *x = peer_of(base);
+	struct peer_exchange *x = peer_exchange_of(base);
 
 	if (x->disconnected || x->aborted || x->is_head_request || len == 0)
 		return true;
@@ -218,7 +223,7 @@
 static void
 peer_finish(struct loom_exchange *base)
 {
-	struct peer_exchange *x = peer_of(base);
+	struct peer_exchange *x = peer_exchange_of(base);
 
 	if (x->disconnected || x->aborted || x->finished)
 		return;
@@ -233,7 +238,7 @@
 static bool
 peer_responded(const struct loom_exchange *base)
 {
-	return const_peer_of(base)->responded;
+	return const_peer_exchange_of(base)->responded;
 }
 
 const struct exchange_vtable peer_exchange_vtable = {
--- a/src/http/peer_request.c
+++ b/src/http/peer_request.c
@@ -3,7 +3,7 @@
  *
  * The parser is paused at the end of the headers until the handler asks for the
  * body, inside a body while the handler consumes no more of it, and at the end
- * of the request until the response was sent. Data that was received but not
+ * of the request until the response was sent.  Data that was received but not
  * yet parsed is then kept in the connection.
  */
 
@@ -116,7 +116,7 @@
 /*
  * Passes body data to the handler, again as long as the handler asks for more
  * from inside the callback: it does so when the data that it consumed was
- * passed on immediately and left room. Returns how many bytes were consumed.
+ * passed on immediately and left room.  Returns how many bytes were consumed.
  */
 static size_t
 deliver_body(
@@ -178,7 +178,7 @@
 	.on_message_complete = on_message_complete,
 };
 
-/* Passes the body data that the handler did not consume earlier. Returns
+/* Passes the body data that the handler did not consume earlier.  Returns
  * whether none is left. */
 static bool
 deliver_pending_body(struct peer_connection *connection)
@@ -226,8 +226,7 @@
 	}
 	if (HTTP_PARSER_ERRNO(parser) == HPE_PAUSED)
 		http_parser_pause(parser, 0);
-	/* http_parser interprets an empty input as the end of the connection.
-	 */
+	/* An empty input tells http_parser that the connection has ended. */
 	if (len == 0) {
 		connection->parsing = false;
 		return PEER_PARSING_ON;
--- a/src/http/peer_server.c
+++ b/src/http/peer_server.c
@@ -1,5 +1,5 @@
 /*
- * The listening socket of the HTTP server for peer daemons. All workers accept
+ * The listening socket of the HTTP server for peer daemons.  All workers accept
  * from duplicates of one socket; a worker that is woken for a connection which
  * another one has accepted gets EAGAIN.
  */
@@ -77,10 +77,12 @@
 		.arg = options->arg,
 		.connections_max = options->connections_max,
 		.idle_us = options->idle_timeout_s * LOOM_US_PER_S,
-		.malformed = loom_counter("loom_malformed_requests_total", NULL,
-		    "Requests that were answered without a code."),
-		.unused = loom_counter("loom_connections_unused_total", NULL,
-		    "Connections that ended without one whole request."),
+		.malformed_requests =
+		    loom_counter("loom_malformed_requests_total", NULL,
+			"Requests that were answered without a code."),
+		.unused_connections =
+		    loom_counter("loom_connections_unused_total", NULL,
+			"Connections that ended without one whole request."),
 	};
 	g_queue_init(&server->connections);
 	talloc_set_destructor(server, server_destructor);
--- a/src/http/peer_server.h
+++ b/src/http/peer_server.h
@@ -28,8 +28,8 @@
 	uint32_t connections_max;
 	uint64_t idle_us;
 	bool draining;
-	struct loom_counter *malformed; /* borrowed */
-	struct loom_counter *unused; /* borrowed */
+	struct loom_counter *malformed_requests; /* borrowed */
+	struct loom_counter *unused_connections; /* borrowed */
 };
 
 /* Handles one request at a time; pipelined requests wait in the buffer "in". */
@@ -85,7 +85,7 @@
 void peer_connection_abort(struct peer_connection *);
 
 /* Schedules the next step of the connection (see advance()) for the next
- * iteration of the event loop. It must not run inside the calling function,
+ * iteration of the event loop.  It must not run inside the calling function,
  * since it may free the exchange. */
 void peer_connection_schedule_advance(struct peer_connection *);
 
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -2,11 +2,11 @@
  * Runs libmicrohttpd inside a tevent event loop.
  *
  * Each worker thread runs its own libmicrohttpd daemon, which starts no
- * threads: the worker's tevent context polls the daemon's epoll descriptor. All
- * workers accept from duplicates of one listening socket. With one SO_REUSEPORT
- * socket for each worker, the kernel would assign pending connections to a
- * particular worker, and a worker that stops would reset those that it has not
- * yet accepted.
+ * threads: the worker's tevent context polls the daemon's epoll descriptor.
+ * All workers accept from duplicates of one listening socket.  With one
+ * SO_REUSEPORT socket for each worker, the kernel would assign pending
+ * connections to a particular worker, and a worker that stops would reset those
+ * that it has not yet accepted.
  */
 
 #include <fcntl.h>
@@ -17,9 +17,9 @@
 
 /*
  * Memory of a connection, which limits the headers of a request; libmicrohttpd
- * refuses larger headers with status 431. It clears this much memory after each
- * request, so a limit high enough to refuse large headers here, with an error
- * code of this project, would slow down every request.
+ * refuses larger headers with status 431.  It clears this much memory after
+ * each request, so a limit high enough to refuse large headers here, with an
+ * error code of this project, would slow down every request.
  */
 #define CONNECTION_MEMORY_BYTES (32 * 1024)
 
@@ -40,7 +40,7 @@
 }
 
 /*
- * Allocates and frees the state of a connection. When the received bytes are
+ * Allocates and frees the state of a connection.  When the received bytes are
  * not HTTP at all, libmicrohttpd closes the connection without a response or a
  * log line, so connections that end without a request are counted here.
  */
@@ -57,7 +57,7 @@
 		return;
 	}
 	if (!state->received_request)
-		loom_counter_add(server->unused, 1);
+		loom_counter_add(server->unused_connections, 1);
 	talloc_free(state);
 }
 
@@ -97,7 +97,7 @@
 	char *message = g_strdup_vprintf(fmt, ap);
 
 	if (g_str_has_prefix(fmt, parse_error_format))
-		loom_counter_add(server->malformed, 1);
+		loom_counter_add(server->malformed_requests, 1);
 	loom_log(LOOM_LOG_DEBUG, "http", LOOM_OK, "%s", g_strchomp(message));
 	g_free(message);
 }
@@ -222,10 +222,12 @@
 	server->hangup = hangup;
 	server->ops = options->ops;
 	server->arg = options->arg;
-	server->malformed = loom_counter("loom_malformed_requests_total", NULL,
-	    "Requests that were answered without a code.");
-	server->unused = loom_counter("loom_connections_unused_total", NULL,
-	    "Connections that ended without one whole request.");
+	server->malformed_requests =
+	    loom_counter("loom_malformed_requests_total", NULL,
+		"Requests that were answered without a code.");
+	server->unused_connections =
+	    loom_counter("loom_connections_unused_total", NULL,
+		"Connections that ended without one whole request.");
 	server->run_immediate = tevent_create_immediate(server);
 	server->mhd = start_mhd(server, options);
 	if (server->run_immediate == NULL || server->mhd == NULL)
--- a/src/http/tls.c
+++ b/src/http/tls.c
@@ -22,7 +22,7 @@
 }
 
 static gnutls_datum_t
-datum(char *text)
+to_datum(char *text)
 {
 	return (gnutls_datum_t){
 		.data = (unsigned char *)text,
@@ -35,8 +35,8 @@
 check_pair(const struct loom_tls_pair *pair, const char *key_file,
     const char *cert_file, GError **error)
 {
-	const gnutls_datum_t key = datum(pair->key);
-	const gnutls_datum_t cert = datum(pair->cert);
+	const gnutls_datum_t key = to_datum(pair->key);
+	const gnutls_datum_t cert = to_datum(pair->cert);
 	gnutls_certificate_credentials_t credentials;
 	int status;
 
