--- a/tests/http/test_peer_server.c
+++ b/tests/http/test_peer_server.c
@@ -476,7 +476,7 @@
 
 /*
  * Checks that an upload completes, at the server for callers, when the handler
- * asks for more of the body from inside the body callback. The upload used to
+ * asks for more of the body from inside the body callback.  The upload used to
  * stop forever at either server; "body resumed from callback" in request_cases
  * covers the other one.
  */
@@ -518,7 +518,7 @@
 	tevent_loop_once(test_server->ev);
 }
 
-/* Sends this many bytes in pieces while the event loop runs. Returns the errno
+/* Sends this many bytes in pieces while the event loop runs.  Returns the errno
  * of the connection, 0 for none. */
 static int
 send_in_pieces(struct test_server *test_server, int fd, size_t bytes)
@@ -540,7 +540,7 @@
 
 /*
  * Checks that the response to an upload that was refused because of its headers
- * is received although the caller keeps sending the body. Closing the socket
+ * is received although the caller keeps sending the body.  Closing the socket
  * with unread data would send a reset, which could overtake the response.
  */
 static void
