--- a/include/loom/peer_server.h
+++ b/include/loom/peer_server.h
@@ -4,8 +4,8 @@
 /*
  * HTTP server for other daemons, on one worker thread.  It creates the same
  * exchanges as loom/server.h, but is based on http_parser and supports only
- * HTTP/1.1 and HTTP/1.0 without TLS. Callers, who may send anything and may use
- * TLS, are served by loom/server.h.
+ * HTTP/1.1 and HTTP/1.0 without TLS.  Callers, who may send anything and may
+ * use TLS, are served by loom/server.h.
  */
 
 #include "loom/server.h"
--- a/src/http/mhd_exchange.h
+++ b/src/http/mhd_exchange.h
@@ -2,10 +2,9 @@
 #define LOOM_HTTP_MHD_EXCHANGE_H
 
 /*
- * Declarations shared by server.c, which has libmicrohttpd's callbacks,
- * mhd_exchange.c, which handles one request from its headers to the end of its
- * response, and early.c, which sends responses before the end of the request
- * body.
+ * The request and its response as libmicrohttpd handles them: shared by the
+ * files with its callbacks, with the exchange, and with responses that are sent
+ * before the end of the request body.
  */
 
 #include <microhttpd.h>
@@ -61,7 +60,7 @@
 	bool streaming;
 	bool finished;
 	bool aborted;
-	bool responded_early; /* bypassing libmicrohttpd, see early.c */
+	bool responded_early; /* by exchange_send_early_response() */
 	uint16_t status;
 	uint64_t discarded_bytes;
 	struct tevent_timer *linger_timer; /* ends reading the body */
--- a/tests/http/test_peer_server.c
+++ b/tests/http/test_peer_server.c
@@ -283,6 +283,8 @@
 	return NULL;
 }
 
+/* Wakes the event loop every millisecond, so that run_exchange() notices when
+ * the client thread is done. */
 static void
 on_tick(struct tevent_context *ev, struct tevent_timer *timer,
     struct timeval now, void *arg)
@@ -475,10 +477,9 @@
 }
 
 /*
- * Checks that an upload completes, at the server for callers, when the handler
- * asks for more of the body from inside the body callback.  The upload used to
- * stop forever at either server; "body resumed from callback" in request_cases
- * covers the other one.
+ * Checks that an upload does not stop forever when the handler asks for more of
+ * the body from inside the body callback.  This test covers the server for
+ * callers; request_cases has the same request for the server for peer daemons.
  */
 static void
 test_resume_from_callback(void)
