--- a/src/http/tls.c
+++ b/src/http/tls.c
@@ -1,5 +1,5 @@
 /*
- * Reading a TLS key and its certificate.
+ * Loads and checks a TLS key and its certificate.
  */
 
 #include <gnutls/gnutls.h>
@@ -22,7 +22,7 @@
 }
 
 static gnutls_datum_t
-datum(char *text)
+to_datum(char *text)
 {
 	return (gnutls_datum_t){
 		.data = (unsigned char *)text,
@@ -30,13 +30,13 @@
 	};
 }
 
-/* GnuTLS reads both and compares the public key of the one to the other. */
+/* GnuTLS parses both and checks that the key belongs to the certificate. */
 static bool
 check_pair(const struct loom_tls_pair *pair, const char *key_file,
     const char *cert_file, GError **error)
 {
-	const gnutls_datum_t key = datum(pair->key);
-	const gnutls_datum_t cert = datum(pair->cert);
+	const gnutls_datum_t key = to_datum(pair->key);
+	const gnutls_datum_t cert = to_datum(pair->cert);
 	gnutls_certificate_credentials_t credentials;
 	int status;
 
@@ -61,7 +61,7 @@
 		return true;
 	if (key_file == NULL || cert_file == NULL)
 		return loom_fail(error, LOOM_SETTING_MISSING,
-		    "tls_key_file and tls_cert_file go together");
+		    "tls_key_file and tls_cert_file must be set together");
 	pair->key = read_pem(key_file, error);
 	if (pair->key == NULL)
 		goto error;
