--- a/src/daemon/busy.c
+++ b/src/daemon/busy.c
@@ -1,10 +1,12 @@
 /*
- * The time that an event loop does not wait for events.
+ * Computes the utilization of an event loop from the time that it spends
+ * waiting for events.
  *
- * Load pattern: calls so short and many that the daemon and not its upstream is
- * full.  Slots stay free then, the queue stands in the kernel, and nothing else
- * shows it.  Processor time would not: on a host whose share of a core is used
- * up the process stands still, which is time that it does not wait either.
+ * This detects a daemon that is saturated while its upstream is not, which
+ * happens with many very short calls. Nothing else shows it: slots stay free,
+ * and requests queue in the kernel. CPU time would not show it either: a host
+ * that has used up its CPU quota does not run the process at all, although the
+ * loop has work.
  */
 
 #include <glib.h>
@@ -12,51 +14,56 @@
 #include "daemon/busy.h"
 #include "loom/clock.h"
 
+/* Records the end of a wait, and pauses the loop if that is due. */
 static void
-note_wait(struct busy *busy, uint64_t since_us, uint64_t now_us)
+end_wait(
+    struct loop_utilization *utilization, uint64_t since_us, uint64_t now_us)
 {
 	const uint64_t wait_us = since_us == 0 ? 0 : now_us - since_us;
 
-	atomic_fetch_add(&busy->waited_us, wait_us);
-	if (!loom_rest_due(&busy->rest, wait_us, now_us))
+	atomic_fetch_add(&utilization->total_wait_us, wait_us);
+	if (!loom_rest_due(&utilization->rest, wait_us, now_us))
 		return;
 	g_usleep(LOOM_REST_US);
-	loom_rest_init(&busy->rest, loom_now_us());
-	atomic_fetch_add(&busy->waited_us, busy->rest.since_us - now_us);
+	loom_rest_init(&utilization->rest, loom_now_us());
+	atomic_fetch_add(
+	    &utilization->total_wait_us, utilization->rest.since_us - now_us);
 }
 
 static void
-trace(enum tevent_trace_point point, void *arg)
+on_trace_point(enum tevent_trace_point point, void *arg)
 {
-	struct busy *busy = arg;
+	struct loop_utilization *utilization = arg;
 
 	if (point == TEVENT_TRACE_BEFORE_WAIT) {
-		atomic_store(&busy->waits_since_us, loom_now_us());
+		atomic_store(&utilization->wait_start_us, loom_now_us());
 	} else if (point == TEVENT_TRACE_AFTER_WAIT) {
-		note_wait(busy, atomic_exchange(&busy->waits_since_us, 0),
+		end_wait(utilization,
+		    atomic_exchange(&utilization->wait_start_us, 0),
 		    loom_now_us());
 	}
 }
 
 void
-busy_watch(struct busy *busy, struct tevent_context *ev, uint64_t now_us)
+loop_utilization_start(struct loop_utilization *utilization,
+    struct tevent_context *ev, uint64_t now_us)
 {
-	busy->read_us = now_us;
-	loom_rest_init(&busy->rest, now_us);
-	tevent_set_trace_callback(ev, trace, busy);
+	utilization->last_read_us = now_us;
+	loom_rest_init(&utilization->rest, now_us);
+	tevent_set_trace_callback(ev, on_trace_point, utilization);
 }
 
 double
-busy_read(struct busy *busy, uint64_t now_us)
+loop_utilization_read(struct loop_utilization *utilization, uint64_t now_us)
 {
-	uint64_t since_us = atomic_load(&busy->waits_since_us);
-	uint64_t waited_us = atomic_load(&busy->waited_us);
-	double waited, gap = (double)(now_us - busy->read_us);
+	uint64_t since_us = atomic_load(&utilization->wait_start_us);
+	uint64_t total_wait_us = atomic_load(&utilization->total_wait_us);
+	double waited, gap = (double)(now_us - utilization->last_read_us);
 
 	if (since_us != 0 && since_us < now_us)
-		waited_us += now_us - since_us;
-	waited = (double)waited_us - (double)busy->read_waited_us;
-	busy->read_us = now_us;
-	busy->read_waited_us = waited_us;
+		total_wait_us += now_us - since_us;
+	waited = (double)total_wait_us - (double)utilization->last_read_wait_us;
+	utilization->last_read_us = now_us;
+	utilization->last_read_wait_us = total_wait_us;
 	return gap > 0 ? CLAMP(1.0 - waited / gap, 0, 1) : 0;
 }
--- a/src/daemon/busy.h
+++ b/src/daemon/busy.h
@@ -2,7 +2,8 @@
 #define LOOM_DAEMON_BUSY_H
 
 /*
- * How busy a worker's event loop is, and that it leaves others some time.
+ * Measures the fraction of the time that an event loop is busy, and pauses a
+ * loop that hardly ever waits, so that other threads get to run.
  */
 
 #include <stdatomic.h>
@@ -11,20 +12,26 @@
 
 #include "loom/rest.h"
 
-struct busy {
-	atomic_uint_fast64_t waits_since_us; /* 0: it does not wait now */
-	atomic_uint_fast64_t waited_us; /* in all, but for the running wait */
-	struct loom_rest rest; /* the loop's own */
-	/* the reader's own */
-	uint64_t read_us;
-	uint64_t read_waited_us;
+struct loop_utilization {
+	atomic_uint_fast64_t wait_start_us; /* 0: not waiting now */
+	atomic_uint_fast64_t total_wait_us; /* of completed waits and pauses */
+	struct loom_rest rest; /* loop's thread only */
+	/* reading thread only */
+	uint64_t last_read_us;
+	uint64_t last_read_wait_us;
 };
 
-/* Count the waits of this loop from now on; busy must outlive it. */
-void busy_watch(struct busy *, struct tevent_context *, uint64_t now_us);
+/*
+ * Starts measuring a loop. Sets the context's trace callback; the struct must
+ * outlive the context.
+ */
+void loop_utilization_start(
+    struct loop_utilization *, struct tevent_context *, uint64_t now_us);
 
-/* The part of the time since the last call that the loop did not wait, 0 to 1.
- * Any one thread. */
-double busy_read(struct busy *, uint64_t now_us);
+/*
+ * Returns the fraction of the time since the last call that the loop did not
+ * wait, from 0 to 1. Always to be called by the same thread, which may be any.
+ */
+double loop_utilization_read(struct loop_utilization *, uint64_t now_us);
 
 #endif
--- a/src/daemon/config.c
+++ b/src/daemon/config.c
@@ -13,47 +13,49 @@
 struct config {
 	struct loom_daemon *daemon; /* borrowed */
 	struct loom_spread_config *spread; /* owned */
-	struct loom_public_key *trusted; /* owned */
+	struct loom_public_key *trusted_keys; /* owned */
 	size_t ntrusted;
 	const char **seeds; /* owned array of borrowed strings */
 	size_t nseeds;
-	struct loom_hosts *reported; /* acquired: in the log; or NULL */
+	struct loom_hosts *logged_hosts; /* acquired: in the log; or NULL */
 };
 
 static void
-publish(void *arg, struct loom_manifest *manifest, struct loom_hosts *hosts)
+on_versions_changed(
+    void *arg, struct loom_manifest *manifest, struct loom_hosts *hosts)
 {
 	struct config *config = arg;
-	struct loom_hosts *none = NULL;
+	struct loom_hosts *empty_hosts = NULL;
 	GArray *empty;
 
 	if (manifest == NULL)
 		return;
 	if (hosts == NULL) {
 		empty = g_array_new(FALSE, FALSE, sizeof(struct loom_host));
-		none = hosts = loom_hosts_build(empty);
+		empty_hosts = hosts = loom_hosts_build(empty);
 		g_array_free(empty, TRUE);
 	}
 	daemon_publish(config->daemon, manifest, hosts);
-	report_view(manifest, config->reported, hosts);
-	if (config->reported != NULL)
-		loom_hosts_release(config->reported);
-	config->reported = loom_hosts_acquire(hosts);
-	if (none != NULL)
-		loom_hosts_release(none);
+	report_versions(manifest, config->logged_hosts, hosts);
+	if (config->logged_hosts != NULL)
+		loom_hosts_release(config->logged_hosts);
+	config->logged_hosts = loom_hosts_acquire(hosts);
+	if (empty_hosts != NULL)
+		loom_hosts_release(empty_hosts);
 }
 
 static bool
-read_trusted(struct config *config, char *const *texts, GError **error)
+parse_trusted_signers(struct config *config, char *const *texts, GError **error)
 {
 	size_t n = 0, i;
 
 	while (texts[n] != NULL)
 		n++;
-	config->trusted = talloc_zero_array(config, struct loom_public_key, n);
+	config->trusted_keys =
+	    talloc_zero_array(config, struct loom_public_key, n);
 	for (i = 0; i < n; i++) {
 		if (!loom_public_key_parse(
-			texts[i], &config->trusted[i], error))
+			texts[i], &config->trusted_keys[i], error))
 			return false;
 	}
 	config->ntrusted = n;
@@ -62,7 +64,7 @@
 
 /* All seeds but this daemon itself. */
 static void
-read_seeds(struct config *config)
+collect_seeds(struct config *config)
 {
 	const struct daemon_settings *settings = &config->daemon->settings;
 	char *const *seed;
@@ -81,8 +83,8 @@
 config_destructor(struct config *config)
 {
 	TALLOC_FREE(config->spread);
-	if (config->reported != NULL)
-		loom_hosts_release(config->reported);
+	if (config->logged_hosts != NULL)
+		loom_hosts_release(config->logged_hosts);
 	return 0;
 }
 
@@ -101,7 +103,7 @@
 		    (double)LOOM_US_PER_S),
 		.is_current = daemon->settings.platform_is_current,
 		.is_unsigned = daemon->settings.unsigned_documents,
-		.publish = publish,
+		.publish = on_versions_changed,
 		.arg = config,
 	};
 
@@ -110,10 +112,11 @@
 	if (daemon->kind->source_arg != NULL)
 		options.source_arg =
 		    daemon->kind->source_arg(config, &daemon->settings);
-	if (!read_trusted(config, daemon->settings.trusted_signers, error))
+	if (!parse_trusted_signers(
+		config, daemon->settings.trusted_signers, error))
 		goto error;
-	read_seeds(config);
-	options.trusted = config->trusted;
+	collect_seeds(config);
+	options.trusted = config->trusted_keys;
 	options.ntrusted = config->ntrusted;
 	options.seeds = config->seeds;
 	options.nseeds = config->nseeds;
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -57,9 +57,10 @@
 	struct loom_quarantine *quarantine; /* any thread */
 	struct loom_rights_set *rights; /* any thread */
 	atomic_bool rights_held; /* the hold after the start is over */
-	uint64_t rights_since_us; /* control thread: when the hold ended */
+	uint64_t rights_wait_end_us; /* control thread: when the hold ended */
 	/* control thread */
-	struct loom_rights_summary reported_rights[LOOM_RIGHTS_PARTITIONS_MAX];
+	struct loom_rights_summary
+	    last_reported_rights[LOOM_RIGHTS_PARTITIONS_MAX];
 	struct loom_retry *retry; /* any thread */
 	struct loom_control *control; /* its posts: any thread */
 	struct loom_sender sender; /* for the parts; constant */
@@ -83,14 +84,14 @@
 	/* The main thread's own. */
 	struct tevent_context *ev;
 	uint64_t drain_until_us;
-	uint64_t held_off_us; /* new connections, since then */
+	uint64_t accept_paused_us; /* new connections, since then */
 	bool stopping;
-	uint32_t reported_limit; /* in the log (report.c) */
-	bool reported_shedding;
-	uint64_t reported_us;
-	uint64_t busy_us; /* when the workers' was read */
-	double busy; /* the busiest worker's */
-	struct processor processor;
+	uint32_t last_reported_limit; /* in the log (report.c) */
+	bool was_shedding;
+	uint64_t last_report_us;
+	uint64_t utilization_read_us; /* when the workers' was read */
+	double utilization; /* the busiest worker's */
+	struct cpu_usage cpu_usage;
 };
 
 #endif
--- a/src/daemon/dialect.c
+++ b/src/daemon/dialect.c
@@ -8,8 +8,8 @@
 
 #define MS_PER_S 1000
 
-static const char bearer[] = "Bearer ";
-static const char own_prefix[] = "Loom-";
+static const char bearer_prefix[] = "Bearer ";
+static const char own_header_prefix[] = "Loom-";
 
 const char *
 loom_dialect_bearer(const struct loom_exchange *x)
@@ -17,9 +17,10 @@
 	const char *value = loom_exchange_header(x, "Authorization");
 
 	if (value == NULL ||
-	    g_ascii_strncasecmp(value, bearer, sizeof(bearer) - 1) != 0)
+	    g_ascii_strncasecmp(
+		value, bearer_prefix, sizeof(bearer_prefix) - 1) != 0)
 		return NULL;
-	return value + sizeof(bearer) - 1;
+	return value + sizeof(bearer_prefix) - 1;
 }
 
 static const char *
@@ -33,8 +34,8 @@
 static bool
 own_is_own_header(const char *name)
 {
-	return g_ascii_strncasecmp(name, own_prefix, sizeof(own_prefix) - 1) ==
-	    0;
+	return g_ascii_strncasecmp(
+		   name, own_header_prefix, sizeof(own_header_prefix) - 1) == 0;
 }
 
 static void
--- a/src/daemon/drain.c
+++ b/src/daemon/drain.c
@@ -19,12 +19,12 @@
 
 /* With new connections held off, those that the kernel had accepted get their
  * answer in this time. */
-#define DRAIN_GRACE_US (200 * LOOM_US_PER_MS)
+#define ACCEPTED_GRACE_US (200 * LOOM_US_PER_MS)
 
 /* All work has ended and whoever comes has had time to hear it: each answer
  * tells one of them, and a busy peer asks many times meanwhile. */
 static bool
-work_is_over(const struct loom_daemon *daemon, uint64_t now_us)
+is_work_finished(const struct loom_daemon *daemon, uint64_t now_us)
 {
 	return atomic_load(&daemon->working) == 0 &&
 	    loom_tickets_drained(daemon->tickets) &&
@@ -33,24 +33,24 @@
 }
 
 static void
-hold_off_connections(struct loom_daemon *daemon, uint64_t now_us)
+pause_accepting(struct loom_daemon *daemon, uint64_t now_us)
 {
 	uint32_t i;
 
-	daemon->held_off_us = now_us;
+	daemon->accept_paused_us = now_us;
 	for (i = 0; i < daemon->nworkers; i++)
-		worker_hold_off(daemon->workers[i]);
+		worker_pause_accepting(daemon->workers[i]);
 }
 
 static bool
-drain_is_over(struct loom_daemon *daemon, uint64_t now_us)
+is_drain_finished(struct loom_daemon *daemon, uint64_t now_us)
 {
 	if (now_us >= daemon->drain_until_us)
 		return true;
-	if (daemon->held_off_us == 0 && work_is_over(daemon, now_us))
-		hold_off_connections(daemon, now_us);
-	return daemon->held_off_us != 0 &&
-	    now_us - daemon->held_off_us >= DRAIN_GRACE_US &&
+	if (daemon->accept_paused_us == 0 && is_work_finished(daemon, now_us))
+		pause_accepting(daemon, now_us);
+	return daemon->accept_paused_us != 0 &&
+	    now_us - daemon->accept_paused_us >= ACCEPTED_GRACE_US &&
 	    atomic_load(&daemon->inflight) == 0;
 }
 
@@ -62,7 +62,7 @@
 
 	(void)timer;
 	(void)now;
-	if (drain_is_over(daemon, loom_now_us())) {
+	if (is_drain_finished(daemon, loom_now_us())) {
 		daemon->stopping = true;
 		return;
 	}
@@ -72,7 +72,7 @@
 }
 
 static struct loom_stop
-plan_of(const struct daemon_settings *settings)
+stop_plan_of(const struct daemon_settings *settings)
 {
 	const struct loom_stop wanted = {
 		.delay_us = settings->drain_delay_ms * LOOM_US_PER_MS,
@@ -84,7 +84,7 @@
 }
 
 static void
-on_delay_over(struct tevent_context *ev, struct tevent_timer *timer,
+start_refusing(struct tevent_context *ev, struct tevent_timer *timer,
     struct timeval now, void *arg)
 {
 	struct loom_daemon *daemon = arg;
@@ -95,7 +95,7 @@
 	(void)now;
 	daemon->drain_us = loom_now_us();
 	daemon->drain_until_us =
-	    daemon->drain_us + plan_of(&daemon->settings).end_us;
+	    daemon->drain_us + stop_plan_of(&daemon->settings).end_us;
 	atomic_store(&daemon->draining, true);
 	loom_control_drain(daemon->control);
 	for (i = 0; i < daemon->nworkers; i++)
@@ -111,13 +111,13 @@
 void
 daemon_drain(struct loom_daemon *daemon)
 {
-	uint64_t delay_us = plan_of(&daemon->settings).delay_us;
+	uint64_t delay_us = stop_plan_of(&daemon->settings).delay_us;
 
 	loom_log(LOOM_LOG_INFO, "loomd", LOOM_OK, "draining");
-	report_life(daemon, "drain");
+	report_lifecycle(daemon, "drain");
 	atomic_store(&daemon->leaving, true);
 	tevent_add_timer(daemon->ev, daemon,
 	    tevent_timeval_current_ofs((uint32_t)(delay_us / LOOM_US_PER_S),
 		(uint32_t)(delay_us % LOOM_US_PER_S)),
-	    on_delay_over, daemon);
+	    start_refusing, daemon);
 }
--- a/src/daemon/lag.c
+++ b/src/daemon/lag.c
@@ -1,9 +1,10 @@
 /*
- * The delay of an event loop, by a probe that waits its turn among all else.
+ * Measures the delay of an event loop with a probe that is queued behind all
+ * other events.
  *
- * Load pattern: a daemon out of processor time.  That its loop never waits says
- * that it is full, but not by how much: the same whether it is a hundredth or
- * the double over what it can do.
+ * The delay shows how far a daemon that lacks CPU time is overloaded.
+ * Utilization does not: it is 1 whether the load is 1% or 100% above what the
+ * daemon can handle.
  */
 
 #include <glib.h>
@@ -14,30 +15,32 @@
 static void
 on_probe(void *arg)
 {
-	struct lag *lag = arg;
+	struct loop_delay *loop_delay = arg;
 	uint64_t now_us = loom_now_us();
-	uint64_t asked_us = atomic_load(&lag->asked_us);
+	uint64_t posted_us = atomic_load(&loop_delay->posted_us);
 
-	atomic_store(&lag->took_us, now_us - MIN(now_us, asked_us));
-	atomic_store(&lag->asked_us, 0);
+	atomic_store(
+	    &loop_delay->last_delay_us, now_us - MIN(now_us, posted_us));
+	atomic_store(&loop_delay->posted_us, 0);
 }
 
 void
-lag_probe(struct lag *lag, struct loom_mailbox *mailbox, uint64_t now_us)
+loop_delay_probe(struct loop_delay *loop_delay, struct loom_mailbox *mailbox,
+    uint64_t now_us)
 {
-	if (atomic_load(&lag->asked_us) != 0)
+	if (atomic_load(&loop_delay->posted_us) != 0)
 		return;
-	atomic_store(&lag->asked_us, now_us);
-	loom_mailbox_post(mailbox, on_probe, lag);
+	atomic_store(&loop_delay->posted_us, now_us);
+	loom_mailbox_post(mailbox, on_probe, loop_delay);
 }
 
 uint64_t
-lag_read(struct lag *lag, uint64_t now_us)
+loop_delay_read(struct loop_delay *loop_delay, uint64_t now_us)
 {
-	uint64_t asked_us = atomic_load(&lag->asked_us);
-	uint64_t took_us = atomic_load(&lag->took_us);
+	uint64_t posted_us = atomic_load(&loop_delay->posted_us);
+	uint64_t last_delay_us = atomic_load(&loop_delay->last_delay_us);
 
-	if (asked_us != 0 && asked_us < now_us)
-		took_us = MAX(took_us, now_us - asked_us);
-	return took_us;
+	if (posted_us != 0 && posted_us < now_us)
+		last_delay_us = MAX(last_delay_us, now_us - posted_us);
+	return last_delay_us;
 }
--- a/src/daemon/lag.h
+++ b/src/daemon/lag.h
@@ -2,7 +2,8 @@
 #define LOOM_DAEMON_LAG_H
 
 /*
- * How long a worker's event loop takes to come to an event that is ready.
+ * Measures the delay of an event loop: the time from when an event is ready
+ * until the loop handles it.
  */
 
 #include <stdatomic.h>
@@ -10,15 +11,22 @@
 
 #include "loom/mailbox.h"
 
-struct lag {
-	atomic_uint_fast64_t asked_us; /* when the probe was posted; 0: none */
-	atomic_uint_fast64_t took_us; /* the last one */
+struct loop_delay {
+	atomic_uint_fast64_t posted_us; /* of the pending probe; 0: none */
+	atomic_uint_fast64_t last_delay_us; /* of the last completed probe */
 };
 
-/* Post a probe, unless one is on its way.  Any one thread. */
-void lag_probe(struct lag *, struct loom_mailbox *, uint64_t now_us);
+/*
+ * Posts a probe to the loop's mailbox unless one is pending. Always to be
+ * called by the same thread, which may be any.
+ */
+void loop_delay_probe(
+    struct loop_delay *, struct loom_mailbox *, uint64_t now_us);
 
-/* Of the last probe, or of the one on its way when that is more. */
-uint64_t lag_read(struct lag *, uint64_t now_us);
+/*
+ * Returns the delay of the last completed probe, or the age of the pending one
+ * if that is greater.
+ */
+uint64_t loop_delay_read(struct loop_delay *, uint64_t now_us);
 
 #endif
--- a/src/daemon/latency.c
+++ b/src/daemon/latency.c
@@ -1,23 +1,27 @@
 /*
- * A route's histograms are looked up by its number in a table of the worker's
- * own, so that a call takes no lock.  Names come from the manifest, which may
- * have thousands of routes over time: the first ROUTES_MAX that are used have
- * series of their own, all others share one.
+ * Each worker looks up a route's histograms in a table of its own, so that
+ * recording a call takes no lock.
+ *
+ * The manifest may name thousands of routes over time. To limit the number of
+ * series, only the first NAMED_ROUTES_MAX routes that are used have series of
+ * their own; all others share one.
  */
 
 #include "daemon/latency.h"
 #include "daemon/report.h"
 #include "loom/histogram.h"
 
-/* With three ends at two stages each, and the others': 198 histograms, a page
- * of some 300 KB. */
-#define ROUTES_MAX 32
+/*
+ * With three ends at two stages, and the shared series, that makes 198
+ * histograms and a metrics page of about 300 KB.
+ */
+#define NAMED_ROUTES_MAX 32
 
 static const char *const stages[] = { "entry", "executor" };
 
 struct route_latency {
 	uint64_t route_id;
-	struct loom_histogram *took[G_N_ELEMENTS(stages)][CALL_ENDS];
+	struct loom_histogram *histograms[G_N_ELEMENTS(stages)][CALL_ENDS];
 };
 
 struct latencies {
@@ -26,7 +30,7 @@
 };
 
 static void
-name_histograms(struct route_latency *latency, const char *route)
+create_histograms(struct route_latency *latency, const char *route)
 {
 	unsigned stage, end;
 	char *labels;
@@ -37,7 +41,7 @@
 			    "stage=\"%s\",end=\"%s\",route=\"%s\"",
 			    stages[stage],
 			    call_end_name((enum call_end_kind)end), route);
-			latency->took[stage][end] =
+			latency->histograms[stage][end] =
 			    loom_histogram("loom_call_seconds", labels,
 				"Time from a call's headers to its end here.");
 			g_free(labels);
@@ -46,7 +50,7 @@
 }
 
 static int
-latencies_destroy(struct latencies *latencies)
+latencies_destructor(struct latencies *latencies)
 {
 	g_hash_table_unref(latencies->routes);
 	return 0;
@@ -61,13 +65,13 @@
 		return NULL;
 	latencies->routes =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-	name_histograms(&latencies->other, "other");
-	talloc_set_destructor(latencies, latencies_destroy);
+	create_histograms(&latencies->other, "other");
+	talloc_set_destructor(latencies, latencies_destructor);
 	return latencies;
 }
 
 static struct route_latency *
-latency_of(struct latencies *latencies, const struct loom_route *route)
+find_route_latency(struct latencies *latencies, const struct loom_route *route)
 {
 	struct route_latency *latency;
 
@@ -76,11 +80,11 @@
 	latency = g_hash_table_lookup(latencies->routes, &route->id);
 	if (latency != NULL)
 		return latency;
-	if (g_hash_table_size(latencies->routes) >= ROUTES_MAX)
+	if (g_hash_table_size(latencies->routes) >= NAMED_ROUTES_MAX)
 		return &latencies->other;
 	latency = g_new0(struct route_latency, 1);
 	latency->route_id = route->id;
-	name_histograms(latency, route->name);
+	create_histograms(latency, route->name);
 	g_hash_table_insert(latencies->routes, &latency->route_id, latency);
 	return latency;
 }
@@ -93,7 +97,7 @@
 
 	if (call->own_page)
 		return;
-	latency = latency_of(call->worker->latencies, call->route);
-	loom_histogram_add(latency->took[stage][call_end_kind(call)],
+	latency = find_route_latency(call->worker->latencies, call->route);
+	loom_histogram_add(latency->histograms[stage][call_end_kind(call)],
 	    loom_now_us() - call->arrived_us);
 }
--- a/src/daemon/latency.h
+++ b/src/daemon/latency.h
@@ -2,17 +2,17 @@
 #define LOOM_DAEMON_LATENCY_H
 
 /*
- * How long calls took, for the metrics page: by stage, end and route.
+ * Latency histograms of calls for the metrics page, by stage, end and route.
  */
 
 #include "daemon/call.h"
 
 struct latencies;
 
-/* One for each worker; owned by ctx. */
+/* To be created once per worker; owned by ctx. */
 struct latencies *latencies_new(TALLOC_CTX *ctx);
 
-/* The call is over. */
+/* Records the latency of a call that has ended. */
 void latency_count(const struct call *);
 
 #endif
--- a/src/daemon/probe.c
+++ b/src/daemon/probe.c
@@ -20,7 +20,7 @@
 };
 
 static bool
-take_data(void *arg, const uint8_t *data, size_t len)
+discard_data(void *arg, const uint8_t *data, size_t len)
 {
 	(void)arg;
 	(void)data;
@@ -29,7 +29,7 @@
 }
 
 static void
-probe_headers(void *arg, struct loom_fetch *fetch)
+on_probe_headers(void *arg, struct loom_fetch *fetch)
 {
 	struct probe *probe = arg;
 
@@ -37,7 +37,7 @@
 }
 
 static void
-probe_done(void *arg, const struct loom_fetch_end *end)
+on_probe_done(void *arg, const struct loom_fetch_end *end)
 {
 	struct probe *probe = arg;
 
@@ -52,13 +52,13 @@
 }
 
 static const struct loom_fetch_ops probe_ops = {
-	.headers = probe_headers,
-	.data = take_data,
-	.done = probe_done,
+	.headers = on_probe_headers,
+	.data = discard_data,
+	.done = on_probe_done,
 };
 
 static bool
-probe_start(struct worker *worker, struct probe *probe)
+start_fetch(struct worker *worker, struct probe *probe)
 {
 	const struct loom_host *host =
 	    loom_hosts_find(worker->hosts, probe->host_id);
@@ -89,7 +89,7 @@
 	probe = talloc(worker, struct probe);
 	*probe = (struct probe){ .balance = balance, .host_id = host_id };
 	loom_counter_add(worker->daemon->counters.probes, 1);
-	if (probe_start(worker, probe))
+	if (start_fetch(worker, probe))
 		return;
 	loom_balance_note_probe(balance, host_id, LOOM_PROBE_SILENT, now_us);
 	talloc_free(probe);
--- a/src/daemon/processor.c
+++ b/src/daemon/processor.c
@@ -1,5 +1,6 @@
 /*
- * Processor time by the kernel's clocks of the process and of its workers.
+ * Reads the CPU time of the process and of its worker threads from the kernel's
+ * CPU clocks.
  */
 
 #include <pthread.h>
@@ -9,32 +10,39 @@
 #include "daemon/worker.h"
 #include "loom/event.h"
 
-/* A loop whose host stands still for the rest of a tenth of a second is late
- * by less than this. */
-#define LATE_US (100 * LOOM_US_PER_MS)
-/* Hysteresis keeps one long overload from a line for each of its lulls. */
-#define IN_TIME_US (30 * LOOM_US_PER_MS)
+/*
+ * Delay from which a loop is reported as delayed. A host that has used up its
+ * CPU quota stands still for the rest of a period of 100 ms, which delays the
+ * loop by less than this.
+ */
+#define DELAY_HIGH_US (100 * LOOM_US_PER_MS)
+/*
+ * Delay below which it is reported as recovered. The hysteresis avoids an event
+ * for each short dip during one long overload.
+ */
+#define DELAY_LOW_US (30 * LOOM_US_PER_MS)
 
 void
-processor_init(struct processor *processor)
+cpu_usage_init(struct cpu_usage *cpu_usage)
 {
-	*processor = (struct processor){
-		.used = loom_counter("loom_processor_microseconds_total",
-		    "threads=\"all\"", "Processor time used."),
-		.workers_used =
+	*cpu_usage = (struct cpu_usage){
+		.process_total =
+		    loom_counter("loom_processor_microseconds_total",
+			"threads=\"all\"", "Processor time used."),
+		.workers_total =
 		    loom_counter("loom_processor_microseconds_total",
 			"threads=\"workers\"", "Processor time used."),
-		.a_call = loom_gauge("loom_processor_microseconds_a_call", NULL,
-		    "Of all threads, for each call lately."),
-		.delay = loom_gauge("loom_loop_delay_microseconds", NULL,
+		.per_call = loom_gauge("loom_processor_microseconds_a_call",
+		    NULL, "Of all threads, for each call lately."),
+		.loop_delay = loom_gauge("loom_loop_delay_microseconds", NULL,
 		    "What an event waited for the latest worker lately."),
 	};
 }
 
 void
-processor_note_lag(struct processor *processor, uint64_t lag_us)
+cpu_usage_record_delay(struct cpu_usage *cpu_usage, uint64_t delay_us)
 {
-	processor->lag_us = MAX(processor->lag_us, lag_us);
+	cpu_usage->max_delay_us = MAX(cpu_usage->max_delay_us, delay_us);
 }
 
 static uint64_t
@@ -49,21 +57,24 @@
 }
 
 static uint64_t
-workers_us(const struct loom_daemon *daemon)
+workers_cpu_us(const struct loom_daemon *daemon)
 {
 	uint64_t used_us = 0;
 	uint32_t i;
 
 	for (i = 0; i < daemon->nworkers; i++) {
-		if (atomic_load(&daemon->workers[i]->has_clock))
-			used_us += clock_us(daemon->workers[i]->clock);
+		if (atomic_load(&daemon->workers[i]->has_cpu_clock))
+			used_us += clock_us(daemon->workers[i]->cpu_clock);
 	}
 	return used_us;
 }
 
-/* Each stage of a call at this daemon is one. */
+/*
+ * Returns the number of calls so far. A call that this daemon handles as both
+ * entry and executor counts twice.
+ */
 static int64_t
-calls_of(const struct daemon_counters *counters)
+count_calls(const struct daemon_counters *counters)
 {
 	return loom_counter_value(counters->requests) +
 	    loom_counter_value(counters->deeper) +
@@ -71,18 +82,20 @@
 }
 
 static bool
-is_late(const struct processor *processor)
+is_delayed(const struct cpu_usage *cpu_usage)
 {
-	return processor->lag_us >= (processor->late ? IN_TIME_US : LATE_US);
+	return cpu_usage->max_delay_us >=
+	    (cpu_usage->is_delayed ? DELAY_LOW_US : DELAY_HIGH_US);
 }
 
 static void
-report_change(const struct processor *processor, uint64_t used_us,
+report_delay_change(const struct cpu_usage *cpu_usage, uint64_t used_us,
     int64_t calls, uint64_t gap_us)
 {
 	const struct loom_event_field fields[] = {
-		LOOM_F_TEXT("what", processor->late ? "late" : "in time"),
-		LOOM_F_INT("delay_ms", processor->lag_us / LOOM_US_PER_MS),
+		LOOM_F_TEXT("what", cpu_usage->is_delayed ? "late" : "in time"),
+		LOOM_F_INT(
+		    "delay_ms", cpu_usage->max_delay_us / LOOM_US_PER_MS),
 		LOOM_F_REAL("cores",
 		    gap_us == 0 ? 0 : (double)used_us / (double)gap_us),
 		LOOM_F_INT("calls", calls),
@@ -95,30 +108,30 @@
 }
 
 void
-processor_report(struct loom_daemon *daemon, uint64_t now_us)
+cpu_usage_report(struct loom_daemon *daemon, uint64_t now_us)
 {
-	struct processor *processor = &daemon->processor;
+	struct cpu_usage *cpu_usage = &daemon->cpu_usage;
 	const uint64_t all_us = clock_us(CLOCK_PROCESS_CPUTIME_ID);
-	const uint64_t threads_us = workers_us(daemon);
-	const uint64_t used_us = all_us - processor->used_us;
-	const int64_t all_calls = calls_of(&daemon->counters);
-	const int64_t calls = all_calls - processor->calls;
-	const bool late = is_late(processor);
+	const uint64_t threads_us = workers_cpu_us(daemon);
+	const uint64_t used_us = all_us - cpu_usage->last_used_us;
+	const int64_t all_calls = count_calls(&daemon->counters);
+	const int64_t calls = all_calls - cpu_usage->last_calls;
+	const bool delayed = is_delayed(cpu_usage);
 
-	loom_counter_add(processor->used, (int64_t)used_us);
-	loom_counter_add(processor->workers_used,
-	    (int64_t)(threads_us - processor->workers_us));
+	loom_counter_add(cpu_usage->process_total, (int64_t)used_us);
+	loom_counter_add(cpu_usage->workers_total,
+	    (int64_t)(threads_us - cpu_usage->last_workers_us));
 	if (calls > 0)
-		loom_gauge_set(processor->a_call, (int64_t)used_us / calls);
-	loom_gauge_set(processor->delay, (int64_t)processor->lag_us);
-	if (late != processor->late) {
-		processor->late = late;
-		report_change(
-		    processor, used_us, calls, now_us - processor->reported_us);
+		loom_gauge_set(cpu_usage->per_call, (int64_t)used_us / calls);
+	loom_gauge_set(cpu_usage->loop_delay, (int64_t)cpu_usage->max_delay_us);
+	if (delayed != cpu_usage->is_delayed) {
+		cpu_usage->is_delayed = delayed;
+		report_delay_change(cpu_usage, used_us, calls,
+		    now_us - cpu_usage->last_report_us);
 	}
-	processor->used_us = all_us;
-	processor->workers_us = threads_us;
-	processor->calls = all_calls;
-	processor->lag_us = 0;
-	processor->reported_us = now_us;
+	cpu_usage->last_used_us = all_us;
+	cpu_usage->last_workers_us = threads_us;
+	cpu_usage->last_calls = all_calls;
+	cpu_usage->max_delay_us = 0;
+	cpu_usage->last_report_us = now_us;
 }
--- a/src/daemon/processor.h
+++ b/src/daemon/processor.h
@@ -2,9 +2,9 @@
 #define LOOM_DAEMON_PROCESSOR_H
 
 /*
- * What on-call engineers see of a daemon's processor time: counters of it, the
- * time a call takes, and a line in the log when the event loops are late and
- * when they are in time again.
+ * Reports a daemon's CPU usage to operators: metrics of the CPU time in total
+ * and per call, and an event in the log when the event loops become delayed and
+ * when they have recovered.
  */
 
 #include <stdbool.h>
@@ -14,26 +14,26 @@
 
 struct loom_daemon;
 
-/* The main thread's own. */
-struct processor {
-	struct loom_counter *used; /* borrowed, like all counters */
-	struct loom_counter *workers_used;
-	struct loom_counter *a_call; /* gauge */
-	struct loom_counter *delay; /* gauge */
-	uint64_t used_us; /* at the last report */
-	uint64_t workers_us;
-	int64_t calls;
-	uint64_t lag_us; /* the longest since then */
-	uint64_t reported_us;
-	bool late;
+/* Used by the main thread only. */
+struct cpu_usage {
+	struct loom_counter *process_total; /* borrowed, like the others */
+	struct loom_counter *workers_total;
+	struct loom_counter *per_call; /* gauge */
+	struct loom_counter *loop_delay; /* gauge */
+	uint64_t last_used_us; /* at the last report, like the next two */
+	uint64_t last_workers_us;
+	int64_t last_calls;
+	uint64_t max_delay_us; /* since the last report */
+	uint64_t last_report_us;
+	bool is_delayed; /* as last reported */
 };
 
-void processor_init(struct processor *);
+void cpu_usage_init(struct cpu_usage *);
 
-/* How late the latest worker's loop is now. */
-void processor_note_lag(struct processor *, uint64_t lag_us);
+/* Records the delay of the most delayed worker's event loop. */
+void cpu_usage_record_delay(struct cpu_usage *, uint64_t delay_us);
 
-/* To be called now and then by the main thread. */
-void processor_report(struct loom_daemon *, uint64_t now_us);
+/* Updates the metrics and logs a change. To be called periodically. */
+void cpu_usage_report(struct loom_daemon *, uint64_t now_us);
 
 #endif
--- a/src/daemon/report.c
+++ b/src/daemon/report.c
@@ -18,7 +18,7 @@
 #define SAMPLE_EVERY 256
 
 /* A limit that moved by less is no news. */
-#define LIMIT_NEWS 0.25
+#define LIMIT_CHANGE_MIN 0.25
 
 #define SERVER_ERROR 500
 
@@ -36,7 +36,7 @@
 }
 
 static const char *
-last_host(const struct call *call)
+last_host_name(const struct call *call)
 {
 	const struct loom_host *host = NULL;
 
@@ -69,7 +69,7 @@
 }
 
 static const char *
-below_name(const struct call *call)
+overloaded_service_name(const struct call *call)
 {
 	const struct loom_service *service = NULL;
 
@@ -81,7 +81,7 @@
 
 /* Its team's rate is what refused it. */
 static bool
-is_by_rate(const struct call *call)
+is_rate_refusal(const struct call *call)
 {
 	return call->refused &&
 	    (call->span.code == LOOM_TEAM_RATE ||
@@ -108,7 +108,7 @@
 	const uint64_t now_us = loom_now_us();
 	struct loom_admission_state state = { .limit = 0 };
 	struct loom_rights_status rate = { .level = 0 };
-	bool by_rate;
+	bool rate_refused;
 
 	if (call->own_page || (ended_well(call) && !is_sampled(id)))
 		return;
@@ -120,7 +120,7 @@
 	    LOOM_F_REAL("rate_per_s", team == NULL ? 0 : team->rate_per_s);
 	const struct loom_event_field end = LOOM_F_END;
 
-	by_rate = is_by_rate(call) && rate_state(call, &rate);
+	rate_refused = is_rate_refusal(call) && rate_state(call, &rate);
 	const struct loom_event_field fields[] = {
 		LOOM_F_TEXT("id", id),
 		LOOM_F_TEXT("stage",
@@ -150,9 +150,9 @@
 		LOOM_F_INT("queue_ms", call->span.queue_us / LOOM_US_PER_MS),
 		LOOM_F_INT("leg_ms", call->span.leg_us / LOOM_US_PER_MS),
 		LOOM_F_INT("tries", call->ntried),
-		LOOM_F_TEXT("host", last_host(call)),
+		LOOM_F_TEXT("host", last_host_name(call)),
 		LOOM_F_BOOL("may_have_run", call->may_have_run),
-		LOOM_F_TEXT("below", below_name(call)),
+		LOOM_F_TEXT("below", overloaded_service_name(call)),
 		LOOM_F_REAL("below_share", call->below_share),
 		LOOM_F_REAL("below_calls", call->below_calls),
 		LOOM_F_INT("below_age_ms", call->below_age_us / LOOM_US_PER_MS),
@@ -160,7 +160,7 @@
 		LOOM_F_INT("inside", state.inside),
 		LOOM_F_INT("waiting", state.waiting),
 		/* the list ends here where the rate decided nothing */
-		by_rate ? rate_of_team : end,
+		rate_refused ? rate_of_team : end,
 		LOOM_F_REAL("rate_here_per_s", rate.refill_per_s),
 		LOOM_F_REAL("rate_level", rate.level),
 		LOOM_F_REAL("rate_capacity", rate.capacity),
@@ -177,7 +177,7 @@
 }
 
 static const char *
-state_name(const struct loom_host *host)
+host_state_name(const struct loom_host *host)
 {
 	if (host == NULL)
 		return "gone";
@@ -193,9 +193,9 @@
 		LOOM_F_TEXT("service", host->service),
 		LOOM_F_TEXT("data_centre", host->data_centre),
 		LOOM_F_TEXT("instance", host->instance),
-		LOOM_F_TEXT(
-		    "was", before == NULL ? "unknown" : state_name(before)),
-		LOOM_F_TEXT("is", state_name(after)),
+		LOOM_F_TEXT("was",
+		    before == NULL ? "unknown" : host_state_name(before)),
+		LOOM_F_TEXT("is", host_state_name(after)),
 		LOOM_F_END,
 	};
 
@@ -207,7 +207,7 @@
 }
 
 void
-report_view(const struct loom_manifest *manifest,
+report_versions(const struct loom_manifest *manifest,
     const struct loom_hosts *before, const struct loom_hosts *after)
 {
 	const struct loom_event_field fields[] = {
@@ -241,7 +241,7 @@
     struct loom_daemon *daemon, const struct loom_admission_state *state)
 {
 	const struct loom_event_field fields[] = {
-		LOOM_F_INT("was", daemon->reported_limit),
+		LOOM_F_INT("was", daemon->last_reported_limit),
 		LOOM_F_INT("is", state->limit),
 		LOOM_F_INT("inside", state->inside),
 		LOOM_F_INT("waiting", state->waiting),
@@ -249,13 +249,14 @@
 		LOOM_F_REAL("ratio", state->latency_ratio),
 		LOOM_F_END,
 	};
-	double change = fabs((double)state->limit - daemon->reported_limit);
+	double change =
+	    fabs((double)state->limit - daemon->last_reported_limit);
 
-	if (change < LIMIT_NEWS * MAX(daemon->reported_limit, 1))
+	if (change < LIMIT_CHANGE_MIN * MAX(daemon->last_reported_limit, 1))
 		return;
 	if (loom_event_admit(NULL, loom_now_us()))
 		loom_event_write(LOOM_EVENT_LIMIT, fields);
-	daemon->reported_limit = state->limit;
+	daemon->last_reported_limit = state->limit;
 }
 
 void
@@ -273,9 +274,9 @@
 		LOOM_F_INT("waiting", state.waiting),
 		LOOM_F_END,
 	};
-	if ((share < 1.0) == daemon->reported_shedding)
+	if ((share < 1.0) == daemon->was_shedding)
 		return;
-	daemon->reported_shedding = share < 1.0;
+	daemon->was_shedding = share < 1.0;
 	if (loom_event_admit(NULL, loom_now_us()))
 		loom_event_write(LOOM_EVENT_SHARE, fields);
 }
@@ -284,11 +285,11 @@
 report_partition(struct loom_daemon *daemon, uint32_t partition)
 {
 	const struct loom_rights_summary was =
-	    daemon->reported_rights[partition];
+	    daemon->last_reported_rights[partition];
 	struct loom_rights_summary is;
 
 	loom_rights_summary(loom_rights_set_at(daemon->rights, partition), &is);
-	daemon->reported_rights[partition] = is;
+	daemon->last_reported_rights[partition] = is;
 	if (is.pool_host_id == was.pool_host_id && is.shares == was.shares &&
 	    is.holding == was.holding && is.children == was.children)
 		return;
@@ -317,7 +318,7 @@
 }
 
 void
-report_life(const struct loom_daemon *daemon, const char *what)
+report_lifecycle(const struct loom_daemon *daemon, const char *what)
 {
 	const struct loom_event_field fields[] = {
 		LOOM_F_TEXT("what", what),
--- a/src/daemon/report.h
+++ b/src/daemon/report.h
@@ -24,8 +24,8 @@
 
 /* A manifest and a list of hosts are in force.  before is the list that was,
  * or NULL.  Control thread. */
-void report_view(const struct loom_manifest *, const struct loom_hosts *before,
-    const struct loom_hosts *after);
+void report_versions(const struct loom_manifest *,
+    const struct loom_hosts *before, const struct loom_hosts *after);
 
 /* To be called now and then by the main thread: what admission believes. */
 void report_admission(struct loom_daemon *);
@@ -34,6 +34,6 @@
 void report_rights(struct loom_daemon *);
 
 /* "start", "stop", "reload", "drain". */
-void report_life(const struct loom_daemon *, const char *what);
+void report_lifecycle(const struct loom_daemon *, const char *what);
 
 #endif
--- a/src/daemon/run.c
+++ b/src/daemon/run.c
@@ -31,15 +31,15 @@
  * times over. */
 #define REPLAY_CAPACITY 65536
 
-#define SLOTS_DEFAULT 16
+#define INITIAL_SLOTS 16
 
 /* How often the log is told what admission believes. */
-#define REPORT_US (500 * LOOM_US_PER_MS)
+#define REPORT_INTERVAL_US (500 * LOOM_US_PER_MS)
 /* Over so long is a worker's business measured: several rounds of the tenth of
  * a second in which a host's share of a core may be used up. */
-#define BUSY_US (100 * LOOM_US_PER_MS)
+#define UTILIZATION_INTERVAL_US (100 * LOOM_US_PER_MS)
 /* From there on the loop's delay is looked at. */
-#define BUSY_PROBED 0.5
+#define DELAY_PROBE_UTILIZATION 0.5
 
 static void
 lock_admission(void *arg)
@@ -54,7 +54,7 @@
 }
 
 static void
-name_counters(struct daemon_counters *counters)
+create_counters(struct daemon_counters *counters)
 {
 	counters->requests = loom_counter("loom_requests_total",
 	    "from=\"caller\"", "Requests that were let in.");
@@ -79,7 +79,7 @@
 }
 
 static void
-set_self(struct loom_daemon *daemon)
+init_self(struct loom_daemon *daemon)
 {
 	const struct daemon_settings *settings = &daemon->settings;
 
@@ -99,7 +99,7 @@
 }
 
 static bool
-set_secret(struct loom_daemon *daemon, GError **error)
+init_secrets(struct loom_daemon *daemon, GError **error)
 {
 	if (!loom_fleet_secret_parse(
 		daemon->settings.fleet_secret, daemon->fleet_secret, error))
@@ -128,7 +128,7 @@
 }
 
 static void
-add_parts(struct loom_daemon *daemon)
+add_control_parts(struct loom_daemon *daemon)
 {
 	loom_control_add(daemon->control, &loom_tickets_part, daemon->tickets);
 	loom_control_add(daemon->control, &loom_rights_set_ops, daemon->rights);
@@ -147,7 +147,7 @@
 }
 
 static void
-wake_rights(void *arg)
+schedule_rights(void *arg)
 {
 	struct loom_daemon *daemon = arg;
 
@@ -164,7 +164,7 @@
 }
 
 static void
-wake_retry(void *arg)
+schedule_retry(void *arg)
 {
 	struct loom_daemon *daemon = arg;
 
@@ -172,13 +172,13 @@
 }
 
 static bool
-start_decisions(struct loom_daemon *daemon)
+create_components(struct loom_daemon *daemon)
 {
 	const struct loom_admission_settings settings = {
-		.limit = { .slots = SLOTS_DEFAULT,
+		.limit = { .slots = INITIAL_SLOTS,
 		    .max_part = daemon->settings.limit_max_part,
 		    .min_part = daemon->settings.limit_min_part },
-		.queue = SLOTS_DEFAULT,
+		.queue = INITIAL_SLOTS,
 		.lock = { .lock = lock_admission,
 		    .unlock = unlock_admission,
 		    .arg = &daemon->admission_lock },
@@ -194,7 +194,7 @@
 		.partitions = daemon->settings.rights_partitions,
 	};
 	const struct loom_rights_waker waker = {
-		.wake = wake_rights,
+		.wake = schedule_rights,
 		.arg = daemon,
 	};
 	const struct loom_tickets_config tickets = {
@@ -222,7 +222,7 @@
 	daemon->rights = loom_rights_set_new(daemon, &daemon->self,
 	    &daemon->sender, &loom_random_system, &waker, &rights, now_us);
 	daemon->retry = loom_retry_new(daemon, &daemon->self, &daemon->sender,
-	    &loom_random_system, wake_retry, daemon);
+	    &loom_random_system, schedule_retry, daemon);
 	daemon->admission = loom_admission_new(daemon, &settings, now_us);
 	return daemon->calls != NULL && daemon->replay != NULL &&
 	    daemon->rights != NULL && daemon->retry != NULL &&
@@ -315,7 +315,7 @@
 	(void)signal_number;
 	(void)count;
 	(void)info;
-	report_life(arg, "reload");
+	report_lifecycle(arg, "reload");
 	loom_log(LOOM_LOG_INFO, "loomd", LOOM_OK,
 	    "SIGHUP: settings are read at the start only; ship a manifest");
 }
@@ -326,7 +326,7 @@
  * comes before the loop waits for it.
  */
 static void
-watch_signals(struct loom_daemon *daemon)
+handle_signals(struct loom_daemon *daemon)
 {
 	signal(SIGPIPE, SIG_IGN);
 	tevent_add_signal(daemon->ev, daemon, SIGTERM, 0, on_terminate, daemon);
@@ -346,10 +346,10 @@
 	daemon->settings = *settings;
 	daemon->kind = kind;
 	daemon->dialect = kind->dialect;
-	name_counters(&daemon->counters);
-	processor_init(&daemon->processor);
-	set_self(daemon);
-	if (!set_secret(daemon, error))
+	create_counters(&daemon->counters);
+	cpu_usage_init(&daemon->cpu_usage);
+	init_self(daemon);
+	if (!init_secrets(daemon, error))
 		goto error;
 	if (!loom_server_address(
 		settings->upstream, &daemon->upstream_address, error))
@@ -357,7 +357,7 @@
 	daemon->ev = tevent_context_init(daemon);
 	if (!start_control(daemon, error))
 		goto error;
-	if (daemon->ev == NULL || !start_decisions(daemon)) {
+	if (daemon->ev == NULL || !create_components(daemon)) {
 		loom_fail(error, LOOM_START, "out of memory");
 		goto error;
 	}
@@ -368,7 +368,7 @@
 		loom_fail(error, LOOM_START, "out of memory");
 		goto error;
 	}
-	watch_signals(daemon);
+	handle_signals(daemon);
 	daemon->tracer =
 	    tracer_new(daemon, daemon->ev, &daemon->self, settings->trace);
 	if (daemon->tracer == NULL) {
@@ -378,7 +378,7 @@
 	daemon->config = config_new(daemon, error);
 	if (daemon->config == NULL)
 		goto error;
-	add_parts(daemon);
+	add_control_parts(daemon);
 	if (!start_workers(daemon, error))
 		goto error;
 	if (!loom_control_start(daemon->control)) {
@@ -442,7 +442,7 @@
 	    daemon->counters.generation, (int64_t)manifest->generation);
 	set_slots(daemon, manifest, hosts);
 	for (i = 0; i < daemon->nworkers; i++)
-		worker_set_view(daemon->workers[i], manifest, hosts);
+		worker_set_versions(daemon->workers[i], manifest, hosts);
 }
 
 /*
@@ -451,50 +451,54 @@
  * that moment was refused as over its team's rate (1 start in 70).
  */
 static void
-look_at_rights(void *arg)
+check_rights_filled(void *arg)
 {
 	struct loom_daemon *daemon = arg;
 	struct loom_rights_summary summary;
 
-	if (daemon->rights_since_us == 0) {
+	if (daemon->rights_wait_end_us == 0) {
 		/* all partitions hold alike: it goes by the host list */
 		loom_rights_summary(
 		    loom_rights_set_at(daemon->rights, 0), &summary);
 		if (!summary.holding)
-			daemon->rights_since_us = loom_now_us();
-	} else if (loom_now_us() - daemon->rights_since_us >= RIGHTS_FILL_US) {
+			daemon->rights_wait_end_us = loom_now_us();
+	} else if (loom_now_us() - daemon->rights_wait_end_us >=
+	    RIGHTS_FILL_US) {
 		atomic_store(&daemon->rights_held, true);
 	}
 }
 
 /* The busiest worker's: a call stays on the one that it came to. */
 static void
-look_at_workers(struct loom_daemon *daemon, uint64_t now_us)
+measure_workers(struct loom_daemon *daemon, uint64_t now_us)
 {
-	double most = 0;
-	uint64_t lag_us = 0;
+	double max_utilization = 0;
+	uint64_t max_delay_us = 0;
 	uint32_t i;
 
-	if (now_us - daemon->busy_us >= BUSY_US) {
-		daemon->busy_us = now_us;
+	if (now_us - daemon->utilization_read_us >= UTILIZATION_INTERVAL_US) {
+		daemon->utilization_read_us = now_us;
 		for (i = 0; i < daemon->nworkers; i++)
-			most = MAX(
-			    most, busy_read(&daemon->workers[i]->busy, now_us));
-		daemon->busy = most;
-		loom_admission_note_busy(daemon->admission, most);
+			max_utilization = MAX(max_utilization,
+			    loop_utilization_read(
+				&daemon->workers[i]->utilization, now_us));
+		daemon->utilization = max_utilization;
+		loom_admission_note_busy(daemon->admission, max_utilization);
 	}
-	for (i = 0; daemon->busy >= BUSY_PROBED && i < daemon->nworkers; i++) {
-		lag_probe(&daemon->workers[i]->lag, daemon->workers[i]->mailbox,
-		    now_us);
-		lag_us =
-		    MAX(lag_us, lag_read(&daemon->workers[i]->lag, now_us));
+	for (i = 0; daemon->utilization >= DELAY_PROBE_UTILIZATION &&
+	     i < daemon->nworkers;
+	     i++) {
+		loop_delay_probe(&daemon->workers[i]->loop_delay,
+		    daemon->workers[i]->mailbox, now_us);
+		max_delay_us = MAX(max_delay_us,
+		    loop_delay_read(&daemon->workers[i]->loop_delay, now_us));
 	}
-	loom_admission_note_lag(daemon->admission, lag_us);
-	processor_note_lag(&daemon->processor, lag_us);
+	loom_admission_note_lag(daemon->admission, max_delay_us);
+	cpu_usage_record_delay(&daemon->cpu_usage, max_delay_us);
 }
 
 static void
-look_at_own_rights(void *arg)
+report_rights_task(void *arg)
 {
 	report_rights(arg);
 }
@@ -509,18 +513,18 @@
 
 	(void)timer;
 	(void)now;
-	look_at_workers(daemon, loom_now_us());
+	measure_workers(daemon, loom_now_us());
 	loom_moved_init(&moved);
 	loom_admission_tick(daemon->admission, loom_now_us(), &moved);
 	executor_moved(&moved);
-	if (loom_now_us() - daemon->reported_us >= REPORT_US) {
-		daemon->reported_us = loom_now_us();
+	if (loom_now_us() - daemon->last_report_us >= REPORT_INTERVAL_US) {
+		daemon->last_report_us = loom_now_us();
 		report_admission(daemon);
-		processor_report(daemon, daemon->reported_us);
-		loom_control_post(daemon->control, look_at_own_rights, daemon);
+		cpu_usage_report(daemon, daemon->last_report_us);
+		loom_control_post(daemon->control, report_rights_task, daemon);
 	}
 	if (!atomic_load(&daemon->rights_held))
-		loom_control_post(daemon->control, look_at_rights, daemon);
+		loom_control_post(daemon->control, check_rights_filled, daemon);
 	tick_ms = atomic_load(&daemon->inflight) > 0 ? ADMISSION_TICK_MS
 						     : IDLE_TICK_MS;
 	tevent_add_timer(ev, daemon,
@@ -533,12 +537,12 @@
 	on_tick(daemon->ev, NULL, tevent_timeval_zero(), daemon);
 	loom_log(LOOM_LOG_INFO, "loomd", LOOM_OK, "serving %s on %s",
 	    daemon->self.service, daemon->settings.listen);
-	report_life(daemon, "start");
+	report_lifecycle(daemon, "start");
 	while (!daemon->stopping) {
 		if (tevent_loop_once(daemon->ev) != 0)
 			return EXIT_FAILURE;
 	}
 	loom_log(LOOM_LOG_INFO, "loomd", LOOM_OK, "stopped");
-	report_life(daemon, "stop");
+	report_lifecycle(daemon, "stop");
 	return EXIT_SUCCESS;
 }
--- a/src/daemon/settings.c
+++ b/src/daemon/settings.c
@@ -15,19 +15,19 @@
 #include "loom/spread.h"
 
 #define OFFSET(member) offsetof(struct daemon_settings, member)
-#define SECRET_HEX 64
+#define KEY_HEX_DIGITS 64
 
 static enum loom_result
-check_secret(const char *text)
+check_hex_key(const char *text)
 {
-	if (strlen(text) != SECRET_HEX ||
-	    strspn(text, "0123456789abcdefABCDEF") != SECRET_HEX)
+	if (strlen(text) != KEY_HEX_DIGITS ||
+	    strspn(text, "0123456789abcdefABCDEF") != KEY_HEX_DIGITS)
 		return LOOM_SETTING_RANGE;
 	return LOOM_OK;
 }
 
 static enum loom_result
-check_data_centre(const char *text)
+check_region_mapping(const char *text)
 {
 	const char *equals = strchr(text, '=');
 
@@ -102,7 +102,7 @@
 	{ .name = "data_centres",
 	    .type = LOOM_FIELD_STRINGS,
 	    .offset = OFFSET(data_centres),
-	    .check = check_data_centre,
+	    .check = check_region_mapping,
 	    .expects = "NAME=REGION" },
 	{ .name = "platform_is_current",
 	    .type = LOOM_FIELD_BOOL,
@@ -151,13 +151,13 @@
 	    .type = LOOM_FIELD_STRING,
 	    .required = true,
 	    .offset = OFFSET(fleet_secret),
-	    .check = check_secret,
+	    .check = check_hex_key,
 	    .expects = "64 hex digits" },
 	{ .name = "trusted_signers",
 	    .type = LOOM_FIELD_STRINGS,
 	    .required = true,
 	    .offset = OFFSET(trusted_signers),
-	    .check = check_secret,
+	    .check = check_hex_key,
 	    .expects = "64 hex digits" },
 	{ .name = "log_level",
 	    .type = LOOM_FIELD_STRING,
--- a/src/daemon/witness.c
+++ b/src/daemon/witness.c
@@ -22,14 +22,14 @@
 };
 
 static void
-shut(struct witnesses *witnesses, size_t i)
+close_witness(struct witnesses *witnesses, size_t i)
 {
 	close(witnesses->fds[i]);
 	witnesses->fds[i] = -1;
 }
 
 static void
-note_end(struct witnesses *witnesses, size_t i, uint64_t now_us)
+record_end(struct witnesses *witnesses, size_t i, uint64_t now_us)
 {
 	if (witnesses->seen_us[i] != 0)
 		witnesses->ended[i] = (struct gone_witness){
@@ -38,13 +38,13 @@
 			.seen_us = witnesses->seen_us[i],
 			.ended_us = now_us,
 		};
-	shut(witnesses, i);
+	close_witness(witnesses, i);
 }
 
 /* Bytes are the farewell of an upstream that ends idle connections (408): it
  * is alive, and this one has nothing more to tell. */
 static void
-look(struct witnesses *witnesses, size_t i, uint64_t now_us)
+check_witness(struct witnesses *witnesses, size_t i, uint64_t now_us)
 {
 	ssize_t got;
 	char byte;
@@ -53,15 +53,15 @@
 		return;
 	got = recv(witnesses->fds[i], &byte, 1, MSG_PEEK | MSG_DONTWAIT);
 	if (got > 0)
-		shut(witnesses, i);
+		close_witness(witnesses, i);
 	else if (got < 0 && (errno == EAGAIN || errno == EINTR))
 		witnesses->seen_us[i] = now_us;
 	else
-		note_end(witnesses, i, now_us);
+		record_end(witnesses, i, now_us);
 }
 
 static void
-open_one(struct witnesses *witnesses, size_t i, uint64_t now_us)
+open_witness(struct witnesses *witnesses, size_t i, uint64_t now_us)
 {
 	int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 
@@ -90,21 +90,21 @@
 			    ? 0
 			    : witnesses->opened_us[other],
 			now_us))
-			open_one(witnesses, i, now_us);
+			open_witness(witnesses, i, now_us);
 	}
 }
 
 static void
-look_at_all(struct witnesses *witnesses, uint64_t now_us)
+check_witnesses(struct witnesses *witnesses, uint64_t now_us)
 {
 	size_t i;
 
 	for (i = 0; i < GONE_WITNESSES; i++)
-		look(witnesses, i, now_us);
+		check_witness(witnesses, i, now_us);
 }
 
 static void
-on_look(struct tevent_context *ev, struct tevent_timer *timer,
+on_check_timer(struct tevent_context *ev, struct tevent_timer *timer,
     struct timeval now, void *arg)
 {
 	struct witnesses *witnesses = arg;
@@ -113,22 +113,22 @@
 	(void)timer;
 	(void)now;
 	g_mutex_lock(&witnesses->lock);
-	look_at_all(witnesses, now_us);
+	check_witnesses(witnesses, now_us);
 	open_missing(witnesses, now_us);
 	g_mutex_unlock(&witnesses->lock);
 	tevent_add_timer(ev, witnesses,
-	    tevent_timeval_current_ofs(0, (uint32_t)GONE_LOOK_US), on_look,
-	    witnesses);
+	    tevent_timeval_current_ofs(0, (uint32_t)GONE_LOOK_US),
+	    on_check_timer, witnesses);
 }
 
 static int
-witnesses_destroy(struct witnesses *witnesses)
+witnesses_destructor(struct witnesses *witnesses)
 {
 	size_t i;
 
 	for (i = 0; i < GONE_WITNESSES; i++) {
 		if (witnesses->fds[i] >= 0)
-			shut(witnesses, i);
+			close_witness(witnesses, i);
 	}
 	g_mutex_clear(&witnesses->lock);
 	return 0;
@@ -148,8 +148,8 @@
 	g_mutex_init(&witnesses->lock);
 	for (i = 0; i < GONE_WITNESSES; i++)
 		witnesses->fds[i] = -1;
-	talloc_set_destructor(witnesses, witnesses_destroy);
-	on_look(ev, NULL, tevent_timeval_zero(), witnesses);
+	talloc_set_destructor(witnesses, witnesses_destructor);
+	on_check_timer(ev, NULL, tevent_timeval_zero(), witnesses);
 	return witnesses;
 }
 
@@ -159,7 +159,7 @@
 	bool gone;
 
 	g_mutex_lock(&witnesses->lock);
-	look_at_all(witnesses, now_us);
+	check_witnesses(witnesses, now_us);
 	gone = gone_with(witnesses->ended, now_us);
 	g_mutex_unlock(&witnesses->lock);
 	return gone;
--- a/src/daemon/worker.c
+++ b/src/daemon/worker.c
@@ -11,13 +11,13 @@
 #include "daemon/latency.h"
 #include "loom/log.h"
 
-struct start {
+struct worker_start_args {
 	struct worker_listeners listeners;
 	const struct loom_tls_pair *tls; /* borrowed */
 };
 
 static void
-on_request(void *arg, struct loom_exchange *x)
+on_caller_request(void *arg, struct loom_exchange *x)
 {
 	entry_request(arg, x);
 }
@@ -74,7 +74,7 @@
 }
 
 static const struct loom_exchange_ops caller_ops = {
-	.request = on_request,
+	.request = on_caller_request,
 	.body = on_body,
 	.body_end = on_body_end,
 	.drained = on_drained,
@@ -101,18 +101,19 @@
 };
 
 static void
-free_service(gpointer value)
+free_entry(gpointer value)
 {
 	talloc_free(value);
 }
 
 static bool
-start_servers(struct worker *worker, const struct start *start, GError **error)
+start_servers(
+    struct worker *worker, const struct worker_start_args *args, GError **error)
 {
 	const struct daemon_settings *settings = &worker->daemon->settings;
 	struct loom_server_options options = {
-		.listen_fd = start->listeners.callers_fd,
-		.tls = start->tls,
+		.listen_fd = args->listeners.callers_fd,
+		.tls = args->tls,
 		.connections_max = settings->connections,
 		.idle_timeout_s = settings->idle_timeout_s,
 		.ops = &caller_ops,
@@ -123,14 +124,14 @@
 	    worker, worker->ev, worker->hangup, &options, error);
 	if (worker->callers == NULL)
 		return false;
-	options.listen_fd = start->listeners.peers_fd;
+	options.listen_fd = args->listeners.peers_fd;
 	options.tls = NULL;
 	options.ops = &peer_ops;
 	worker->peers = loom_peer_server_new(
 	    worker, worker->ev, worker->sockets, &options, error);
-	if (worker->peers == NULL || start->listeners.ready_fd < 0)
+	if (worker->peers == NULL || args->listeners.ready_fd < 0)
 		return worker->peers != NULL;
-	options.listen_fd = start->listeners.ready_fd;
+	options.listen_fd = args->listeners.ready_fd;
 	options.leaves_out_date = true;
 	options.ops = &ready_ops;
 	worker->ready = loom_server_new(
@@ -139,12 +140,12 @@
 }
 
 static void *
-run(void *arg)
+worker_thread(void *arg)
 {
 	struct worker *worker = arg;
 
-	if (pthread_getcpuclockid(pthread_self(), &worker->clock) == 0)
-		atomic_store(&worker->has_clock, true);
+	if (pthread_getcpuclockid(pthread_self(), &worker->cpu_clock) == 0)
+		atomic_store(&worker->has_cpu_clock, true);
 	while (!worker->stopping) {
 		if (tevent_loop_once(worker->ev) != 0)
 			break;
@@ -157,7 +158,7 @@
     const struct worker_listeners *listeners, const struct loom_tls_pair *tls,
     GError **error)
 {
-	const struct start start = {
+	const struct worker_start_args args = {
 		.listeners = *listeners,
 		.tls = tls,
 	};
@@ -166,15 +167,15 @@
 	worker->daemon = daemon;
 	worker->index = index;
 	worker->services = g_hash_table_new_full(
-	    g_int64_hash, g_int64_equal, NULL, free_service);
+	    g_int64_hash, g_int64_equal, NULL, free_entry);
 	worker->clocks = g_hash_table_new_full(
-	    g_int64_hash, g_int64_equal, NULL, free_service);
+	    g_int64_hash, g_int64_equal, NULL, free_entry);
 	worker->issues = g_hash_table_new_full(
-	    g_int64_hash, g_int64_equal, NULL, free_service);
+	    g_int64_hash, g_int64_equal, NULL, free_entry);
 	worker->ev = tevent_context_init(worker);
 	if (worker->ev == NULL)
 		goto error;
-	busy_watch(&worker->busy, worker->ev, loom_now_us());
+	loop_utilization_start(&worker->utilization, worker->ev, loom_now_us());
 	worker->mailbox = loom_mailbox_new(worker, worker->ev);
 	worker->hangup = loom_hangup_new(worker, worker->ev);
 	worker->sockets = loom_sockets_new(worker, worker->ev);
@@ -188,9 +189,9 @@
 	    worker->shed == NULL || worker->keep == NULL ||
 	    worker->costs == NULL || worker->latencies == NULL)
 		goto error;
-	if (!start_servers(worker, &start, error))
+	if (!start_servers(worker, &args, error))
 		goto error;
-	worker->thread = g_thread_new("worker", run, worker);
+	worker->thread = g_thread_new("worker", worker_thread, worker);
 	return worker;
 
 error:
@@ -203,7 +204,7 @@
 }
 
 static void
-drain(void *arg)
+drain_servers(void *arg)
 {
 	struct worker *worker = arg;
 
@@ -214,11 +215,11 @@
 void
 worker_drain(struct worker *worker)
 {
-	loom_mailbox_post(worker->mailbox, drain, worker);
+	loom_mailbox_post(worker->mailbox, drain_servers, worker);
 }
 
 static void
-hold_off(void *arg)
+pause_servers(void *arg)
 {
 	struct worker *worker = arg;
 
@@ -227,13 +228,13 @@
 }
 
 void
-worker_hold_off(struct worker *worker)
+worker_pause_accepting(struct worker *worker)
 {
-	loom_mailbox_post(worker->mailbox, hold_off, worker);
+	loom_mailbox_post(worker->mailbox, pause_servers, worker);
 }
 
 static void
-stop(void *arg)
+stop_loop(void *arg)
 {
 	struct worker *worker = arg;
 
@@ -245,7 +246,7 @@
 {
 	struct call *call, *next;
 
-	loom_mailbox_post(worker->mailbox, stop, worker);
+	loom_mailbox_post(worker->mailbox, stop_loop, worker);
 	g_thread_join(worker->thread);
 	for (call = worker->calls; call != NULL; call = next) {
 		next = call->next;
--- a/src/daemon/worker.h
+++ b/src/daemon/worker.h
@@ -23,7 +23,7 @@
 struct call;
 
 /* What this worker knows of one service that it sends calls to. */
-struct service_view {
+struct service_state {
 	uint64_t service_id;
 	struct loom_balance *balance; /* owned */
 };
@@ -52,14 +52,15 @@
 	struct loom_manifest *manifest; /* counted; NULL before the first */
 	struct loom_hosts *hosts; /* counted; NULL before the first */
 	struct route_view *routes; /* one for each route of manifest */
-	GHashTable *services; /* service id to struct service_view */
+	GHashTable *services; /* service id to struct service_state */
 	GHashTable *clocks; /* host id to struct loom_peer_clock */
 	GHashTable *issues; /* team id to struct issue_bucket */
 	struct latencies *latencies;
-	struct lag lag; /* any thread */
-	struct busy busy; /* read by the main thread */
-	clockid_t clock; /* of the thread's processor time, once it is known */
-	atomic_bool has_clock;
+	struct loop_delay loop_delay; /* any thread */
+	struct loop_utilization utilization; /* read by the main thread */
+	clockid_t
+	    cpu_clock; /* of the thread's processor time, once it is known */
+	atomic_bool has_cpu_clock;
 	struct call *calls; /* all that live here */
 	bool stopping;
 };
@@ -78,14 +79,14 @@
 
 /* Give the worker a new manifest and host list; both are acquired.  Any
  * thread. */
-void worker_set_view(
+void worker_set_versions(
     struct worker *, struct loom_manifest *, struct loom_hosts *);
 
 /* Answers close their connections from now on.  Any thread. */
 void worker_drain(struct worker *);
 
 /* Hold off new connections; the last thing before the stop.  Any thread. */
-void worker_hold_off(struct worker *);
+void worker_pause_accepting(struct worker *);
 
 /* End the loop and join the thread.  Calls that still run are cut. */
 void worker_stop(struct worker *);
--- a/src/daemon/worker_view.c
+++ b/src/daemon/worker_view.c
@@ -50,11 +50,11 @@
 }
 
 static void
-update_service(struct worker *worker, struct service_view *view)
+update_service_hosts(struct worker *worker, struct service_state *service_entry)
 {
-	GArray *list = balance_hosts(worker, view->service_id);
+	GArray *list = balance_hosts(worker, service_entry->service_id);
 
-	loom_balance_hosts_changed(view->balance,
+	loom_balance_hosts_changed(service_entry->balance,
 	    (const struct loom_balance_host *)(const void *)list->data,
 	    list->len, loom_now_us());
 	g_array_free(list, TRUE);
@@ -72,26 +72,27 @@
 struct loom_balance *
 worker_balance(struct worker *worker, uint64_t service_id)
 {
-	struct service_view *view;
+	struct service_state *service_entry;
 
-	view = g_hash_table_lookup(worker->services, &service_id);
-	if (view != NULL)
-		return view->balance;
+	service_entry = g_hash_table_lookup(worker->services, &service_id);
+	if (service_entry != NULL)
+		return service_entry->balance;
 	if (worker->hosts == NULL)
 		return NULL;
-	view = talloc_zero(worker, struct service_view);
-	view->service_id = service_id;
-	view->balance = loom_balance_new(
-	    view, &loom_random_system, cold_start_us(worker, service_id));
+	service_entry = talloc_zero(worker, struct service_state);
+	service_entry->service_id = service_id;
+	service_entry->balance = loom_balance_new(service_entry,
+	    &loom_random_system, cold_start_us(worker, service_id));
 	loom_balance_set_far_cost(
-	    view->balance, worker->daemon->settings.far_cost);
-	update_service(worker, view);
-	g_hash_table_insert(worker->services, &view->service_id, view);
-	return view->balance;
+	    service_entry->balance, worker->daemon->settings.far_cost);
+	update_service_hosts(worker, service_entry);
+	g_hash_table_insert(
+	    worker->services, &service_entry->service_id, service_entry);
+	return service_entry->balance;
 }
 
 static void
-add_closure(const struct loom_manifest *manifest, uint32_t route_index,
+collect_services(const struct loom_manifest *manifest, uint32_t route_index,
     bool *seen, GArray *ids)
 {
 	const struct loom_route *route = &manifest->routes[route_index];
@@ -106,11 +107,11 @@
 	if (i == ids->len)
 		g_array_append_val(ids, id);
 	for (i = 0; i < route->ncalls; i++)
-		add_closure(manifest, route->calls[i], seen, ids);
+		collect_services(manifest, route->calls[i], seen, ids);
 }
 
 static struct route_view *
-make_route_views(struct worker *worker, const struct loom_manifest *manifest)
+build_route_views(struct worker *worker, const struct loom_manifest *manifest)
 {
 	struct route_view *views;
 	bool *seen = g_new(bool, manifest->nroutes);
@@ -123,7 +124,7 @@
 	for (i = 0; i < manifest->nroutes; i++) {
 		ids = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 		memset(seen, 0, manifest->nroutes * sizeof(bool));
-		add_closure(manifest, i, seen, ids);
+		collect_services(manifest, i, seen, ids);
 		views[i].nservices = ids->len;
 		views[i].service_ids = talloc_memdup(
 		    views, ids->data, ids->len * sizeof(uint64_t));
@@ -143,43 +144,43 @@
 	return &worker->routes[route - manifest->routes];
 }
 
-struct view_post {
+struct versions_message {
 	struct worker *worker; /* borrowed */
 	struct loom_manifest *manifest; /* counted */
 	struct loom_hosts *hosts; /* counted */
 };
 
 static void
-take_view(void *arg)
+apply_versions(void *arg)
 {
-	struct view_post *post = arg;
-	struct worker *worker = post->worker;
+	struct versions_message *message = arg;
+	struct worker *worker = message->worker;
 	GHashTableIter iter;
-	gpointer view;
+	gpointer service_entry;
 
 	if (worker->manifest != NULL)
 		loom_manifest_release(worker->manifest);
 	if (worker->hosts != NULL)
 		loom_hosts_release(worker->hosts);
-	worker->manifest = post->manifest;
-	worker->hosts = post->hosts;
+	worker->manifest = message->manifest;
+	worker->hosts = message->hosts;
 	TALLOC_FREE(worker->routes);
-	worker->routes = make_route_views(worker, worker->manifest);
+	worker->routes = build_route_views(worker, worker->manifest);
 	g_hash_table_iter_init(&iter, worker->services);
-	while (g_hash_table_iter_next(&iter, NULL, &view))
-		update_service(worker, view);
-	g_free(post);
+	while (g_hash_table_iter_next(&iter, NULL, &service_entry))
+		update_service_hosts(worker, service_entry);
+	g_free(message);
 	calls_recheck_keys(worker);
 }
 
 void
-worker_set_view(struct worker *worker, struct loom_manifest *manifest,
+worker_set_versions(struct worker *worker, struct loom_manifest *manifest,
     struct loom_hosts *hosts)
 {
-	struct view_post *post = g_new(struct view_post, 1);
+	struct versions_message *message = g_new(struct versions_message, 1);
 
-	post->worker = worker;
-	post->manifest = loom_manifest_acquire(manifest);
-	post->hosts = loom_hosts_acquire(hosts);
-	loom_mailbox_post(worker->mailbox, take_view, post);
+	message->worker = worker;
+	message->manifest = loom_manifest_acquire(manifest);
+	message->hosts = loom_hosts_acquire(hosts);
+	loom_mailbox_post(worker->mailbox, apply_versions, message);
 }
--- a/tests/daemon/test_busy.c
+++ b/tests/daemon/test_busy.c
@@ -1,9 +1,10 @@
 /*
- * How busy an event loop is: what counts as waiting.
+ * Tests the utilization and the delay of an event loop.
  *
- * A worker beside the narrowest service has calls without end.  Its slots show
- * room, and nothing else tells that it is the daemon that is full, until the
- * thread that reads the platform comes seconds late.
+ * Guards against a saturated daemon that is not detected: at the service with
+ * the least capacity, which has calls all the time, slots stay free, and
+ * nothing else shows the overload until the thread that reads the platform runs
+ * seconds late.
  */
 
 #include <math.h>
@@ -15,17 +16,19 @@
 #include "loom/clock.h"
 #include "support/test.h"
 
-/* Long against what a loop does in between, and nothing else: no bound is put
- * on how long the test itself takes. */
+/*
+ * Much longer than what the loop does between two waits. The tests rely on
+ * nothing else about time and set no limit to their own duration.
+ */
 #define WAIT_MS 50
 
 struct run {
 	struct tevent_context *ev;
-	unsigned left; /* rounds to go */
-	unsigned wait_ms; /* between two; 0: the next is due at once */
+	unsigned left; /* remaining rounds */
+	unsigned wait_ms; /* between two; 0: none */
 };
 
-static void go_round(struct run *run);
+static void next_round(struct run *run);
 
 static void
 on_timer(struct tevent_context *ev, struct tevent_timer *timer,
@@ -34,7 +37,7 @@
 	(void)ev;
 	(void)timer;
 	(void)now;
-	go_round(arg);
+	next_round(arg);
 }
 
 static void
@@ -43,11 +46,11 @@
 {
 	(void)ev;
 	talloc_free(immediate);
-	go_round(arg);
+	next_round(arg);
 }
 
 static void
-go_round(struct run *run)
+next_round(struct run *run)
 {
 	if (run->left == 0)
 		return;
@@ -62,17 +65,17 @@
 }
 
 static void
-test_busy(void)
+test_utilization(void)
 {
 	static const struct {
 		const char *what;
 		unsigned rounds, wait_ms;
 		double least, most;
 	} cases[] = {
-		{ "always something to do", 20000, 0, 1, 1 },
-		{ "waits between two events", 4, WAIT_MS, 0, 0.9999 },
+		{ "never waits", 20000, 0, 1, 1 },
+		{ "waits between events", 4, WAIT_MS, 0, 0.9999 },
 	};
-	struct busy busy = { 0 };
+	struct loop_utilization utilization = { 0 };
 	struct run run;
 	double share;
 	size_t i;
@@ -83,12 +86,12 @@
 			.left = cases[i].rounds,
 			.wait_ms = cases[i].wait_ms,
 		};
-		busy = (struct busy){ 0 };
-		busy_watch(&busy, run.ev, loom_now_us());
-		go_round(&run);
+		utilization = (struct loop_utilization){ 0 };
+		loop_utilization_start(&utilization, run.ev, loom_now_us());
+		next_round(&run);
 		while (run.left > 0)
 			tevent_loop_once(run.ev);
-		share = busy_read(&busy, loom_now_us());
+		share = loop_utilization_read(&utilization, loom_now_us());
 		TEST_CHECK(share >= cases[i].least && share <= cases[i].most,
 		    "%s: %.4f", cases[i].what, share);
 		talloc_free(run.ev);
@@ -108,14 +111,15 @@
 }
 
 /*
- * A socket is readable each time that the loop looks, for a second.  On one
- * core no other thread would get to run: the loop rests in between.
+ * A descriptor that is always readable keeps the loop from waiting for a
+ * second. The loop has to pause in between, or on one core no other thread
+ * would get to run.
  */
 static void
-test_rests(void)
+test_pause_without_waits(void)
 {
 	struct tevent_context *ev = tevent_context_init(NULL);
-	struct busy busy = { 0 };
+	struct loop_utilization utilization = { 0 };
 	uint64_t begin_us = loom_now_us();
 	uint32_t rounds = 0;
 	int fds[2];
@@ -124,10 +128,10 @@
 	CU_ASSERT_EQUAL_FATAL(pipe(fds), 0);
 	CU_ASSERT_EQUAL(write(fds[1], "x", 1), 1);
 	tevent_add_fd(ev, ev, fds[0], TEVENT_FD_READ, on_readable, &rounds);
-	busy_watch(&busy, ev, begin_us);
+	loop_utilization_start(&utilization, ev, begin_us);
 	while (loom_now_us() - begin_us < LOOM_US_PER_S)
 		tevent_loop_once(ev);
-	share = busy_read(&busy, loom_now_us());
+	share = loop_utilization_read(&utilization, loom_now_us());
 	TEST_CHECK(share < 0.99, "%.4f", share);
 	TEST_CHECK(rounds > 1, "%u rounds", rounds);
 	talloc_free(ev);
@@ -135,47 +139,55 @@
 	close(fds[1]);
 }
 
-/* The loop waits while it is read: that wait counts, though it goes on. */
+/* A wait that has not ended yet counts up to the time of the reading. */
 static void
 test_running_wait(void)
 {
-	struct busy busy = { .read_us = 1000, .waits_since_us = 1200 };
+	struct loop_utilization utilization = { .last_read_us = 1000,
+		.wait_start_us = 1200 };
 
-	TEST_CHECK(fabs(busy_read(&busy, 2000) - 0.2) < 1e-9, "first");
-	TEST_CHECK(busy_read(&busy, 3000) == 0, "it waits still");
-	atomic_store(&busy.waits_since_us, 0);
-	atomic_store(&busy.waited_us, 1900);
+	TEST_CHECK(fabs(loop_utilization_read(&utilization, 2000) - 0.2) < 1e-9,
+	    "first");
 	TEST_CHECK(
-	    fabs(busy_read(&busy, 4000) - 0.9) < 1e-9, "waited 100 us more");
+	    loop_utilization_read(&utilization, 3000) == 0, "still waiting");
+	atomic_store(&utilization.wait_start_us, 0);
+	atomic_store(&utilization.total_wait_us, 1900);
+	TEST_CHECK(fabs(loop_utilization_read(&utilization, 4000) - 0.9) < 1e-9,
+	    "waited for 100 us more");
 }
 
-/* The probe waits behind all that was ready before it, and one that has not
- * come back yet counts with the time that it is away. */
+/*
+ * A pending probe counts with its age, a second one is not posted meanwhile,
+ * and a completed one counts with the time that it took.
+ */
 static void
-test_lag(void)
+test_loop_delay(void)
 {
 	struct tevent_context *ev = tevent_context_init(NULL);
 	struct loom_mailbox *mailbox = loom_mailbox_new(ev, ev);
-	struct lag lag = { 0 };
-	uint64_t asked_us = loom_now_us();
-
-	CU_ASSERT_EQUAL(lag_read(&lag, asked_us), 0);
-	lag_probe(&lag, mailbox, asked_us);
-	lag_probe(&lag, mailbox, asked_us + WAIT_MS * LOOM_US_PER_MS);
-	CU_ASSERT_EQUAL(lag_read(&lag, asked_us + WAIT_MS * LOOM_US_PER_MS),
+	struct loop_delay loop_delay = { 0 };
+	uint64_t posted_us = loom_now_us();
+
+	CU_ASSERT_EQUAL(loop_delay_read(&loop_delay, posted_us), 0);
+	loop_delay_probe(&loop_delay, mailbox, posted_us);
+	loop_delay_probe(
+	    &loop_delay, mailbox, posted_us + WAIT_MS * LOOM_US_PER_MS);
+	CU_ASSERT_EQUAL(
+	    loop_delay_read(&loop_delay, posted_us + WAIT_MS * LOOM_US_PER_MS),
 	    WAIT_MS * LOOM_US_PER_MS);
 	usleep(WAIT_MS * LOOM_US_PER_MS);
 	CU_ASSERT_EQUAL(tevent_loop_once(ev), 0);
-	CU_ASSERT(lag_read(&lag, loom_now_us()) >= WAIT_MS * LOOM_US_PER_MS);
-	CU_ASSERT_EQUAL(atomic_load(&lag.asked_us), 0);
+	CU_ASSERT(loop_delay_read(&loop_delay, loom_now_us()) >=
+	    WAIT_MS * LOOM_US_PER_MS);
+	CU_ASSERT_EQUAL(atomic_load(&loop_delay.posted_us), 0);
 	talloc_free(ev);
 }
 
 static const struct test_case tests[] = {
-	{ "lag", test_lag },
-	{ "busy", test_busy },
-	{ "rests", test_rests },
-	{ "a wait that goes on", test_running_wait },
+	{ "loop delay", test_loop_delay },
+	{ "utilization", test_utilization },
+	{ "pauses if it never waits", test_pause_without_waits },
+	{ "reading during a wait", test_running_wait },
 };
 
 TEST_MAIN("busy", tests)
--- a/tests/daemon/test_program.c
+++ b/tests/daemon/test_program.c
@@ -1,5 +1,5 @@
 /*
- * loomd on the command line: what an operator is told before it serves, and
+ * loomd on the command line: what an operator is told before it is_serving, and
  * what signals do to it.
  */
 
@@ -63,7 +63,7 @@
 /* Of this process alone, in place of each @ in the files. */
 static char ip[32];
 
-static char *folder; /* owned; where each run has its files */
+static char *folder; /* owned; where each run contains its files */
 static char *program; /* owned */
 
 static bool
@@ -116,7 +116,7 @@
 }
 
 static void
-clear(void)
+tear_down(void)
 {
 	const char *name;
 	char *file;
@@ -133,14 +133,14 @@
 	g_free(program);
 }
 
-struct row {
+struct command_case {
 	const char *arguments[ARGUMENTS_MAX];
 	int status;
 	const char *out; /* a part of it; NULL for none at all */
 	const char *err[2]; /* parts of it; NULL, NULL for none at all */
 };
 
-static const struct row rows[] = {
+static const struct command_case command_cases[] = {
 	{ { "--help" }, 0, "usage: loomd", { NULL } },
 	{ { "--version" }, 0, "loomd ", { NULL } },
 	{ { NULL }, 2, NULL, { "usage: loomd" } },
@@ -174,13 +174,13 @@
 };
 
 static bool
-has(const char *text, const char *part)
+contains(const char *text, const char *part)
 {
 	return part == NULL || strstr(text, part) != NULL;
 }
 
 static void
-check_row(const struct row *row)
+check_command(const struct command_case *command_case)
 {
 	char *argv[ARGUMENTS_MAX + 2] = { program };
 	char *out = NULL, *err = NULL;
@@ -189,18 +189,21 @@
 	size_t i;
 
 	for (i = 0; i < ARGUMENTS_MAX; i++)
-		argv[i + 1] = (char *)row->arguments[i];
+		argv[i + 1] = (char *)command_case->arguments[i];
 	line = g_strjoinv(" ", argv);
 	TEST_CHECK(g_spawn_sync(folder, argv, NULL, G_SPAWN_DEFAULT, NULL, NULL,
 		       &out, &err, &status, NULL),
 	    "%s", line);
-	TEST_CHECK(WIFEXITED(status) && WEXITSTATUS(status) == row->status,
+	TEST_CHECK(
+	    WIFEXITED(status) && WEXITSTATUS(status) == command_case->status,
 	    "%s: %d", line, status);
-	TEST_CHECK(row->out == NULL ? out[0] == '\0' : has(out, row->out),
+	TEST_CHECK(command_case->out == NULL ? out[0] == '\0'
+					     : contains(out, command_case->out),
 	    "%s: %s", line, out);
-	TEST_CHECK(row->err[0] == NULL
+	TEST_CHECK(command_case->err[0] == NULL
 		? err[0] == '\0'
-		: has(err, row->err[0]) && has(err, row->err[1]),
+		: contains(err, command_case->err[0]) &&
+		    contains(err, command_case->err[1]),
 	    "%s: %s", line, err);
 	g_free(line);
 	g_free(err);
@@ -213,14 +216,14 @@
 	size_t i;
 
 	if (set_up()) {
-		for (i = 0; i < G_N_ELEMENTS(rows); i++)
-			check_row(&rows[i]);
+		for (i = 0; i < G_N_ELEMENTS(command_cases); i++)
+			check_command(&command_cases[i]);
 	}
-	clear();
+	tear_down();
 }
 
 static bool
-serves(void)
+is_serving(void)
 {
 	char *url = g_strdup_printf("http://%s:7000/.loom/health", ip);
 	CURL *easy = curl_easy_init();
@@ -236,11 +239,11 @@
 }
 
 static bool
-wait_until_serves(void)
+wait_until_serving(void)
 {
 	uint32_t tries = WAIT_MS * LOOM_US_PER_MS / POLL_US;
 
-	while (!serves()) {
+	while (!is_serving()) {
 		if (tries-- == 0)
 			return false;
 		g_usleep(POLL_US);
@@ -256,11 +259,11 @@
 	    G_SPAWN_DO_NOT_REAP_CHILD | G_SPAWN_STDERR_TO_DEV_NULL, NULL, NULL,
 	    pid, NULL);
 
-	return TEST_CHECK(ok && wait_until_serves(), "%s serves", settings);
+	return TEST_CHECK(ok && wait_until_serving(), "%s serves", settings);
 }
 
 static bool
-ends_well(GPid pid)
+exits_cleanly(GPid pid)
 {
 	int status;
 
@@ -296,12 +299,12 @@
 		for (j = 0; cases[i].signals[j] != 0; j++) {
 			kill(pid, cases[i].signals[j]);
 			if (cases[i].signals[j] == SIGHUP)
-				TEST_CHECK(serves(), "after SIGHUP");
+				TEST_CHECK(is_serving(), "after SIGHUP");
 		}
-		TEST_CHECK(ends_well(pid), "%s", cases[i].name);
+		TEST_CHECK(exits_cleanly(pid), "%s", cases[i].name);
 	}
 out:
-	clear();
+	tear_down();
 }
 
 static int
@@ -366,9 +369,9 @@
 		close(fd);
 	}
 	kill(pid, SIGTERM);
-	TEST_CHECK(ends_well(pid), "ends");
+	TEST_CHECK(exits_cleanly(pid), "ends");
 out:
-	clear();
+	tear_down();
 }
 
 static const struct test_case tests[] = {
--- a/tests/daemon/test_settings_page.c
+++ b/tests/daemon/test_settings_page.c
@@ -30,7 +30,7 @@
 
 /* The cells of a setting's row; NULL when the page has none.  Owned. */
 static char **
-row_of(const char *page, const char *name)
+find_row(const char *page, const char *name)
 {
 	char *start = g_strdup_printf("\n| `%s` |", name);
 	const char *line = strstr(page, start);
@@ -69,7 +69,7 @@
 static void
 check_row(const char *page, const struct loom_field *field)
 {
-	char **cells = row_of(page, field->name);
+	char **cells = find_row(page, field->name);
 	char *expected = expected_default(field);
 	char *range;
 
