--- a/include/loom/daemon.h
+++ b/include/loom/daemon.h
@@ -2,9 +2,9 @@
 #define LOOM_DAEMON_H
 
 /*
- * The daemon as a program: what a main() hands over.  Each kind of platform
- * has a program of its own that says how callers, upstreams and the platform
- * speak there.
+ * The entry point of a daemon program. Each kind of platform has a program of
+ * its own, which defines the HTTP dialect of callers and upstreams and how the
+ * platform is read.
  */
 
 #include "loom/dialect.h"
@@ -14,16 +14,18 @@
 
 struct loom_daemon_kind {
 	const char *program; /* for messages */
-	int log_fd; /* where log lines go */
+	int log_fd; /* file descriptor of the log */
 	const struct loom_dialect *dialect;
 	const struct loom_platform_source *source;
-	/* What the source is opened with, made from the settings; owned by
-	 * mem_ctx.  May be NULL. */
+	/*
+	 * Creates the argument that the source is opened with. The result
+	 * belongs to mem_ctx. May be NULL.
+	 */
 	void *(*source_arg)(
 	    TALLOC_CTX *mem_ctx, const struct daemon_settings *);
 };
 
-/* Read the command line, serve, return the exit status. */
+/* Parses the command line and runs the daemon. Returns the exit status. */
 int loom_daemon_main(
     int argc, char **argv, const struct loom_daemon_kind *kind);
 
--- a/src/daemon/config.c
+++ b/src/daemon/config.c
@@ -1,6 +1,6 @@
 /*
- * The daemon's settings for the spread of versions, and what it does when
- * another manifest or host list is in force.
+ * Configures the distribution of versions from the daemon's settings, and
+ * passes each new manifest or host list on to the daemon and to the log.
  */
 
 #include <string.h>
@@ -17,9 +17,13 @@
 	size_t ntrusted;
 	const char **seeds; /* owned array of borrowed strings */
 	size_t nseeds;
-	struct loom_hosts *logged_hosts; /* acquired: in the log; or NULL */
+	struct loom_hosts *logged_hosts; /* as last logged, acquired; or NULL */
 };
 
+/*
+ * Called by the control thread when a manifest or host list comes into force.
+ * An empty list is used as long as there is none.
+ */
 static void
 on_versions_changed(
     void *arg, struct loom_manifest *manifest, struct loom_hosts *hosts)
@@ -62,7 +66,7 @@
 	return true;
 }
 
-/* All seeds but this daemon itself. */
+/* Collects all seeds except this daemon itself. */
 static void
 collect_seeds(struct config *config)
 {
@@ -126,7 +130,8 @@
 	return config;
 
 error:
-	loom_fail(error, LOOM_START, "the platform cannot be followed");
+	loom_fail(error, LOOM_START,
+	    "distribution of manifest and host lists cannot start");
 	talloc_free(config);
 	return NULL;
 }
--- a/src/daemon/config.h
+++ b/src/daemon/config.h
@@ -2,22 +2,29 @@
 #define LOOM_DAEMON_CONFIG_H
 
 /*
- * Where a daemon's manifest and host lists come from: the spread of versions
- * (loom/spread.h), with signed documents and host lists read by the manifest
- * package and the platform by its reader.
+ * Supplies a daemon with its manifest and host lists. Versions are distributed
+ * between daemons (loom/spread.h); the manifest package parses the signed
+ * documents and host lists, and the platform's reader fetches them.
  */
 
 #include "daemon/daemon.h"
 
-/* Make the spread and add it to the daemon's control, which must not have
- * been started yet.  Owned by the daemon; NULL with LOOM_START or the
- * setting's error. */
+/*
+ * Creates the distribution of versions and adds it to the daemon's control
+ * thread, which must not have been started yet. The result is to be freed with
+ * talloc_free(). Returns NULL with LOOM_START or the error of a setting.
+ */
 struct config *config_new(struct loom_daemon *, GError **error);
 
-/* Whether the newest that could be found is in force.  Any thread. */
+/*
+ * Returns whether the newest versions that could be found are in force. Any
+ * thread.
+ */
 bool config_ready(const struct config *);
 
-/* What is in force, as JSON; owned by the caller, g_free.  Any thread. */
+/*
+ * Returns the versions in force as JSON, to be freed with g_free(). Any thread.
+ */
 char *config_status(struct config *);
 
 #endif
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -2,8 +2,9 @@
 #define LOOM_DAEMON_DAEMON_H
 
 /*
- * What all threads of one daemon share.  Each member is safe from any thread
- * or only written before the workers start, as said.
+ * State that all threads of a daemon share. The comment on each member says
+ * which threads may use it; "constant" means that it is not written any more
+ * once the workers run.
  */
 
 #include <netinet/in.h>
@@ -30,24 +31,25 @@
 struct witnesses;
 struct worker;
 
-/* Counters of the data path; one series each. */
+/* Metrics of calls; one series each. */
 struct daemon_counters {
-	struct loom_counter *requests; /* from callers, roots */
-	struct loom_counter *deeper; /* from the own upstream */
-	struct loom_counter *executed; /* as executor, sent to the upstream */
-	struct loom_counter *answered; /* whole answers given */
-	struct loom_counter *cut; /* answers cut in the middle */
-	struct loom_counter *gone; /* callers that went away */
-	struct loom_counter *retried; /* second attempts */
+	struct loom_counter *requests; /* root requests, from callers */
+	struct loom_counter
+	    *deeper; /* nested requests, from the own upstream */
+	struct loom_counter *executed; /* sent to the own upstream */
+	struct loom_counter *answered; /* complete answers */
+	struct loom_counter *cut; /* truncated answers */
+	struct loom_counter *gone; /* callers that disconnected early */
+	struct loom_counter *retried; /* repeated on another host */
 	struct loom_counter *probes;
 	struct loom_counter *inflight; /* gauge */
-	struct loom_counter *generation; /* gauge: manifest in force */
+	struct loom_counter *generation; /* gauge: of the manifest in force */
 };
 
 struct loom_daemon {
 	struct daemon_settings settings; /* constant after the start */
 	const struct loom_daemon_kind *kind; /* constant */
-	const struct loom_dialect *dialect; /* constant: the kind's */
+	const struct loom_dialect *dialect; /* constant */
 	struct loom_self self; /* constant */
 	struct loom_context_key context_key; /* constant */
 	uint8_t fleet_secret[LOOM_FLEET_SECRET_SIZE]; /* constant */
@@ -56,17 +58,17 @@
 	struct loom_tickets *tickets; /* any thread */
 	struct loom_quarantine *quarantine; /* any thread */
 	struct loom_rights_set *rights; /* any thread */
-	atomic_bool rights_held; /* the hold after the start is over */
-	uint64_t rights_wait_end_us; /* control thread: when the hold ended */
+	atomic_bool rights_held; /* the teams' rates can be used */
+	uint64_t rights_wait_end_us; /* of the initial wait; control thread */
 	/* control thread */
 	struct loom_rights_summary
 	    last_reported_rights[LOOM_RIGHTS_PARTITIONS_MAX];
 	struct loom_retry *retry; /* any thread */
-	struct loom_control *control; /* its posts: any thread */
-	struct loom_sender sender; /* for the parts; constant */
+	struct loom_control *control; /* posting: any thread */
+	struct loom_sender sender; /* for the control modules; constant */
 	struct sockaddr_in upstream_address; /* constant */
 	struct witnesses *witnesses; /* owned; any thread */
-	GMutex wait_lock; /* guards the next two */
+	GMutex wait_lock; /* guards wait_share and fanout */
 	struct loom_wait_share wait_share;
 	struct loom_fanout *fanout; /* owned */
 	GMutex admission_lock;
@@ -75,22 +77,22 @@
 	struct tracer *tracer; /* any thread */
 	struct worker **workers; /* constant */
 	uint32_t nworkers;
-	atomic_bool leaving; /* not ready any more, but all is served yet */
-	atomic_bool draining; /* callers are refused and peers told to go */
-	uint64_t drain_us; /* since when; written before draining is set */
-	atomic_uint inflight; /* calls under way in all workers */
-	atomic_uint working; /* those that were let in */
-	struct config *config; /* its ready and status: any thread */
-	/* The main thread's own. */
+	atomic_bool leaving; /* not ready, but still serving */
+	atomic_bool draining; /* callers are refused, peers informed */
+	uint64_t drain_us; /* start; written before draining is set */
+	atomic_uint inflight; /* calls in progress, all workers */
+	atomic_uint working; /* those of them that were admitted */
+	struct config *config; /* ready and status: any thread */
+	/* The rest is used by the main thread only. */
 	struct tevent_context *ev;
 	uint64_t drain_until_us;
-	uint64_t accept_paused_us; /* new connections, since then */
+	uint64_t connections_blocked_us; /* since when; 0: they are not */
 	bool stopping;
-	uint32_t last_reported_limit; /* in the log (report.c) */
-	bool was_shedding;
+	uint32_t last_reported_limit; /* as last logged (report.c) */
+	bool was_shedding; /* as last logged */
 	uint64_t last_report_us;
-	uint64_t utilization_read_us; /* when the workers' was read */
-	double utilization; /* the busiest worker's */
+	uint64_t utilization_read_us; /* time of the last reading */
+	double utilization; /* of the busiest worker */
 	struct cpu_usage cpu_usage;
 };
 
--- a/src/daemon/dialect.c
+++ b/src/daemon/dialect.c
@@ -1,5 +1,5 @@
 /*
- * The product's own dialect (docs/CALLERS.md).
+ * The default HTTP dialect (docs/CALLERS.md).
  */
 
 #include <string.h>
@@ -66,7 +66,7 @@
 	return loom_result_info(refusal->code)->http_status;
 }
 
-/* RFC 9110, 10.2.3: whole seconds. */
+/* Retry-After is in whole seconds (RFC 9110, section 10.2.3). */
 static void
 own_retry_after(uint32_t wait_ms, char *text, size_t size)
 {
--- a/src/daemon/drain.c
+++ b/src/daemon/drain.c
@@ -1,11 +1,10 @@
 /*
  * Graceful shutdown.
  *
- * Nothing new is taken from callers, who are told so at once, and what is
- * under way ends as it would have.  The listening sockets stay open until
- * then, and new connections are held off before they are closed
- * (loom_server_hold_off), as closing would reset those that the kernel had
- * accepted.
+ * New calls are refused at once, and those in progress complete normally. The
+ * listening sockets stay open until then. Before they are closed, the kernel
+ * is kept from completing further connections (loom_server_hold_off), because
+ * closing a socket resets those that wait to be accepted.
  */
 
 #include "daemon/call.h"
@@ -14,15 +13,20 @@
 #include "loom/log.h"
 #include "loom/stop.h"
 
-/* How often a drain looks whether all calls have ended. */
+/* Interval at which a drain checks whether all calls have ended. */
 #define DRAIN_POLL_MS 20
 
-/* With new connections held off, those that the kernel had accepted get their
- * answer in this time. */
+/*
+ * Time for answering the connections that the kernel had completed when new
+ * ones were blocked.
+ */
 #define ACCEPTED_GRACE_US (200 * LOOM_US_PER_MS)
 
-/* All work has ended and whoever comes has had time to hear it: each answer
- * tells one of them, and a busy peer asks many times meanwhile. */
+/*
+ * Returns whether all work has ended and the clients had time to learn of the
+ * shutdown. Each answer informs only the client that it goes to; a busy peer
+ * receives many answers within the notice period.
+ */
 static bool
 is_work_finished(const struct loom_daemon *daemon, uint64_t now_us)
 {
@@ -32,14 +36,15 @@
 	    daemon->settings.drain_notice_ms * LOOM_US_PER_MS;
 }
 
+/* Keeps the kernel from completing further connections. */
 static void
-pause_accepting(struct loom_daemon *daemon, uint64_t now_us)
+block_connections(struct loom_daemon *daemon, uint64_t now_us)
 {
 	uint32_t i;
 
-	daemon->accept_paused_us = now_us;
+	daemon->connections_blocked_us = now_us;
 	for (i = 0; i < daemon->nworkers; i++)
-		worker_pause_accepting(daemon->workers[i]);
+		worker_block_connections(daemon->workers[i]);
 }
 
 static bool
@@ -47,10 +52,11 @@
 {
 	if (now_us >= daemon->drain_until_us)
 		return true;
-	if (daemon->accept_paused_us == 0 && is_work_finished(daemon, now_us))
-		pause_accepting(daemon, now_us);
-	return daemon->accept_paused_us != 0 &&
-	    now_us - daemon->accept_paused_us >= ACCEPTED_GRACE_US &&
+	if (daemon->connections_blocked_us == 0 &&
+	    is_work_finished(daemon, now_us))
+		block_connections(daemon, now_us);
+	return daemon->connections_blocked_us != 0 &&
+	    now_us - daemon->connections_blocked_us >= ACCEPTED_GRACE_US &&
 	    atomic_load(&daemon->inflight) == 0;
 }
 
@@ -83,6 +89,7 @@
 	    (uint64_t)(settings->stop_within_s * (double)LOOM_US_PER_S));
 }
 
+/* Called at the end of the delay; refuses new calls from now on. */
 static void
 start_refusing(struct tevent_context *ev, struct tevent_timer *timer,
     struct timeval now, void *arg)
@@ -104,9 +111,10 @@
 }
 
 /*
- * Whoever asks for readiness does so now and then, and until it has heard of
- * the leaving it sends callers here.  Those have no other daemon to go to: for
- * the delay all is served as before.
+ * Whatever routes callers to this daemon polls its readiness at intervals and
+ * keeps sending callers here until it has seen the change. These callers have
+ * no other daemon to use, so everything is served as before until the delay is
+ * over.
  */
 void
 daemon_drain(struct loom_daemon *daemon)
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -1,5 +1,5 @@
 /*
- * The command line of a daemon's program.
+ * The command line of a daemon program.
  */
 
 #include <argtable2.h>
@@ -16,7 +16,10 @@
 
 #define EXIT_USAGE 2
 
-/* Whether the files that the settings name can be used, too. */
+/*
+ * Checks the files that the settings refer to, prints the result, and returns
+ * the exit status.
+ */
 static int
 check_files(const char *file, const struct daemon_settings *settings)
 {
@@ -94,7 +97,8 @@
 		arg_print_syntax(stderr, table, "\n");
 	} else if (sodium_init() < 0 ||
 	    curl_global_init(CURL_GLOBAL_DEFAULT) != CURLE_OK) {
-		fprintf(stderr, "%s: a library cannot start\n", kind->program);
+		fprintf(stderr, "%s: cannot initialize libsodium or libcurl\n",
+		    kind->program);
 		status = EXIT_FAILURE;
 	} else {
 		loom_log_set_fd(kind->log_fd);
--- a/src/daemon/probe.c
+++ b/src/daemon/probe.c
@@ -1,21 +1,21 @@
 /*
- * Probes of hosts that owe an answer, or that said they leave: one plain
- * request for the serving page at the peer's data address, the way that calls
- * go.  Any answer is a sign of life, also one that says "not serving": that
- * host will refuse by itself.
+ * Probes hosts that have not answered a call, or that announced their shutdown.
+ * A probe is a plain request for the serving page on the peer's data address,
+ * so it takes the same path as calls do. Any answer shows that the host is
+ * alive, even one that says "not serving": such a host refuses calls itself.
  *
- * Calls drive them: without calls nobody needs to know.
+ * Probes are started by calls only, as the result is not needed otherwise.
  */
 
 #include "daemon/probe.h"
 #include "daemon/call.h"
 
-/* A host that takes longer is not yet worth calls that it would hold up. */
+/* A host that takes longer would delay calls too much to get any. */
 #define PROBE_TIMEOUT_US (1 * LOOM_US_PER_S)
 
 struct probe {
-	struct loom_balance *balance; /* borrowed: the worker keeps it */
-	bool serving; /* it said so */
+	struct loom_balance *balance; /* borrowed from the worker */
+	bool serving; /* as answered */
 	uint64_t host_id;
 };
 
--- a/src/daemon/probe.h
+++ b/src/daemon/probe.h
@@ -2,13 +2,15 @@
 #define LOOM_DAEMON_PROBE_H
 
 /*
- * Asking a silent host for a sign of life.
+ * Health probes of hosts that do not answer.
  */
 
 #include "daemon/worker.h"
 
-/* Begin a probe when one is due (loom/balance.h); balance is one of the
- * worker's.  On the worker's thread. */
+/*
+ * Starts a probe if one is due (loom/balance.h). balance belongs to the worker.
+ * To be called on the worker's thread.
+ */
 void probe_silent(struct worker *, struct loom_balance *balance);
 
 #endif
--- a/src/daemon/report.c
+++ b/src/daemon/report.c
@@ -1,7 +1,7 @@
 /*
- * Decisions as lines: what on-call engineers have, besides counters, when a
- * caller complains.  One line tells a call's whole way through this daemon,
- * written at its end, so that a call is in the log whole or not at all.
+ * Events in the log, which together with the metrics let operators investigate
+ * a complaint. A call is logged as one line when it ends, so that the log has
+ * either the complete record of a call or none.
  */
 
 #include <math.h>
@@ -13,11 +13,13 @@
 #include "loom/event.h"
 #include "loom/log.h"
 
-/* One call in so many that ended well is written, by its id: the same calls at
- * each daemon. */
+/*
+ * One successful call in so many is logged. The choice depends on the call's id
+ * alone, so that all daemons log the same calls.
+ */
 #define SAMPLE_EVERY 256
 
-/* A limit that moved by less is no news. */
+/* Relative change of the limit from which it is logged. */
 #define LIMIT_CHANGE_MIN 0.25
 
 #define SERVER_ERROR 500
@@ -69,7 +71,7 @@
 }
 
 static const char *
-overloaded_service_name(const struct call *call)
+bottleneck_name(const struct call *call)
 {
 	const struct loom_service *service = NULL;
 
@@ -79,7 +81,7 @@
 	return service == NULL ? NULL : service->name;
 }
 
-/* Its team's rate is what refused it. */
+/* Returns whether the call was refused because of its team's rate. */
 static bool
 is_rate_refusal(const struct call *call)
 {
@@ -89,7 +91,10 @@
 		call->span.code == LOOM_STARTING);
 }
 
-/* The daemon that lends the team's rights here; NULL when this one does. */
+/*
+ * Returns the name of the daemon that lends the team's rate to this one, or
+ * NULL if this one is the topmost pool.
+ */
 static const char *
 pool_name(const struct call *call, const struct loom_rights_status *rate)
 {
@@ -152,14 +157,14 @@
 		LOOM_F_INT("tries", call->ntried),
 		LOOM_F_TEXT("host", last_host_name(call)),
 		LOOM_F_BOOL("may_have_run", call->may_have_run),
-		LOOM_F_TEXT("below", overloaded_service_name(call)),
+		LOOM_F_TEXT("below", bottleneck_name(call)),
 		LOOM_F_REAL("below_share", call->below_share),
 		LOOM_F_REAL("below_calls", call->below_calls),
 		LOOM_F_INT("below_age_ms", call->below_age_us / LOOM_US_PER_MS),
 		LOOM_F_INT("limit", state.limit),
 		LOOM_F_INT("inside", state.inside),
 		LOOM_F_INT("waiting", state.waiting),
-		/* the list ends here where the rate decided nothing */
+		/* ends the list here unless the rate refused the call */
 		rate_refused ? rate_of_team : end,
 		LOOM_F_REAL("rate_here_per_s", rate.refill_per_s),
 		LOOM_F_REAL("rate_level", rate.level),
--- a/src/daemon/report.h
+++ b/src/daemon/report.h
@@ -2,38 +2,45 @@
 #define LOOM_DAEMON_REPORT_H
 
 /*
- * What the daemon decided, as events.
+ * Logs the daemon's decisions as structured events.
  */
 
 #include "daemon/call.h"
 
-/* How a call ended here. */
+/* How a call ended at this daemon. */
 enum call_end_kind {
-	CALL_END_ANSWERED, /* with the upstream's answer */
-	CALL_END_REFUSED, /* with a refusal, here or by a peer */
-	CALL_END_BROKEN, /* without a whole answer */
+	CALL_END_ANSWERED, /* with an answer of the upstream */
+	CALL_END_REFUSED, /* refused, here or by a peer */
+	CALL_END_BROKEN, /* without a complete answer */
 	CALL_ENDS,
 };
 
 enum call_end_kind call_end_kind(const struct call *);
 const char *call_end_name(enum call_end_kind);
 
-/* The call is over: one line with all that decided about it, when it did not
- * end well, and for a part of those that did. */
+/*
+ * Logs a call that has ended, with everything that its outcome depended on. Of
+ * the calls that succeeded only a sample is logged.
+ */
 void report_call(const struct call *);
 
-/* A manifest and a list of hosts are in force.  before is the list that was,
- * or NULL.  Control thread. */
+/*
+ * Logs the manifest and the changes between two host lists, when they come into
+ * force. before is the previous list, or NULL. Control thread.
+ */
 void report_versions(const struct loom_manifest *,
     const struct loom_hosts *before, const struct loom_hosts *after);
 
-/* To be called now and then by the main thread: what admission believes. */
+/*
+ * Logs changes of the concurrency limit, and when shedding starts or ends. To
+ * be called periodically by the main thread.
+ */
 void report_admission(struct loom_daemon *);
 
-/* What is held of all teams' rates, if it is news; control thread. */
+/* Logs changes of this daemon's share of the teams' rates. Control thread. */
 void report_rights(struct loom_daemon *);
 
-/* "start", "stop", "reload", "drain". */
+/* Logs an event in the daemon's life: "start", "stop", "reload", "drain". */
 void report_lifecycle(const struct loom_daemon *, const char *what);
 
 #endif
--- a/src/daemon/run.c
+++ b/src/daemon/run.c
@@ -1,7 +1,8 @@
 /*
- * A daemon from its start to its end.
+ * Starts, runs and stops a daemon.
  *
- * Shutdown is graceful by default (drain.c); a second signal ends at once.
+ * SIGTERM and SIGINT shut it down gracefully (drain.c); a second such signal
+ * stops it at once.
  */
 
 #include <fcntl.h>
@@ -17,28 +18,37 @@
 #include "daemon/witness.h"
 #include "loom/log.h"
 
-/* The admission's own clockwork: it refuses what can no longer be done in
- * time and moves the limit (loom/admission.h asks for about 10 ms). */
+/*
+ * Interval at which admission refuses waiting calls that can no longer meet
+ * their deadline and adjusts the limit. loom/admission.h asks for about 10 ms.
+ */
 #define ADMISSION_TICK_MS 10
 
-/* The same while no call is under way: nothing can expire. */
+/* The interval while no call is in progress, so that none can expire. */
 #define IDLE_TICK_MS 50
 
-/* How long a daemon's own part of each team fills before it is ready. */
+/*
+ * Time between the end of the initial wait and readiness, in which the token
+ * bucket of each team fills.
+ */
 #define RIGHTS_FILL_US (1 * LOOM_US_PER_S)
 
-/* Call ids of peers' contexts: 1,000 calls/s with deadlines of 10 s, five
- * times over. */
+/*
+ * Capacity for the call ids of peers' contexts: more than six times what 1,000
+ * calls/s with deadlines of 10 s need.
+ */
 #define REPLAY_CAPACITY 65536
 
 #define INITIAL_SLOTS 16
 
-/* How often the log is told what admission believes. */
+/* Interval at which changes are logged and the CPU metrics updated. */
 #define REPORT_INTERVAL_US (500 * LOOM_US_PER_MS)
-/* Over so long is a worker's business measured: several rounds of the tenth of
- * a second in which a host's share of a core may be used up. */
+/*
+ * Interval over which a worker's utilization is measured: at least one period
+ * of 100 ms in which a host's CPU quota may be used up.
+ */
 #define UTILIZATION_INTERVAL_US (100 * LOOM_US_PER_MS)
-/* From there on the loop's delay is looked at. */
+/* Utilization from which the loop's delay is measured too. */
 #define DELAY_PROBE_UTILIZATION 0.5
 
 static void
@@ -305,7 +315,7 @@
 		daemon_drain(daemon);
 }
 
-/* There is nothing to read anew: all that changes comes by the manifest. */
+/* Does not reload anything: all that can change is in the manifest. */
 static void
 on_hangup(struct tevent_context *ev, struct tevent_signal *event,
     int signal_number, int count, void *info, void *arg)
@@ -317,13 +327,15 @@
 	(void)info;
 	report_lifecycle(arg, "reload");
 	loom_log(LOOM_LOG_INFO, "loomd", LOOM_OK,
-	    "SIGHUP: settings are read at the start only; ship a manifest");
+	    "SIGHUP ignored: settings are read at the start only; "
+	    "distribute a new manifest to change the configuration");
 }
 
 /*
- * Before the first worker serves: a signal that came between its first answer
- * and the event loop would end the daemon at once and cut its calls.  What
- * comes before the loop waits for it.
+ * To be called before the first worker serves. Otherwise a signal that arrives
+ * after the first answer but before the event loop runs would kill the daemon
+ * and truncate its calls. With the handlers in place it stays pending until the
+ * loop runs.
  */
 static void
 handle_signals(struct loom_daemon *daemon)
@@ -372,7 +384,7 @@
 	daemon->tracer =
 	    tracer_new(daemon, daemon->ev, &daemon->self, settings->trace);
 	if (daemon->tracer == NULL) {
-		loom_fail(error, LOOM_START, "the tracer");
+		loom_fail(error, LOOM_START, "the tracer cannot start");
 		goto error;
 	}
 	daemon->config = config_new(daemon, error);
@@ -382,7 +394,7 @@
 	if (!start_workers(daemon, error))
 		goto error;
 	if (!loom_control_start(daemon->control)) {
-		loom_fail(error, LOOM_START, "the control thread");
+		loom_fail(error, LOOM_START, "the control thread cannot start");
 		goto error;
 	}
 	return daemon;
@@ -414,7 +426,10 @@
 	talloc_free(daemon);
 }
 
-/* What the platform lists of this very upstream goes before its service's. */
+/*
+ * Sets the number of slots. The host list's entry for this host takes
+ * precedence over the manifest's value for the service.
+ */
 static void
 set_slots(struct loom_daemon *daemon, const struct loom_manifest *manifest,
     const struct loom_hosts *hosts)
@@ -446,9 +461,10 @@
 }
 
 /*
- * On the control thread: is the hold after the start over, and have the first
- * tokens come since?  All levels are 0 at its end, and a call that came in
- * that moment was refused as over its team's rate (1 start in 70).
+ * Sets rights_held once the initial wait is over and the token buckets had time
+ * to fill. They are empty when the wait ends, so that a call at that moment was
+ * refused as exceeding its team's rate, which occurred in 1 of 70 starts. Runs
+ * on the control thread.
  */
 static void
 check_rights_filled(void *arg)
@@ -457,7 +473,10 @@
 	struct loom_rights_summary summary;
 
 	if (daemon->rights_wait_end_us == 0) {
-		/* all partitions hold alike: it goes by the host list */
+		/*
+		 * All partitions wait alike, as the wait depends on the host
+		 * list.
+		 */
 		loom_rights_summary(
 		    loom_rights_set_at(daemon->rights, 0), &summary);
 		if (!summary.holding)
@@ -468,7 +487,11 @@
 	}
 }
 
-/* The busiest worker's: a call stays on the one that it came to. */
+/*
+ * Measures the utilization of the busiest worker and the greatest loop delay.
+ * The average would hide one saturated worker, whose calls cannot move to
+ * another.
+ */
 static void
 measure_workers(struct loom_daemon *daemon, uint64_t now_us)
 {
--- a/src/daemon/settings.c
+++ b/src/daemon/settings.c
@@ -1,6 +1,6 @@
 /*
- * The table of a daemon's settings.  The ranges keep a typing error from
- * becoming an outage: they are wide, not tuned.
+ * The table of a daemon's settings. The ranges are wide; they only keep a
+ * typing error from causing an outage.
  */
 
 #include <stddef.h>
--- a/src/daemon/status.c
+++ b/src/daemon/status.c
@@ -1,6 +1,7 @@
 /*
- * The status page: who this is, what is in force, what is let in, and what
- * each team has here.  Made anew for each request; nothing is kept for it.
+ * The status page: the daemon's identity, the versions in force, the state of
+ * admission, and each team's rate at this daemon. It is built for each request;
+ * no state is kept for it.
  */
 
 #include <json-c/json.h>
--- a/src/daemon/status.h
+++ b/src/daemon/status.h
@@ -2,12 +2,12 @@
 #define LOOM_DAEMON_STATUS_H
 
 /*
- * What a daemon says of itself, as JSON for loom-status.
+ * The daemon's status page, as JSON for loom-status.
  */
 
 #include "daemon/worker.h"
 
-/* Owned by the caller, g_free.  manifest may be NULL. */
+/* The result is to be freed with g_free(). manifest may be NULL. */
 char *status_json(struct worker *, const struct loom_manifest *manifest);
 
 #endif
--- a/src/daemon/witness.c
+++ b/src/daemon/witness.c
@@ -1,5 +1,5 @@
 /*
- * Opening the witnesses and looking whether they are still open.
+ * Opens the witnesses and checks whether they are still open.
  */
 
 #include <errno.h>
@@ -14,10 +14,11 @@
 struct witnesses {
 	struct tevent_context *ev; /* borrowed */
 	struct sockaddr_in upstream;
-	GMutex lock; /* guards all below */
-	int fds[GONE_WITNESSES]; /* owned, -1 for none */
+	GMutex lock; /* guards the members below */
+	int fds[GONE_WITNESSES]; /* owned; -1: none */
 	uint64_t opened_us[GONE_WITNESSES];
-	uint64_t seen_us[GONE_WITNESSES]; /* 0 until it is connected */
+	/* last seen open; 0 until connected */
+	uint64_t seen_us[GONE_WITNESSES];
 	struct gone_witness ended[GONE_WITNESSES];
 };
 
@@ -28,6 +29,10 @@
 	witnesses->fds[i] = -1;
 }
 
+/*
+ * Closes a witness whose connection has ended. The end is recorded only if the
+ * connection had been established.
+ */
 static void
 record_end(struct witnesses *witnesses, size_t i, uint64_t now_us)
 {
@@ -41,8 +46,10 @@
 	close_witness(witnesses, i);
 }
 
-/* Bytes are the farewell of an upstream that ends idle connections (408): it
- * is alive, and this one has nothing more to tell. */
+/*
+ * Data on a witness comes from an upstream that closes idle connections with an
+ * answer (408). It is alive, so the witness is closed without recording an end.
+ */
 static void
 check_witness(struct witnesses *witnesses, size_t i, uint64_t now_us)
 {
--- a/src/daemon/witness.h
+++ b/src/daemon/witness.h
@@ -2,8 +2,9 @@
 #define LOOM_DAEMON_WITNESS_H
 
 /*
- * The idle connections to the own upstream by which a crash is told from one
- * broken connection (decide/gone.h).  No byte is ever sent on them.
+ * Idle connections to the own upstream, called witnesses, which tell a crash of
+ * the upstream from a single broken connection (decide/gone.h). Nothing is ever
+ * sent on them.
  */
 
 #include <netinet/in.h>
@@ -14,11 +15,18 @@
 
 struct witnesses;
 
-/* Owned by the context; looks at them on the event loop from now on. */
+/*
+ * Opens the witnesses and checks them periodically on the event loop. The
+ * result belongs to the talloc context.
+ */
 struct witnesses *witnesses_new(
     TALLOC_CTX *, struct tevent_context *, const struct sockaddr_in *upstream);
 
-/* A call broke: whether all of them went with it.  Any thread. */
+/*
+ * To be called when a call's connection broke. Returns whether all witnesses
+ * were closed together with it, which means that the upstream crashed. Any
+ * thread.
+ */
 bool witnesses_gone(struct witnesses *, uint64_t now_us);
 
 #endif
--- a/src/daemon/worker.c
+++ b/src/daemon/worker.c
@@ -1,7 +1,7 @@
 /*
- * A worker thread and what it knows.  Nothing in here is shared: a new
- * manifest or host list comes as a post, so that the path of a call takes no
- * lock for either.
+ * A worker thread and its servers. A worker's state is used by its own thread
+ * only: a new manifest or host list arrives as a message, so that calls take no
+ * lock to read them.
  */
 
 #include <pthread.h>
@@ -219,7 +219,7 @@
 }
 
 static void
-pause_servers(void *arg)
+block_connections(void *arg)
 {
 	struct worker *worker = arg;
 
@@ -228,9 +228,9 @@
 }
 
 void
-worker_pause_accepting(struct worker *worker)
+worker_block_connections(struct worker *worker)
 {
-	loom_mailbox_post(worker->mailbox, pause_servers, worker);
+	loom_mailbox_post(worker->mailbox, block_connections, worker);
 }
 
 static void
--- a/src/daemon/worker_view.c
+++ b/src/daemon/worker_view.c
@@ -1,6 +1,6 @@
 /*
- * What a worker knows: the manifest and hosts in force, and for each service
- * and peer what it has measured itself.
+ * A worker's view of the fleet: the manifest and hosts in force, and its own
+ * measurements of each service and peer.
  */
 
 #include <string.h>
@@ -50,11 +50,11 @@
 }
 
 static void
-update_service_hosts(struct worker *worker, struct service_state *service_entry)
+update_service_hosts(struct worker *worker, struct service_state *service)
 {
-	GArray *list = balance_hosts(worker, service_entry->service_id);
+	GArray *list = balance_hosts(worker, service->service_id);
 
-	loom_balance_hosts_changed(service_entry->balance,
+	loom_balance_hosts_changed(service->balance,
 	    (const struct loom_balance_host *)(const void *)list->data,
 	    list->len, loom_now_us());
 	g_array_free(list, TRUE);
@@ -72,23 +72,22 @@
 struct loom_balance *
 worker_balance(struct worker *worker, uint64_t service_id)
 {
-	struct service_state *service_entry;
+	struct service_state *service;
 
-	service_entry = g_hash_table_lookup(worker->services, &service_id);
-	if (service_entry != NULL)
-		return service_entry->balance;
+	service = g_hash_table_lookup(worker->services, &service_id);
+	if (service != NULL)
+		return service->balance;
 	if (worker->hosts == NULL)
 		return NULL;
-	service_entry = talloc_zero(worker, struct service_state);
-	service_entry->service_id = service_id;
-	service_entry->balance = loom_balance_new(service_entry,
-	    &loom_random_system, cold_start_us(worker, service_id));
+	service = talloc_zero(worker, struct service_state);
+	service->service_id = service_id;
+	service->balance = loom_balance_new(
+	    service, &loom_random_system, cold_start_us(worker, service_id));
 	loom_balance_set_far_cost(
-	    service_entry->balance, worker->daemon->settings.far_cost);
-	update_service_hosts(worker, service_entry);
-	g_hash_table_insert(
-	    worker->services, &service_entry->service_id, service_entry);
-	return service_entry->balance;
+	    service->balance, worker->daemon->settings.far_cost);
+	update_service_hosts(worker, service);
+	g_hash_table_insert(worker->services, &service->service_id, service);
+	return service->balance;
 }
 
 static void
@@ -118,7 +117,7 @@
 	GArray *ids;
 	uint32_t i;
 
-	/* and an empty one of the unlisted route */
+	/* with an empty one at the end, for the unlisted route */
 	views =
 	    talloc_zero_array(worker, struct route_view, manifest->nroutes + 1);
 	for (i = 0; i < manifest->nroutes; i++) {
@@ -138,7 +137,7 @@
 worker_route(const struct worker *worker, const struct loom_manifest *manifest,
     const struct loom_route *route)
 {
-	/* A call that began under an older manifest goes without. */
+	/* A call that began under an older manifest gets none. */
 	if (manifest != worker->manifest || worker->routes == NULL)
 		return NULL;
 	return &worker->routes[route - manifest->routes];
@@ -146,8 +145,8 @@
 
 struct versions_message {
 	struct worker *worker; /* borrowed */
-	struct loom_manifest *manifest; /* counted */
-	struct loom_hosts *hosts; /* counted */
+	struct loom_manifest *manifest; /* acquired */
+	struct loom_hosts *hosts; /* acquired */
 };
 
 static void
@@ -156,7 +155,7 @@
 	struct versions_message *message = arg;
 	struct worker *worker = message->worker;
 	GHashTableIter iter;
-	gpointer service_entry;
+	gpointer service;
 
 	if (worker->manifest != NULL)
 		loom_manifest_release(worker->manifest);
@@ -167,8 +166,8 @@
 	TALLOC_FREE(worker->routes);
 	worker->routes = build_route_views(worker, worker->manifest);
 	g_hash_table_iter_init(&iter, worker->services);
-	while (g_hash_table_iter_next(&iter, NULL, &service_entry))
-		update_service_hosts(worker, service_entry);
+	while (g_hash_table_iter_next(&iter, NULL, &service))
+		update_service_hosts(worker, service);
 	g_free(message);
 	calls_recheck_keys(worker);
 }
--- a/tests/daemon/test_program.c
+++ b/tests/daemon/test_program.c
@@ -1,6 +1,6 @@
 /*
- * loomd on the command line: what an operator is told before it is_serving, and
- * what signals do to it.
+ * Tests loomd as a program: the output and exit status of its command line, its
+ * reaction to signals, and to callers that send a request slowly or in part.
  */
 
 #include <arpa/inet.h>
@@ -60,10 +60,10 @@
 	    "\"tls_cert_file\":\"a.cert\"}" },
 };
 
-/* Of this process alone, in place of each @ in the files. */
+/* Address unique to this process; replaces each @ in the files. */
 static char ip[32];
 
-static char *folder; /* owned; where each run contains its files */
+static char *folder; /* owned; working directory of loomd */
 static char *program; /* owned */
 
 static bool
@@ -136,8 +136,8 @@
 struct command_case {
 	const char *arguments[ARGUMENTS_MAX];
 	int status;
-	const char *out; /* a part of it; NULL for none at all */
-	const char *err[2]; /* parts of it; NULL, NULL for none at all */
+	const char *out; /* a part of it; NULL: it is empty */
+	const char *err[2]; /* parts of it; NULL, NULL: it is empty */
 };
 
 static const struct command_case command_cases[] = {
@@ -152,7 +152,7 @@
 	    { "syntax:2", "1003 JSON_SYNTAX" } },
 	{ { "--check", "unknown" }, 1, NULL,
 	    { "1004 SETTING_UNKNOWN", "did you mean \"idle_timeout_s\"?" } },
-	/* everything that is wrong, not the first alone */
+	/* all errors are printed, not only the first */
 	{ { "--check", "two" }, 1, NULL,
 	    { "workers: 1006 SETTING_RANGE", "trace: 1005 SETTING_TYPE" } },
 	{ { "--check", "missing" }, 1, NULL,
@@ -164,7 +164,7 @@
 	{ { "--check", "swapped" }, 1, NULL, { "1012 TLS_PAIR" } },
 	{ { "--check", "mismatched" }, 1, NULL, { "1012 TLS_PAIR" } },
 	{ { "--check", "pair" }, 0, "pair: ok\n", { NULL } },
-	/* the same stop a start, and are logged */
+	/* the same errors prevent a start and are logged */
 	{ { "unknown" }, 1, NULL, { "1004 SETTING_UNKNOWN" } },
 	{ { "no-cert" }, 1, NULL, { "\"code\":1007" } },
 	{ { "no-key-file" }, 1, NULL, { "\"code\":1002" } },
@@ -259,7 +259,8 @@
 	    G_SPAWN_DO_NOT_REAP_CHILD | G_SPAWN_STDERR_TO_DEV_NULL, NULL, NULL,
 	    pid, NULL);
 
-	return TEST_CHECK(ok && wait_until_serving(), "%s serves", settings);
+	return TEST_CHECK(
+	    ok && wait_until_serving(), "%s: not serving", settings);
 }
 
 static bool
@@ -272,9 +273,9 @@
 }
 
 /*
- * SIGHUP, which a terminal sends when it closes and operators send to have
- * settings read, changes nothing and ends nothing.  SIGTERM and SIGINT end in
- * order; a second one does so at once.
+ * SIGHUP, which a closing terminal sends and which operators send to reload
+ * settings, neither changes anything nor ends the daemon. SIGTERM and SIGINT
+ * shut it down gracefully, and a second one at once.
  */
 static void
 test_signals(void)
@@ -326,9 +327,9 @@
 }
 
 /*
- * A caller that sends half a request and then nothing holds a connection that
- * another could have; it is closed after the idle timeout, without an answer
- * to what was never asked.  One that is merely slow is served.
+ * A connection with an incomplete request is closed after the idle timeout,
+ * without an answer, because it occupies a connection that another caller could
+ * use. A caller that is only slow is served.
  */
 static void
 test_slow_callers(void)
@@ -336,7 +337,7 @@
 	static const struct {
 		const char *name;
 		const char *bytes; /* sent one by one */
-		const char *answer; /* how it begins */
+		const char *answer; /* its beginning */
 	} cases[] = {
 		{ "half a line", "GET /.loom/hea", "" },
 		{ "half a head", "GET /.loom/health HTTP/1.1\r\nHost: a\r\n",
--- a/tests/daemon/test_settings_page.c
+++ b/tests/daemon/test_settings_page.c
@@ -1,5 +1,5 @@
 /*
- * docs/SETTINGS.md against the table of settings, in both directions.
+ * Compares docs/SETTINGS.md with the table of settings, in both directions.
  */
 
 #include <string.h>
@@ -11,7 +11,7 @@
 #define FENCE "```jsonc\n"
 
 enum column {
-	COLUMN_NAME = 1, /* 0 is what stands before the first bar */
+	COLUMN_NAME = 1, /* 0 is the text before the first bar */
 	COLUMN_DEFAULT,
 	COLUMN_RANGE,
 	COLUMN_MEANING,
@@ -28,7 +28,10 @@
 	return text;
 }
 
-/* The cells of a setting's row; NULL when the page has none.  Owned. */
+/*
+ * Returns the cells of a setting's row, to be freed with g_strfreev(), or NULL
+ * if the page has none.
+ */
 static char **
 find_row(const char *page, const char *name)
 {
@@ -74,18 +77,18 @@
 	char *range;
 
 	if (cells == NULL || g_strv_length(cells) <= COLUMNS) {
-		TEST_CHECK(false, "%s has no whole row", field->name);
+		TEST_CHECK(false, "%s: no complete row", field->name);
 		goto out;
 	}
 	TEST_CHECK(strcmp(cells[COLUMN_DEFAULT], expected) == 0,
-	    "%s: default %s, in the page %s", field->name, expected,
+	    "%s: default is %s, but %s in the page", field->name, expected,
 	    cells[COLUMN_DEFAULT]);
 	TEST_CHECK(cells[COLUMN_MEANING][0] != '\0', "%s", field->name);
 	if (field->type != LOOM_FIELD_U32)
 		goto out;
 	range = g_strdup_printf("%.0f to %.0f", field->min, field->max);
 	TEST_CHECK(strcmp(cells[COLUMN_RANGE], range) == 0,
-	    "%s: range %s, in the page %s", field->name, range,
+	    "%s: range is %s, but %s in the page", field->name, range,
 	    cells[COLUMN_RANGE]);
 	g_free(range);
 out:
@@ -127,14 +130,15 @@
 		if (!g_str_has_prefix(*line, "| `"))
 			continue;
 		cells = g_strsplit(*line, "`", 3);
-		TEST_CHECK(is_setting(cells[1]), "no setting %s", cells[1]);
+		TEST_CHECK(
+		    is_setting(cells[1]), "%s is not a setting", cells[1]);
 		g_strfreev(cells);
 	}
 	g_strfreev(lines);
 	g_free(page);
 }
 
-/* Operators begin by copying the example. */
+/* The example must be valid, since operators start by copying it. */
 static void
 test_example(void)
 {
@@ -162,9 +166,9 @@
 }
 
 static const struct test_case tests[] = {
-	{ "each setting stands in the page", test_each_setting },
+	{ "each setting is in the page", test_each_setting },
 	{ "each row is a setting", test_each_row },
-	{ "the example can be read", test_example },
+	{ "the example is valid", test_example },
 };
 
 TEST_MAIN("settings page", tests)
