--- a/include/loom/dialect.h
+++ b/include/loom/dialect.h
@@ -49,6 +49,7 @@
 	 * a caller's value is not forwarded.
 	 */
 	bool (*is_own_header)(const char *name);
+	/* Adds the headers of a request to the upstream. */
 	void (*upstream_headers)(
 	    const struct loom_upstream_facts *, loom_header_add, void *arg);
 	/*
--- a/src/daemon/latency.c
+++ b/src/daemon/latency.c
@@ -70,6 +70,10 @@
 	return latencies;
 }
 
+/*
+ * Returns the histograms of a route, creating them on first use, or the shared
+ * ones if the table is full.
+ */
 static struct route_latency *
 find_route_latency(struct latencies *latencies, const struct loom_route *route)
 {
--- a/src/daemon/report.c
+++ b/src/daemon/report.c
@@ -70,6 +70,11 @@
 	return names[kind];
 }
 
+/*
+ * Returns the name of the service because of whose share the call was refused,
+ * or else of the one with the lowest share among those that the call leads to.
+ * Returns NULL if no share applied.
+ */
 static const char *
 bottleneck_name(const struct call *call)
 {
--- a/src/daemon/run.c
+++ b/src/daemon/run.c
@@ -156,6 +156,7 @@
 	loom_control_hurry(daemon->control, daemon->rights);
 }
 
+/* Makes the control thread run the rights. Any thread. */
 static void
 schedule_rights(void *arg)
 {
@@ -173,6 +174,7 @@
 	loom_control_hurry(daemon->control, daemon->retry);
 }
 
+/* Makes the control thread run the retries. Any thread. */
 static void
 schedule_retry(void *arg)
 {
@@ -181,6 +183,7 @@
 	loom_control_post(daemon->control, run_retry, daemon);
 }
 
+/* Creates the components that decide about calls. */
 static bool
 create_components(struct loom_daemon *daemon)
 {
--- a/src/daemon/witness.c
+++ b/src/daemon/witness.c
@@ -85,6 +85,7 @@
 	witnesses->seen_us[i] = 0;
 }
 
+/* Opens the missing witnesses, but not both at the same time. */
 static void
 open_missing(struct witnesses *witnesses, uint64_t now_us)
 {
--- a/src/daemon/worker.c
+++ b/src/daemon/worker.c
@@ -120,23 +120,23 @@
 		.arg = worker,
 	};
 
-	worker->callers = loom_server_new(
+	worker->caller_server = loom_server_new(
 	    worker, worker->ev, worker->hangup, &options, error);
-	if (worker->callers == NULL)
+	if (worker->caller_server == NULL)
 		return false;
 	options.listen_fd = args->listeners.peers_fd;
 	options.tls = NULL;
 	options.ops = &peer_ops;
-	worker->peers = loom_peer_server_new(
+	worker->peer_server = loom_peer_server_new(
 	    worker, worker->ev, worker->sockets, &options, error);
-	if (worker->peers == NULL || args->listeners.ready_fd < 0)
-		return worker->peers != NULL;
+	if (worker->peer_server == NULL || args->listeners.ready_fd < 0)
+		return worker->peer_server != NULL;
 	options.listen_fd = args->listeners.ready_fd;
 	options.leaves_out_date = true;
 	options.ops = &ready_ops;
-	worker->ready = loom_server_new(
+	worker->ready_server = loom_server_new(
 	    worker, worker->ev, worker->hangup, &options, error);
-	return worker->ready != NULL;
+	return worker->ready_server != NULL;
 }
 
 static void *
@@ -168,7 +168,7 @@
 	worker->index = index;
 	worker->services = g_hash_table_new_full(
 	    g_int64_hash, g_int64_equal, NULL, free_entry);
-	worker->clocks = g_hash_table_new_full(
+	worker->peer_clocks = g_hash_table_new_full(
 	    g_int64_hash, g_int64_equal, NULL, free_entry);
 	worker->issues = g_hash_table_new_full(
 	    g_int64_hash, g_int64_equal, NULL, free_entry);
@@ -197,7 +197,7 @@
 error:
 	loom_fail(error, LOOM_START, "worker %u cannot start", index);
 	g_hash_table_destroy(worker->services);
-	g_hash_table_destroy(worker->clocks);
+	g_hash_table_destroy(worker->peer_clocks);
 	g_hash_table_destroy(worker->issues);
 	talloc_free(worker);
 	return NULL;
@@ -208,8 +208,8 @@
 {
 	struct worker *worker = arg;
 
-	loom_server_drain(worker->callers);
-	loom_peer_server_drain(worker->peers);
+	loom_server_drain(worker->caller_server);
+	loom_peer_server_drain(worker->peer_server);
 }
 
 void
@@ -223,8 +223,8 @@
 {
 	struct worker *worker = arg;
 
-	loom_server_hold_off(worker->callers);
-	loom_peer_server_hold_off(worker->peers);
+	loom_server_hold_off(worker->caller_server);
+	loom_peer_server_hold_off(worker->peer_server);
 }
 
 void
@@ -253,12 +253,12 @@
 		if (call->x != NULL)
 			loom_exchange_abort(call->x);
 	}
-	TALLOC_FREE(worker->callers);
-	TALLOC_FREE(worker->peers);
-	TALLOC_FREE(worker->ready);
+	TALLOC_FREE(worker->caller_server);
+	TALLOC_FREE(worker->peer_server);
+	TALLOC_FREE(worker->ready_server);
 	TALLOC_FREE(worker->fetcher);
 	g_hash_table_destroy(worker->services);
-	g_hash_table_destroy(worker->clocks);
+	g_hash_table_destroy(worker->peer_clocks);
 	g_hash_table_destroy(worker->issues);
 	if (worker->manifest != NULL)
 		loom_manifest_release(worker->manifest);
--- a/src/daemon/worker.h
+++ b/src/daemon/worker.h
@@ -42,11 +42,11 @@
 	struct tevent_context *ev; /* owned, like all below */
 	struct loom_mailbox *mailbox;
 	struct loom_hangup *hangup;
-	struct loom_sockets *sockets; /* of fetcher and peers */
+	struct loom_sockets *sockets; /* of fetcher and peer_server */
 	struct loom_fetcher *fetcher;
-	struct loom_server *callers;
-	struct loom_peer_server *peers;
-	struct loom_server *ready; /* readiness and metrics; or NULL */
+	struct loom_server *caller_server;
+	struct loom_peer_server *peer_server;
+	struct loom_server *ready_server; /* readiness and metrics; or NULL */
 	struct loom_shed *shed;
 	struct loom_keep_gate *keep;
 	struct loom_costs *costs; /* owned */
@@ -54,7 +54,7 @@
 	struct loom_hosts *hosts; /* acquired; NULL before the first */
 	struct route_view *routes; /* one for each route of manifest */
 	GHashTable *services; /* service id to struct service_state */
-	GHashTable *clocks; /* host id to struct loom_peer_clock */
+	GHashTable *peer_clocks; /* host id to struct loom_peer_clock */
 	GHashTable *issues; /* team id to struct issue_bucket */
 	struct latencies *latencies;
 	struct loop_delay loop_delay; /* any thread */
--- a/src/daemon/worker_view.c
+++ b/src/daemon/worker_view.c
@@ -17,11 +17,12 @@
 {
 	struct clock_entry *entry;
 
-	entry = g_hash_table_lookup(worker->clocks, &host_id);
+	entry = g_hash_table_lookup(worker->peer_clocks, &host_id);
 	if (entry == NULL) {
 		entry = talloc_zero(worker, struct clock_entry);
 		entry->host_id = host_id;
-		g_hash_table_insert(worker->clocks, &entry->host_id, entry);
+		g_hash_table_insert(
+		    worker->peer_clocks, &entry->host_id, entry);
 	}
 	return &entry->clock;
 }
@@ -49,6 +50,7 @@
 	return list;
 }
 
+/* Passes a service's current hosts on to its load balancing. */
 static void
 update_service_hosts(struct worker *worker, struct service_state *service)
 {
@@ -90,6 +92,10 @@
 	return service->balance;
 }
 
+/*
+ * Appends the services of a route and of the calls that it declares, directly
+ * or through other routes. seen marks the routes that have been visited.
+ */
 static void
 collect_services(const struct loom_manifest *manifest, uint32_t route_index,
     bool *seen, GArray *ids)
@@ -149,6 +155,7 @@
 	struct loom_hosts *hosts; /* acquired */
 };
 
+/* Runs on the worker's thread; takes over the message's references. */
 static void
 apply_versions(void *arg)
 {
