--- a/src/daemon/probe.c
+++ b/src/daemon/probe.c
@@ -1,26 +1,26 @@
 /*
- * Probes of hosts that owe an answer, or that said they leave: one plain
- * request for the serving page at the peer's data address, the way that calls
- * go.  Any answer is a sign of life, also one that says "not serving": that
- * host will refuse by itself.
+ * Probes hosts that have not answered a call, or that announced their shutdown.
+ * A probe is a plain request for the serving page on the peer's data address,
+ * so it takes the same path as calls do. Any answer shows that the host is
+ * alive, even one that says "not serving": such a host refuses calls itself.
  *
- * Calls drive them: without calls nobody needs to know.
+ * Probes are started by calls only, as the result is not needed otherwise.
  */
 
 #include "daemon/probe.h"
 #include "daemon/call.h"
 
-/* A host that takes longer is not yet worth calls that it would hold up. */
+/* A host that takes longer would delay calls too much to get any. */
 #define PROBE_TIMEOUT_US (1 * LOOM_US_PER_S)
 
 struct probe {
-	struct loom_balance *balance; /* borrowed: the worker keeps it */
-	bool serving; /* it said so */
+	struct loom_balance *balance; /* borrowed from the worker */
+	bool serving; /* as answered */
 	uint64_t host_id;
 };
 
 static bool
-take_data(void *arg, const uint8_t *data, size_t len)
+discard_data(void *arg, const uint8_t *data, size_t len)
 {
 	(void)arg;
 	(void)data;
@@ -29,7 +29,7 @@
 }
 
 static void
-probe_headers(void *arg, struct loom_fetch *fetch)
+on_probe_headers(void *arg, struct loom_fetch *fetch)
 {
 	struct probe *probe = arg;
 
@@ -37,7 +37,7 @@
 }
 
 static void
-probe_done(void *arg, const struct loom_fetch_end *end)
+on_probe_done(void *arg, const struct loom_fetch_end *end)
 {
 	struct probe *probe = arg;
 
@@ -52,13 +52,13 @@
 }
 
 static const struct loom_fetch_ops probe_ops = {
-	.headers = probe_headers,
-	.data = take_data,
-	.done = probe_done,
+	.headers = on_probe_headers,
+	.data = discard_data,
+	.done = on_probe_done,
 };
 
 static bool
-probe_start(struct worker *worker, struct probe *probe)
+start_fetch(struct worker *worker, struct probe *probe)
 {
 	const struct loom_host *host =
 	    loom_hosts_find(worker->hosts, probe->host_id);
@@ -89,7 +89,7 @@
 	probe = talloc(worker, struct probe);
 	*probe = (struct probe){ .balance = balance, .host_id = host_id };
 	loom_counter_add(worker->daemon->counters.probes, 1);
-	if (probe_start(worker, probe))
+	if (start_fetch(worker, probe))
 		return;
 	loom_balance_note_probe(balance, host_id, LOOM_PROBE_SILENT, now_us);
 	talloc_free(probe);
--- a/src/daemon/worker_view.c
+++ b/src/daemon/worker_view.c
@@ -1,6 +1,6 @@
 /*
- * What a worker knows: the manifest and hosts in force, and for each service
- * and peer what it has measured itself.
+ * A worker's view of the fleet: the manifest and hosts in force, and its own
+ * measurements of each service and peer.
  */
 
 #include <string.h>
@@ -17,11 +17,12 @@
 {
 	struct clock_entry *entry;
 
-	entry = g_hash_table_lookup(worker->clocks, &host_id);
+	entry = g_hash_table_lookup(worker->peer_clocks, &host_id);
 	if (entry == NULL) {
 		entry = talloc_zero(worker, struct clock_entry);
 		entry->host_id = host_id;
-		g_hash_table_insert(worker->clocks, &entry->host_id, entry);
+		g_hash_table_insert(
+		    worker->peer_clocks, &entry->host_id, entry);
 	}
 	return &entry->clock;
 }
@@ -49,12 +50,13 @@
 	return list;
 }
 
+/* Passes a service's current hosts on to its load balancing. */
 static void
-update_service(struct worker *worker, struct service_view *view)
+update_service_hosts(struct worker *worker, struct service_state *service)
 {
-	GArray *list = balance_hosts(worker, view->service_id);
+	GArray *list = balance_hosts(worker, service->service_id);
 
-	loom_balance_hosts_changed(view->balance,
+	loom_balance_hosts_changed(service->balance,
 	    (const struct loom_balance_host *)(const void *)list->data,
 	    list->len, loom_now_us());
 	g_array_free(list, TRUE);
@@ -72,26 +74,30 @@
 struct loom_balance *
 worker_balance(struct worker *worker, uint64_t service_id)
 {
-	struct service_view *view;
+	struct service_state *service;
 
-	view = g_hash_table_lookup(worker->services, &service_id);
-	if (view != NULL)
-		return view->balance;
+	service = g_hash_table_lookup(worker->services, &service_id);
+	if (service != NULL)
+		return service->balance;
 	if (worker->hosts == NULL)
 		return NULL;
-	view = talloc_zero(worker, struct service_view);
-	view->service_id = service_id;
-	view->balance = loom_balance_new(
-	    view, &loom_random_system, cold_start_us(worker, service_id));
+	service = talloc_zero(worker, struct service_state);
+	service->service_id = service_id;
+	service->balance = loom_balance_new(
+	    service, &loom_random_system, cold_start_us(worker, service_id));
 	loom_balance_set_far_cost(
-	    view->balance, worker->daemon->settings.far_cost);
-	update_service(worker, view);
-	g_hash_table_insert(worker->services, &view->service_id, view);
-	return view->balance;
+	    service->balance, worker->daemon->settings.far_cost);
+	update_service_hosts(worker, service);
+	g_hash_table_insert(worker->services, &service->service_id, service);
+	return service->balance;
 }
 
+/*
+ * Appends the services of a route and of the calls that it declares, directly
+ * or through other routes. seen marks the routes that have been visited.
+ */
 static void
-add_closure(const struct loom_manifest *manifest, uint32_t route_index,
+collect_services(const struct loom_manifest *manifest, uint32_t route_index,
     bool *seen, GArray *ids)
 {
 	const struct loom_route *route = &manifest->routes[route_index];
@@ -106,24 +112,24 @@
 	if (i == ids->len)
 		g_array_append_val(ids, id);
 	for (i = 0; i < route->ncalls; i++)
-		add_closure(manifest, route->calls[i], seen, ids);
+		collect_services(manifest, route->calls[i], seen, ids);
 }
 
 static struct route_view *
-make_route_views(struct worker *worker, const struct loom_manifest *manifest)
+build_route_views(struct worker *worker, const struct loom_manifest *manifest)
 {
 	struct route_view *views;
 	bool *seen = g_new(bool, manifest->nroutes);
 	GArray *ids;
 	uint32_t i;
 
-	/* and an empty one of the unlisted route */
+	/* with an empty one at the end, for the unlisted route */
 	views =
 	    talloc_zero_array(worker, struct route_view, manifest->nroutes + 1);
 	for (i = 0; i < manifest->nroutes; i++) {
 		ids = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 		memset(seen, 0, manifest->nroutes * sizeof(bool));
-		add_closure(manifest, i, seen, ids);
+		collect_services(manifest, i, seen, ids);
 		views[i].nservices = ids->len;
 		views[i].service_ids = talloc_memdup(
 		    views, ids->data, ids->len * sizeof(uint64_t));
@@ -137,49 +143,50 @@
 worker_route(const struct worker *worker, const struct loom_manifest *manifest,
     const struct loom_route *route)
 {
-	/* A call that began under an older manifest goes without. */
+	/* A call that began under an older manifest gets none. */
 	if (manifest != worker->manifest || worker->routes == NULL)
 		return NULL;
 	return &worker->routes[route - manifest->routes];
 }
 
-struct view_post {
+struct versions_message {
 	struct worker *worker; /* borrowed */
-	struct loom_manifest *manifest; /* counted */
-	struct loom_hosts *hosts; /* counted */
+	struct loom_manifest *manifest; /* acquired */
+	struct loom_hosts *hosts; /* acquired */
 };
 
+/* Runs on the worker's thread; takes over the message's references. */
 static void
-take_view(void *arg)
+apply_versions(void *arg)
 {
-	struct view_post *post = arg;
-	struct worker *worker = post->worker;
+	struct versions_message *message = arg;
+	struct worker *worker = message->worker;
 	GHashTableIter iter;
-	gpointer view;
+	gpointer service;
 
 	if (worker->manifest != NULL)
 		loom_manifest_release(worker->manifest);
 	if (worker->hosts != NULL)
 		loom_hosts_release(worker->hosts);
-	worker->manifest = post->manifest;
-	worker->hosts = post->hosts;
+	worker->manifest = message->manifest;
+	worker->hosts = message->hosts;
 	TALLOC_FREE(worker->routes);
-	worker->routes = make_route_views(worker, worker->manifest);
+	worker->routes = build_route_views(worker, worker->manifest);
 	g_hash_table_iter_init(&iter, worker->services);
-	while (g_hash_table_iter_next(&iter, NULL, &view))
-		update_service(worker, view);
-	g_free(post);
+	while (g_hash_table_iter_next(&iter, NULL, &service))
+		update_service_hosts(worker, service);
+	g_free(message);
 	calls_recheck_keys(worker);
 }
 
 void
-worker_set_view(struct worker *worker, struct loom_manifest *manifest,
+worker_set_versions(struct worker *worker, struct loom_manifest *manifest,
     struct loom_hosts *hosts)
 {
-	struct view_post *post = g_new(struct view_post, 1);
+	struct versions_message *message = g_new(struct versions_message, 1);
 
-	post->worker = worker;
-	post->manifest = loom_manifest_acquire(manifest);
-	post->hosts = loom_hosts_acquire(hosts);
-	loom_mailbox_post(worker->mailbox, take_view, post);
+	message->worker = worker;
+	message->manifest = loom_manifest_acquire(manifest);
+	message->hosts = loom_hosts_acquire(hosts);
+	loom_mailbox_post(worker->mailbox, apply_versions, message);
 }
--- a/tests/daemon/test_program.c
+++ b/tests/daemon/test_program.c
@@ -1,6 +1,6 @@
 /*
- * loomd on the command line: what an operator is told before it serves, and
- * what signals do to it.
+ * Tests loomd as a program: the output and exit status of its command line, its
+ * reaction to signals, and to callers that send a request slowly or in part.
  */
 
 #include <arpa/inet.h>
@@ -60,10 +60,10 @@
 	    "\"tls_cert_file\":\"a.cert\"}" },
 };
 
-/* Of this process alone, in place of each @ in the files. */
+/* Address unique to this process; replaces each @ in the files. */
 static char ip[32];
 
-static char *folder; /* owned; where each run has its files */
+static char *folder; /* owned; working directory of loomd */
 static char *program; /* owned */
 
 static bool
@@ -116,7 +116,7 @@
 }
 
 static void
-clear(void)
+tear_down(void)
 {
 	const char *name;
 	char *file;
@@ -133,14 +133,14 @@
 	g_free(program);
 }
 
-struct row {
+struct command_case {
 	const char *arguments[ARGUMENTS_MAX];
 	int status;
-	const char *out; /* a part of it; NULL for none at all */
-	const char *err[2]; /* parts of it; NULL, NULL for none at all */
+	const char *out; /* a part of it; NULL: it is empty */
+	const char *err[2]; /* parts of it; NULL, NULL: it is empty */
 };
 
-static const struct row rows[] = {
+static const struct command_case command_cases[] = {
 	{ { "--help" }, 0, "usage: loomd", { NULL } },
 	{ { "--version" }, 0, "loomd ", { NULL } },
 	{ { NULL }, 2, NULL, { "usage: loomd" } },
@@ -152,7 +152,7 @@
 	    { "syntax:2", "1003 JSON_SYNTAX" } },
 	{ { "--check", "unknown" }, 1, NULL,
 	    { "1004 SETTING_UNKNOWN", "did you mean \"idle_timeout_s\"?" } },
-	/* everything that is wrong, not the first alone */
+	/* all errors are printed, not only the first */
 	{ { "--check", "two" }, 1, NULL,
 	    { "workers: 1006 SETTING_RANGE", "trace: 1005 SETTING_TYPE" } },
 	{ { "--check", "missing" }, 1, NULL,
@@ -164,7 +164,7 @@
 	{ { "--check", "swapped" }, 1, NULL, { "1012 TLS_PAIR" } },
 	{ { "--check", "mismatched" }, 1, NULL, { "1012 TLS_PAIR" } },
 	{ { "--check", "pair" }, 0, "pair: ok\n", { NULL } },
-	/* the same stop a start, and are logged */
+	/* the same errors prevent a start and are logged */
 	{ { "unknown" }, 1, NULL, { "1004 SETTING_UNKNOWN" } },
 	{ { "no-cert" }, 1, NULL, { "\"code\":1007" } },
 	{ { "no-key-file" }, 1, NULL, { "\"code\":1002" } },
@@ -174,13 +174,13 @@
 };
 
 static bool
-has(const char *text, const char *part)
+contains(const char *text, const char *part)
 {
 	return part == NULL || strstr(text, part) != NULL;
 }
 
 static void
-check_row(const struct row *row)
+check_command(const struct command_case *command_case)
 {
 	char *argv[ARGUMENTS_MAX + 2] = { program };
 	char *out = NULL, *err = NULL;
@@ -189,18 +189,21 @@
 	size_t i;
 
 	for (i = 0; i < ARGUMENTS_MAX; i++)
-		argv[i + 1] = (char *)row->arguments[i];
+		argv[i + 1] = (char *)command_case->arguments[i];
 	line = g_strjoinv(" ", argv);
 	TEST_CHECK(g_spawn_sync(folder, argv, NULL, G_SPAWN_DEFAULT, NULL, NULL,
 		       &out, &err, &status, NULL),
 	    "%s", line);
-	TEST_CHECK(WIFEXITED(status) && WEXITSTATUS(status) == row->status,
+	TEST_CHECK(
+	    WIFEXITED(status) && WEXITSTATUS(status) == command_case->status,
 	    "%s: %d", line, status);
-	TEST_CHECK(row->out == NULL ? out[0] == '\0' : has(out, row->out),
+	TEST_CHECK(command_case->out == NULL ? out[0] == '\0'
+					     : contains(out, command_case->out),
 	    "%s: %s", line, out);
-	TEST_CHECK(row->err[0] == NULL
+	TEST_CHECK(command_case->err[0] == NULL
 		? err[0] == '\0'
-		: has(err, row->err[0]) && has(err, row->err[1]),
+		: contains(err, command_case->err[0]) &&
+		    contains(err, command_case->err[1]),
 	    "%s: %s", line, err);
 	g_free(line);
 	g_free(err);
@@ -213,14 +216,14 @@
 	size_t i;
 
 	if (set_up()) {
-		for (i = 0; i < G_N_ELEMENTS(rows); i++)
-			check_row(&rows[i]);
+		for (i = 0; i < G_N_ELEMENTS(command_cases); i++)
+			check_command(&command_cases[i]);
 	}
-	clear();
+	tear_down();
 }
 
 static bool
-serves(void)
+is_serving(void)
 {
 	char *url = g_strdup_printf("http://%s:7000/.loom/health", ip);
 	CURL *easy = curl_easy_init();
@@ -236,11 +239,11 @@
 }
 
 static bool
-wait_until_serves(void)
+wait_until_serving(void)
 {
 	uint32_t tries = WAIT_MS * LOOM_US_PER_MS / POLL_US;
 
-	while (!serves()) {
+	while (!is_serving()) {
 		if (tries-- == 0)
 			return false;
 		g_usleep(POLL_US);
@@ -256,11 +259,12 @@
 	    G_SPAWN_DO_NOT_REAP_CHILD | G_SPAWN_STDERR_TO_DEV_NULL, NULL, NULL,
 	    pid, NULL);
 
-	return TEST_CHECK(ok && wait_until_serves(), "%s serves", settings);
+	return TEST_CHECK(
+	    ok && wait_until_serving(), "%s: not serving", settings);
 }
 
 static bool
-ends_well(GPid pid)
+exits_cleanly(GPid pid)
 {
 	int status;
 
@@ -269,9 +273,9 @@
 }
 
 /*
- * SIGHUP, which a terminal sends when it closes and operators send to have
- * settings read, changes nothing and ends nothing.  SIGTERM and SIGINT end in
- * order; a second one does so at once.
+ * SIGHUP, which a closing terminal sends and which operators send to reload
+ * settings, neither changes anything nor ends the daemon. SIGTERM and SIGINT
+ * shut it down gracefully, and a second one at once.
  */
 static void
 test_signals(void)
@@ -296,12 +300,12 @@
 		for (j = 0; cases[i].signals[j] != 0; j++) {
 			kill(pid, cases[i].signals[j]);
 			if (cases[i].signals[j] == SIGHUP)
-				TEST_CHECK(serves(), "after SIGHUP");
+				TEST_CHECK(is_serving(), "after SIGHUP");
 		}
-		TEST_CHECK(ends_well(pid), "%s", cases[i].name);
+		TEST_CHECK(exits_cleanly(pid), "%s", cases[i].name);
 	}
 out:
-	clear();
+	tear_down();
 }
 
 static int
@@ -323,9 +327,9 @@
 }
 
 /*
- * A caller that sends half a request and then nothing holds a connection that
- * another could have; it is closed after the idle timeout, without an answer
- * to what was never asked.  One that is merely slow is served.
+ * A connection with an incomplete request is closed after the idle timeout,
+ * without an answer, because it occupies a connection that another caller could
+ * use. A caller that is only slow is served.
  */
 static void
 test_slow_callers(void)
@@ -333,7 +337,7 @@
 	static const struct {
 		const char *name;
 		const char *bytes; /* sent one by one */
-		const char *answer; /* how it begins */
+		const char *answer; /* its beginning */
 	} cases[] = {
 		{ "half a line", "GET /.loom/hea", "" },
 		{ "half a head", "GET /.loom/health HTTP/1.1\r\nHost: a\r\n",
@@ -366,9 +370,9 @@
 		close(fd);
 	}
 	kill(pid, SIGTERM);
-	TEST_CHECK(ends_well(pid), "ends");
+	TEST_CHECK(exits_cleanly(pid), "ends");
 out:
-	clear();
+	tear_down();
 }
 
 static const struct test_case tests[] = {
