--- a/src/control/handover_leave.c
+++ b/src/control/handover_leave.c
@@ -82,7 +82,7 @@
 struct state_packing {
 	struct loom_packer packer;
 	uint64_t now_us;
-	size_t kept_bytes;
+	size_t cached_bytes;
 };
 
 static void
@@ -105,8 +105,8 @@
 	struct state_packing *packing = arg;
 	size_t size = handover_kept_size(run);
 
-	packing->kept_bytes += size;
-	if (packing->kept_bytes > KEPT_MAX_BYTES / TICKET_SHARDS)
+	packing->cached_bytes += size;
+	if (packing->cached_bytes > KEPT_MAX_BYTES / TICKET_SHARDS)
 		return false;
 	if (packing->packer.len + size + LOOM_PACKED_SCALAR_MAX >
 	    HANDOVER_STATE_MAX)
@@ -143,11 +143,11 @@
 static void
 pack_shard(struct ticket_shard *shard, struct state_packing *packing)
 {
-	packing->kept_bytes = 0;
+	packing->cached_bytes = 0;
 	g_mutex_lock(&shard->lock);
-	ticket_windows_each(
-	    ticket_book_windows(shard->book), pack_window, packing);
-	ticket_book_each_kept(shard->book, pack_kept, packing);
+	ticket_windows_foreach(
+	    ticket_store_windows(shard->store), pack_window, packing);
+	ticket_store_foreach_answer(shard->store, pack_kept, packing);
 	g_mutex_unlock(&shard->lock);
 }
 
--- a/src/control/handover_take.c
+++ b/src/control/handover_take.c
@@ -103,8 +103,8 @@
 	struct ticket_shard *shard = tickets_shard(install->tickets, team_id);
 
 	g_mutex_lock(&shard->lock);
-	ticket_windows_put(
-	    ticket_book_windows(shard->book), incarnation, team_id, window);
+	ticket_windows_import(
+	    ticket_store_windows(shard->store), incarnation, team_id, window);
 	g_mutex_unlock(&shard->lock);
 }
 
@@ -117,7 +117,7 @@
 	    tickets_shard(install->tickets, key->team_id);
 
 	g_mutex_lock(&shard->lock);
-	ticket_book_put_kept(shard->book, key, digest, answer);
+	ticket_store_import_answer(shard->store, key, digest, answer);
 	g_mutex_unlock(&shard->lock);
 }
 
@@ -312,8 +312,8 @@
 	while ((incarnation = pop_expired(tickets, now_us)) != 0) {
 		for (i = 0; i < TICKET_SHARDS; i++) {
 			g_mutex_lock(&tickets->shards[i].lock);
-			ticket_windows_forget(
-			    ticket_book_windows(tickets->shards[i].book),
+			ticket_windows_remove_issuer(
+			    ticket_store_windows(tickets->shards[i].store),
 			    incarnation);
 			g_mutex_unlock(&tickets->shards[i].lock);
 		}
--- a/src/control/tickets.c
+++ b/src/control/tickets.c
@@ -15,7 +15,7 @@
 #define HEIRS_MAX 4096
 
 const struct loom_ticket_limits loom_ticket_limits_default = {
-	.kept_bytes = 16 * 1024 * 1024,
+	.cached_bytes = 16 * 1024 * 1024,
 	.answer_bytes = 64 * 1024,
 	.waiters = 16,
 	.teams = 4096,
@@ -47,12 +47,12 @@
 	struct loom_ticket_limits limits = config->limits;
 	size_t i;
 
-	limits.kept_bytes = MAX(limits.kept_bytes / TICKET_SHARDS, 1);
+	limits.cached_bytes = MAX(limits.cached_bytes / TICKET_SHARDS, 1);
 	limits.teams = MAX(limits.teams / TICKET_SHARDS, 1);
 	tickets->config = *config;
 	for (i = 0; i < TICKET_SHARDS; i++) {
 		g_mutex_init(&tickets->shards[i].lock);
-		tickets->shards[i].book = ticket_book_new(&limits);
+		tickets->shards[i].store = ticket_store_new(&limits);
 	}
 	g_mutex_init(&tickets->issuers_lock);
 	tickets->issuers =
@@ -75,7 +75,7 @@
 		return;
 	handover_free(tickets->handover);
 	for (i = 0; i < TICKET_SHARDS; i++) {
-		ticket_book_free(tickets->shards[i].book);
+		ticket_store_free(tickets->shards[i].store);
 		g_mutex_clear(&tickets->shards[i].lock);
 	}
 	g_array_free(tickets->issuers, TRUE);
@@ -118,8 +118,8 @@
 		return LOOM_BAD_REQUEST;
 	g_mutex_lock(&shard->lock);
 	if (!shard->frozen)
-		code = ticket_book_issue(
-		    shard->book, own.incarnation, team_id, count, &first);
+		code = ticket_store_issue(
+		    shard->store, own.incarnation, team_id, count, &first);
 	g_mutex_unlock(&shard->lock);
 	for (i = 0; i < count && code == LOOM_OK; i++) {
 		ticket = (struct loom_ticket){
@@ -214,8 +214,8 @@
 	}
 	shard = tickets_shard(tickets, team_id);
 	g_mutex_lock(&shard->lock);
-	ticket_book_begin(
-	    shard->book, &key, digest, waiter, shard->frozen, begin);
+	ticket_store_begin(
+	    shard->store, &key, digest, waiter, shard->frozen, begin);
 	g_mutex_unlock(&shard->lock);
 	if (begin->verdict == LOOM_TICKET_VERDICT_REFUSED &&
 	    begin->code == LOOM_TICKET_MOVING && view.heir_host_id != 0) {
@@ -253,7 +253,7 @@
 	if (outcome == LOOM_OUTCOME_RAN && answer == NULL)
 		code = LOOM_TICKET_RAN;
 	g_mutex_lock(&shard->lock);
-	waiters = ticket_book_finish(shard->book, run, outcome, answer);
+	waiters = ticket_store_finish(shard->store, run, outcome, answer);
 	g_mutex_unlock(&shard->lock);
 	tell_waiters(waiters, code, outcome, answer);
 }
@@ -266,7 +266,7 @@
 	GArray *waiters;
 
 	g_mutex_lock(&shard->lock);
-	waiters = ticket_book_abandon(shard->book, run);
+	waiters = ticket_store_abandon(shard->store, run);
 	g_mutex_unlock(&shard->lock);
 	tell_waiters(waiters, code, LOOM_OUTCOME_NOT_RUN, NULL);
 }
@@ -280,7 +280,7 @@
 	bool detached;
 
 	g_mutex_lock(&shard->lock);
-	detached = ticket_book_detach(shard->book, &key, waiter);
+	detached = ticket_store_detach(shard->store, &key, waiter);
 	g_mutex_unlock(&shard->lock);
 	return detached;
 }
@@ -305,7 +305,7 @@
 
 	for (i = 0; i < TICKET_SHARDS; i++) {
 		g_mutex_lock(&tickets->shards[i].lock);
-		running += ticket_book_running(tickets->shards[i].book);
+		running += ticket_store_running_count(tickets->shards[i].store);
 		g_mutex_unlock(&tickets->shards[i].lock);
 	}
 	return running;
--- a/src/control/tickets_state.h
+++ b/src/control/tickets_state.h
@@ -22,7 +22,7 @@
 
 struct ticket_shard {
 	GMutex lock;
-	struct ticket_book *book; /* owned */
+	struct ticket_store *store; /* owned */
 	/* The daemon leaves: nothing unused runs here any more.  Under each
 	 * shard's lock, so that no run can begin after it was seen set. */
 	bool frozen;
--- a/src/decide/heirs.c
+++ b/src/decide/heirs.c
@@ -1,36 +1,45 @@
 /*
- * Who should inherit a leaver's tickets: the live hosts of its service in the
- * order of a rendezvous hash, which differs from leaver to leaver, so that a
- * rolling replacement does not heap all tickets on one host.
+ * Selects candidates to take over the tickets of a host that shuts down: the
+ * live hosts of its service, ordered by rendezvous hashing. The order differs
+ * from host to host, so that a rolling replacement does not move all tickets to
+ * one host.
  *
- * Nothing rests on two daemons agreeing about it.  The leaver alone chooses;
- * others only use the order to know whom to ask first.
+ * Daemons need not agree on the order. The host that shuts down chooses its
+ * successor alone; other daemons only use the order to decide whom to query
+ * first.
  */
 
 #include "decide/mix.h"
 #include "loom/ticket.h"
 
 /*
- * An idle leaver's hand-over takes milliseconds, a few tenths of a second for
- * each dead heir that it asked first.  One that lasts longer waits for calls
- * that still run, for up to ten seconds: a caller that is held for it hears
- * near its deadline what it could be told now, to come back with its ticket.
+ * Bounds the time that a call is held while its ticket is being handed over: 20
+ * polls, 2 s. The handover of an idle host takes milliseconds, plus a few
+ * tenths of a second for each dead candidate that it asked first. A longer one
+ * waits for calls that are still running, for up to 10 s; there it is better to
+ * tell the caller early to retry with the same ticket than to hold it until
+ * near its deadline.
  */
-#define MOVING_ASKS_MAX 20
+#define MOVING_POLLS_MAX 20
 
 static uint64_t
-score(uint64_t leaver_host_id, uint64_t host_id)
+rendezvous_weight(uint64_t source_host_id, uint64_t host_id)
 {
-	return mix_murmur(mix_murmur(leaver_host_id) ^ host_id);
+	return mix_murmur(mix_murmur(source_host_id) ^ host_id);
 }
 
-/* Put id at its place among the n best; returns the new count. */
+/*
+ * Inserts id into the list of the max ids of highest weight, which holds n of
+ * them, and returns the new length.
+ */
 static size_t
-insert(uint64_t *ids, size_t n, size_t max, uint64_t leaver, uint64_t id)
+insert_ranked(uint64_t *ids, size_t n, size_t max, uint64_t source, uint64_t id)
 {
 	size_t at = n;
 
-	while (at > 0 && score(leaver, id) > score(leaver, ids[at - 1])) {
+	while (at > 0 &&
+	    rendezvous_weight(source, id) >
+		rendezvous_weight(source, ids[at - 1])) {
 		if (at < max)
 			ids[at] = ids[at - 1];
 		at--;
@@ -42,7 +51,7 @@
 
 size_t
 loom_ticket_heirs(const struct loom_hosts *hosts, uint64_t service_id,
-    uint64_t leaver_host_id, uint64_t *host_ids, size_t max)
+    uint64_t source_host_id, uint64_t *host_ids, size_t max)
 {
 	const struct loom_host *host;
 	uint32_t i, n;
@@ -51,17 +60,17 @@
 	host = loom_hosts_of_service(hosts, service_id, &n);
 	for (i = 0; i < n; i++) {
 		if (host[i].state != LOOM_HOST_LIVE ||
-		    host[i].id == leaver_host_id)
+		    host[i].id == source_host_id)
 			continue;
-		count =
-		    insert(host_ids, count, max, leaver_host_id, host[i].id);
+		count = insert_ranked(
+		    host_ids, count, max, source_host_id, host[i].id);
 	}
 	return count;
 }
 
 bool
-loom_ticket_may_wait(uint32_t asked, uint64_t remaining_us)
+loom_ticket_may_wait(uint32_t polls, uint64_t remaining_us)
 {
-	return asked < MOVING_ASKS_MAX &&
+	return polls < MOVING_POLLS_MAX &&
 	    remaining_us >= 2 * LOOM_TICKET_MOVING_ASK_US;
 }
--- a/src/decide/ticket_book.c
+++ b/src/decide/ticket_book.c
@@ -1,17 +1,18 @@
 /*
  * The states of a ticket at its executor:
  *
- *   unused --begin--> running --finish--> ran (answer kept, later not)
- *                        |  \--finish, unknown--> used
- *                        \--abandon--> refused
+ *  unused --begin--> running --finish, ran--> ran (answer cached until evicted)
+ *                       |  \--finish, unknown--> used
+ *                       \--abandon--> refused
  *
- * There is no way back to unused.  An abandoned run never touched the
- * upstream and could be tried again, but its caller was told not-run and may
- * have begun anew with another ticket; a late copy of the first would then be
- * the second run.
+ * No state leads back to unused. An abandoned run never reached the upstream
+ * and would be safe to retry by itself, but its caller was told not-run and may
+ * have started over with another ticket. A delayed copy of the first request
+ * would then run the order a second time.
  *
- * Kept answers are bounded in bytes and go by least recent use.  A ticket
- * whose answer is gone still has its two bits, and is never run.
+ * The answer cache is bounded in bytes and evicts the least recently used
+ * answer. A ticket whose answer was evicted keeps its two-bit state and never
+ * runs again.
  */
 
 #include <string.h>
@@ -19,15 +20,16 @@
 
 #include "decide/ticket_book.h"
 
-/* What a kept answer costs besides its bytes: the structures around it. */
-#define KEPT_OVERHEAD_BYTES 256
+/* Memory of a cached answer besides its bytes: the structures around it. */
+#define ANSWER_OVERHEAD_BYTES 256
 
-struct ticket_book {
+struct ticket_store {
 	struct loom_ticket_limits limits;
 	struct ticket_windows windows;
 	GHashTable *runs; /* struct loom_ticket_run, owned */
-	GQueue kept; /* links of runs; the last used one at the tail */
-	uint32_t kept_bytes;
+	/* cached answers by their link; most recently used at the tail */
+	GQueue lru;
+	uint32_t cached_bytes;
 	uint32_t running;
 };
 
@@ -36,8 +38,8 @@
 {
 	const struct ticket_key *ticket = key;
 
-	return ticket_fold_hash(ticket->incarnation ^ ticket->team_id) ^
-	    ticket_fold_hash(ticket->number);
+	return ticket_hash_id(ticket->incarnation ^ ticket->team_id) ^
+	    ticket_hash_id(ticket->number);
 }
 
 static gboolean
@@ -57,32 +59,33 @@
 	talloc_free(run);
 }
 
-struct ticket_book *
-ticket_book_new(const struct loom_ticket_limits *limits)
+struct ticket_store *
+ticket_store_new(const struct loom_ticket_limits *limits)
 {
-	struct ticket_book *book = talloc_zero(NULL, struct ticket_book);
-
-	book->limits = *limits;
-	ticket_windows_init(&book->windows, limits->teams);
-	book->runs = g_hash_table_new_full(run_hash, run_equal, NULL, run_free);
-	g_queue_init(&book->kept);
-	return book;
+	struct ticket_store *store = talloc_zero(NULL, struct ticket_store);
+
+	store->limits = *limits;
+	ticket_windows_init(&store->windows, limits->teams);
+	store->runs =
+	    g_hash_table_new_full(run_hash, run_equal, NULL, run_free);
+	g_queue_init(&store->lru);
+	return store;
 }
 
 void
-ticket_book_free(struct ticket_book *book)
+ticket_store_free(struct ticket_store *store)
 {
-	g_hash_table_destroy(book->runs);
-	ticket_windows_clear(&book->windows);
-	talloc_free(book);
+	g_hash_table_destroy(store->runs);
+	ticket_windows_clear(&store->windows);
+	talloc_free(store);
 }
 
 enum loom_result
-ticket_book_issue(struct ticket_book *book, uint64_t incarnation,
+ticket_store_issue(struct ticket_store *store, uint64_t incarnation,
     uint64_t team_id, uint32_t count, uint64_t *first)
 {
 	return ticket_windows_issue(
-	    &book->windows, incarnation, team_id, count, first);
+	    &store->windows, incarnation, team_id, count, first);
 }
 
 static void
@@ -104,21 +107,21 @@
 	return !a->has_body || memcmp(a->body, b->body, sizeof(a->body)) == 0;
 }
 
-/* The second arrival of a ticket that runs, or whose answer is kept. */
+/* Handles a repeated request whose ticket is running or has a cached answer. */
 static void
-begin_again(struct ticket_book *book, struct loom_ticket_run *run,
+begin_repeated(struct ticket_store *store, struct loom_ticket_run *run,
     const struct loom_request_digest *digest,
     const struct loom_ticket_waiter *waiter, struct loom_ticket_begin *begin)
 {
 	if (!same_request(&run->digest, digest)) {
 		refuse(begin, LOOM_TICKET_MISMATCH);
 	} else if (!run->running) {
-		g_queue_unlink(&book->kept, &run->link);
-		g_queue_push_tail_link(&book->kept, &run->link);
+		g_queue_unlink(&store->lru, &run->link);
+		g_queue_push_tail_link(&store->lru, &run->link);
 		begin->verdict = LOOM_TICKET_VERDICT_ANSWER;
 		begin->outcome = LOOM_OUTCOME_RAN;
 		begin->answer = loom_answer_acquire(run->answer);
-	} else if (run->waiters->len >= book->limits.waiters) {
+	} else if (run->waiters->len >= store->limits.waiters) {
 		refuse(begin, LOOM_TICKET_BUSY);
 	} else {
 		g_array_append_val(run->waiters, *waiter);
@@ -127,10 +130,11 @@
 }
 
 static void
-start_run(struct ticket_book *book, const struct ticket_key *key,
+start_run(struct ticket_store *store, const struct ticket_key *key,
     const struct loom_request_digest *digest, struct loom_ticket_begin *begin)
 {
-	struct loom_ticket_run *run = talloc_zero(book, struct loom_ticket_run);
+	struct loom_ticket_run *run =
+	    talloc_zero(store, struct loom_ticket_run);
 
 	run->key = *key;
 	run->digest = *digest;
@@ -138,28 +142,28 @@
 	run->waiters =
 	    g_array_new(FALSE, FALSE, sizeof(struct loom_ticket_waiter));
 	run->link.data = run;
-	g_hash_table_insert(book->runs, &run->key, run);
-	book->running++;
+	g_hash_table_insert(store->runs, &run->key, run);
+	store->running++;
 	begin->verdict = LOOM_TICKET_VERDICT_RUN;
 	begin->run = run;
 }
 
 void
-ticket_book_begin(struct ticket_book *book, const struct ticket_key *key,
+ticket_store_begin(struct ticket_store *store, const struct ticket_key *key,
     const struct loom_request_digest *digest,
     const struct loom_ticket_waiter *waiter, bool frozen,
     struct loom_ticket_begin *begin)
 {
-	struct loom_ticket_run *run = g_hash_table_lookup(book->runs, key);
+	struct loom_ticket_run *run = g_hash_table_lookup(store->runs, key);
 	struct ticket_window *window;
 
 	memset(begin, 0, sizeof(*begin));
 	if (run != NULL) {
-		begin_again(book, run, digest, waiter, begin);
+		begin_repeated(store, run, digest, waiter, begin);
 		return;
 	}
-	window =
-	    ticket_windows_find(&book->windows, key->incarnation, key->team_id);
+	window = ticket_windows_find(
+	    &store->windows, key->incarnation, key->team_id);
 	if (window == NULL) {
 		refuse(begin, LOOM_TICKET_LOST);
 		return;
@@ -171,7 +175,7 @@
 			break;
 		}
 		ticket_window_set(window, key->number, TICKET_STATE_USED);
-		start_run(book, key, digest, begin);
+		start_run(store, key, digest, begin);
 		break;
 	case TICKET_STATE_USED:
 		refuse(begin, LOOM_TICKET_UNKNOWN);
@@ -185,100 +189,101 @@
 	case TICKET_STATE_EXPIRED:
 		refuse(begin, LOOM_TICKET_EXPIRED);
 		break;
-	case TICKET_STATE_NEVER:
+	case TICKET_STATE_NOT_ISSUED:
 		refuse(begin, LOOM_TICKET_INVALID);
 		break;
 	}
 }
 
 static void
-set_state(struct ticket_book *book, const struct ticket_key *key,
+set_state(struct ticket_store *store, const struct ticket_key *key,
     enum ticket_state state)
 {
-	struct ticket_window *window =
-	    ticket_windows_find(&book->windows, key->incarnation, key->team_id);
+	struct ticket_window *window = ticket_windows_find(
+	    &store->windows, key->incarnation, key->team_id);
 
 	if (window != NULL)
 		ticket_window_set(window, key->number, state);
 }
 
-/* Drop least recently used answers until the bytes fit. */
+/* Evicts least recently used answers until the cache fits its limit. */
 static void
-trim_kept(struct ticket_book *book)
+evict_answers(struct ticket_store *store)
 {
 	struct loom_ticket_run *run;
 	GList *link;
 
-	while (book->kept_bytes > book->limits.kept_bytes) {
-		link = g_queue_pop_head_link(&book->kept);
+	while (store->cached_bytes > store->limits.cached_bytes) {
+		link = g_queue_pop_head_link(&store->lru);
 		run = link->data;
-		book->kept_bytes -= run->kept_bytes;
-		g_hash_table_remove(book->runs, &run->key);
+		store->cached_bytes -= run->cached_bytes;
+		g_hash_table_remove(store->runs, &run->key);
 	}
 }
 
 static bool
-may_keep(const struct ticket_book *book, const struct loom_answer *answer)
+is_cacheable(const struct ticket_store *store, const struct loom_answer *answer)
 {
 	return answer->head_bytes + answer->body_bytes <=
-	    book->limits.answer_bytes;
+	    store->limits.answer_bytes;
 }
 
 static void
-keep(struct ticket_book *book, struct loom_ticket_run *run,
+cache_answer(struct ticket_store *store, struct loom_ticket_run *run,
     struct loom_answer *answer)
 {
 	run->answer = loom_answer_acquire(answer);
-	run->kept_bytes = (uint32_t)(answer->head_bytes + answer->body_bytes) +
-	    KEPT_OVERHEAD_BYTES;
-	book->kept_bytes += run->kept_bytes;
-	g_queue_push_tail_link(&book->kept, &run->link);
-	trim_kept(book);
+	run->cached_bytes =
+	    (uint32_t)(answer->head_bytes + answer->body_bytes) +
+	    ANSWER_OVERHEAD_BYTES;
+	store->cached_bytes += run->cached_bytes;
+	g_queue_push_tail_link(&store->lru, &run->link);
+	evict_answers(store);
 }
 
-/* The run stops being one; its waiters pass to the caller. */
+/* Marks the run as ended and transfers its waiters to the caller. */
 static GArray *
-end_run(struct ticket_book *book, struct loom_ticket_run *run)
+end_run(struct ticket_store *store, struct loom_ticket_run *run)
 {
 	GArray *waiters = run->waiters;
 
 	run->waiters = NULL;
 	run->running = false;
-	book->running--;
+	store->running--;
 	return waiters;
 }
 
 GArray *
-ticket_book_finish(struct ticket_book *book, struct loom_ticket_run *run,
+ticket_store_finish(struct ticket_store *store, struct loom_ticket_run *run,
     enum loom_outcome outcome, struct loom_answer *answer)
 {
-	GArray *waiters = end_run(book, run);
+	GArray *waiters = end_run(store, run);
 
 	if (outcome == LOOM_OUTCOME_RAN)
-		set_state(book, &run->key, TICKET_STATE_RAN);
+		set_state(store, &run->key, TICKET_STATE_RAN);
 	if (outcome == LOOM_OUTCOME_RAN && answer != NULL &&
-	    may_keep(book, answer))
-		keep(book, run, answer);
+	    is_cacheable(store, answer))
+		cache_answer(store, run, answer);
 	else
-		g_hash_table_remove(book->runs, &run->key);
+		g_hash_table_remove(store->runs, &run->key);
 	return waiters;
 }
 
 GArray *
-ticket_book_abandon(struct ticket_book *book, struct loom_ticket_run *run)
+ticket_store_abandon(struct ticket_store *store, struct loom_ticket_run *run)
 {
-	GArray *waiters = end_run(book, run);
+	GArray *waiters = end_run(store, run);
 
-	set_state(book, &run->key, TICKET_STATE_REFUSED);
-	g_hash_table_remove(book->runs, &run->key);
+	set_state(store, &run->key, TICKET_STATE_REFUSED);
+	g_hash_table_remove(store->runs, &run->key);
 	return waiters;
 }
 
 bool
-ticket_book_detach(struct ticket_book *book, const struct ticket_key *key,
+ticket_store_detach(struct ticket_store *store, const struct ticket_key *key,
     const struct loom_ticket_waiter *waiter)
 {
-	struct loom_ticket_run *run = g_hash_table_lookup(book->runs, key);
+	struct loom_ticket_run *run = g_hash_table_lookup(store->runs, key);
 	const struct loom_ticket_waiter *other;
 	guint i;
 
@@ -296,47 +301,49 @@
 }
 
 uint32_t
-ticket_book_running(const struct ticket_book *book)
+ticket_store_running_count(const struct ticket_store *store)
 {
-	return book->running;
+	return store->running;
 }
 
 uint32_t
-ticket_book_kept_bytes(const struct ticket_book *book)
+ticket_store_cached_bytes(const struct ticket_store *store)
 {
-	return book->kept_bytes;
+	return store->cached_bytes;
 }
 
 struct ticket_windows *
-ticket_book_windows(struct ticket_book *book)
+ticket_store_windows(struct ticket_store *store)
 {
-	return &book->windows;
+	return &store->windows;
 }
 
 void
-ticket_book_each_kept(struct ticket_book *book,
-    bool (*each)(void *arg, const struct loom_ticket_run *), void *arg)
+ticket_store_foreach_answer(struct ticket_store *store,
+    bool (*callback)(void *arg, const struct loom_ticket_run *), void *arg)
 {
 	GList *link;
 
-	for (link = book->kept.tail; link != NULL; link = link->prev) {
-		if (!each(arg, link->data))
+	for (link = store->lru.tail; link != NULL; link = link->prev) {
+		if (!callback(arg, link->data))
 			return;
 	}
 }
 
 void
-ticket_book_put_kept(struct ticket_book *book, const struct ticket_key *key,
-    const struct loom_request_digest *digest, struct loom_answer *answer)
+ticket_store_import_answer(struct ticket_store *store,
+    const struct ticket_key *key, const struct loom_request_digest *digest,
+    struct loom_answer *answer)
 {
 	struct loom_ticket_run *run;
 
-	if (g_hash_table_contains(book->runs, key) || !may_keep(book, answer))
+	if (g_hash_table_contains(store->runs, key) ||
+	    !is_cacheable(store, answer))
 		return;
-	run = talloc_zero(book, struct loom_ticket_run);
+	run = talloc_zero(store, struct loom_ticket_run);
 	run->key = *key;
 	run->digest = *digest;
 	run->link.data = run;
-	g_hash_table_insert(book->runs, &run->key, run);
-	keep(book, run, answer);
+	g_hash_table_insert(store->runs, &run->key, run);
+	cache_answer(store, run, answer);
 }
--- a/src/decide/ticket_book.h
+++ b/src/decide/ticket_book.h
@@ -2,8 +2,9 @@
 #define LOOM_DECIDE_TICKET_BOOK_H
 
 /*
- * What one shard of an executor knows of its tickets: windows by issuer and
- * team, the runs of now, and the answers that are kept.  No lock, no clock.
+ * The tickets of one shard of an executor: the state windows by issuer and
+ * team, the runs in progress, and the cached answers. Does no locking and reads
+ * no clock.
  */
 
 #include "decide/ticket_windows.h"
@@ -15,55 +16,60 @@
 	uint64_t number;
 };
 
-/* A run or a kept answer. */
+/* A run in progress or a cached answer. */
 struct loom_ticket_run {
-	struct ticket_key key; /* first: the key in the book */
+	/* key in the hash table; must be the first field */
+	struct ticket_key key;
 	struct loom_request_digest digest;
 	bool running;
 	GArray *waiters; /* struct loom_ticket_waiter; owned */
 	struct loom_answer *answer; /* owned; set when not running */
-	uint32_t kept_bytes;
-	GList link; /* in the list of kept answers */
+	uint32_t cached_bytes;
+	GList link; /* in the LRU list of cached answers */
 };
 
-struct ticket_book;
+struct ticket_store;
 
-/* limits are those of this book alone; owned. */
-struct ticket_book *ticket_book_new(const struct loom_ticket_limits *limits);
-void ticket_book_free(struct ticket_book *);
+/* Creates a store; limits are per store. Owned by the caller. */
+struct ticket_store *ticket_store_new(const struct loom_ticket_limits *limits);
+void ticket_store_free(struct ticket_store *);
 
-/* LOOM_OK with *first set, or LOOM_OVERLOAD: too many teams. */
-enum loom_result ticket_book_issue(struct ticket_book *, uint64_t incarnation,
+/* Returns LOOM_OK with *first set, or LOOM_OVERLOAD for too many teams. */
+enum loom_result ticket_store_issue(struct ticket_store *, uint64_t incarnation,
     uint64_t team_id, uint32_t count, uint64_t *first);
 
 /*
- * What an arrival gets.  frozen: nothing unused may run here any more; such
- * a ticket is refused with LOOM_TICKET_MOVING.
+ * Decides what happens to a request with a ticket. While frozen is set no
+ * unused ticket may start to run; it is refused with LOOM_TICKET_MOVING.
  */
-void ticket_book_begin(struct ticket_book *, const struct ticket_key *,
+void ticket_store_begin(struct ticket_store *, const struct ticket_key *,
     const struct loom_request_digest *, const struct loom_ticket_waiter *,
     bool frozen, struct loom_ticket_begin *);
 
-/* End a run; its waiters are handed out, owned by the caller. */
-GArray *ticket_book_finish(struct ticket_book *, struct loom_ticket_run *,
+/* End a run and return its waiters, owned by the caller. */
+GArray *ticket_store_finish(struct ticket_store *, struct loom_ticket_run *,
     enum loom_outcome, struct loom_answer *answer);
-GArray *ticket_book_abandon(struct ticket_book *, struct loom_ticket_run *);
+GArray *ticket_store_abandon(struct ticket_store *, struct loom_ticket_run *);
 
-bool ticket_book_detach(struct ticket_book *, const struct ticket_key *,
+bool ticket_store_detach(struct ticket_store *, const struct ticket_key *,
     const struct loom_ticket_waiter *);
 
-uint32_t ticket_book_running(const struct ticket_book *);
-uint32_t ticket_book_kept_bytes(const struct ticket_book *);
+uint32_t ticket_store_running_count(const struct ticket_store *);
+uint32_t ticket_store_cached_bytes(const struct ticket_store *);
 
-/* Borrowed: for a hand-over. */
-struct ticket_windows *ticket_book_windows(struct ticket_book *);
+/* Borrowed; used by the handover. */
+struct ticket_windows *ticket_store_windows(struct ticket_store *);
 
-/* Kept answers, the last used one first, until each says false. */
-void ticket_book_each_kept(struct ticket_book *,
-    bool (*each)(void *arg, const struct loom_ticket_run *), void *arg);
+/*
+ * Calls callback for each cached answer, most recently used first, until it
+ * returns false.
+ */
+void ticket_store_foreach_answer(struct ticket_store *,
+    bool (*callback)(void *arg, const struct loom_ticket_run *), void *arg);
 
-/* Keep an answer that was handed over. */
-void ticket_book_put_kept(struct ticket_book *, const struct ticket_key *,
-    const struct loom_request_digest *, struct loom_answer *);
+/* Caches an answer that another executor handed over. */
+void ticket_store_import_answer(struct ticket_store *,
+    const struct ticket_key *, const struct loom_request_digest *,
+    struct loom_answer *);
 
 #endif
--- a/src/decide/ticket_window.c
+++ b/src/decide/ticket_window.c
@@ -1,6 +1,6 @@
 /*
- * The ring of two-bit states.  A number that left the window is expired: it
- * may have run, so it is never run again.
+ * A ring buffer of two-bit ticket states. A number below the window is expired:
+ * it may have run, so it is never run again.
  */
 
 #include <glib.h>
@@ -8,24 +8,25 @@
 #include "decide/ticket_window.h"
 
 static unsigned
-shift_of(uint64_t n)
+bit_shift(uint64_t number)
 {
-	return (unsigned)(n % 4) * 2;
+	return (unsigned)(number % 4) * 2;
 }
 
 static size_t
-byte_of(uint64_t n)
+byte_index(uint64_t number)
 {
-	return n % TICKET_WINDOW / 4;
+	return number % TICKET_WINDOW / 4;
 }
 
 static void
-put(struct ticket_window *window, uint64_t n, enum ticket_state state)
+write_state(
+    struct ticket_window *window, uint64_t number, enum ticket_state state)
 {
-	uint8_t *byte = &window->bits[byte_of(n)];
+	uint8_t *byte = &window->bits[byte_index(number)];
 
-	*byte &= (uint8_t) ~(3U << shift_of(n));
-	*byte |= (uint8_t)((unsigned)state << shift_of(n));
+	*byte &= (uint8_t) ~(3U << bit_shift(number));
+	*byte |= (uint8_t)((unsigned)state << bit_shift(number));
 }
 
 uint64_t
@@ -35,27 +36,28 @@
 	uint32_t i;
 
 	for (i = 0; i < count; i++)
-		put(window, first + i, TICKET_STATE_UNUSED);
+		write_state(window, first + i, TICKET_STATE_UNUSED);
 	window->next += count;
 	return first;
 }
 
 enum ticket_state
-ticket_window_get(const struct ticket_window *window, uint64_t n)
+ticket_window_get(const struct ticket_window *window, uint64_t number)
 {
-	if (n >= window->next)
-		return TICKET_STATE_NEVER;
-	if (window->next - n > TICKET_WINDOW)
+	if (number >= window->next)
+		return TICKET_STATE_NOT_ISSUED;
+	if (window->next - number > TICKET_WINDOW)
 		return TICKET_STATE_EXPIRED;
-	return (enum ticket_state)(window->bits[byte_of(n)] >> shift_of(n) & 3);
+	return (enum ticket_state)(
+	    window->bits[byte_index(number)] >> bit_shift(number) & 3);
 }
 
 void
 ticket_window_set(
-    struct ticket_window *window, uint64_t n, enum ticket_state state)
+    struct ticket_window *window, uint64_t number, enum ticket_state state)
 {
-	if (ticket_window_get(window, n) < TICKET_STATE_EXPIRED)
-		put(window, n, state);
+	if (ticket_window_get(window, number) < TICKET_STATE_EXPIRED)
+		write_state(window, number, state);
 }
 
 size_t
--- a/src/decide/ticket_windows.c
+++ b/src/decide/ticket_windows.c
@@ -1,23 +1,24 @@
-/*
- * A table of windows.
- */
+/* Hash table of ticket windows, keyed by issuer and team. */
 
 #include <string.h>
 #include <talloc.h>
 
 #include "decide/ticket_windows.h"
 
-/* Windows in all, to the windows that we issue from ourselves. */
-#define INHERITED_FACTOR 4
+/*
+ * Maximum of all windows, own and imported, as a multiple of the capacity for
+ * own windows.
+ */
+#define TOTAL_WINDOWS_FACTOR 4
 
 struct window_entry {
-	uint64_t incarnation; /* the key: first */
+	uint64_t incarnation; /* key, with team_id; the first fields */
 	uint64_t team_id;
 	struct ticket_window window;
 };
 
 guint
-ticket_fold_hash(uint64_t value)
+ticket_hash_id(uint64_t value)
 {
 	value *= UINT64_C(0x9e3779b97f4a7c15);
 	return (guint)(value >> 32);
@@ -28,7 +29,7 @@
 {
 	const struct window_entry *entry = key;
 
-	return ticket_fold_hash(entry->incarnation ^ entry->team_id);
+	return ticket_hash_id(entry->incarnation ^ entry->team_id);
 }
 
 static gboolean
@@ -103,23 +104,25 @@
 }
 
 void
-ticket_windows_put(struct ticket_windows *windows, uint64_t incarnation,
+ticket_windows_import(struct ticket_windows *windows, uint64_t incarnation,
     uint64_t team_id, const struct ticket_window *window)
 {
 	if (ticket_windows_find(windows, incarnation, team_id) != NULL)
 		return;
-	/* Without its window a ticket is lost, which is honest; without this
-	 * bound a rolling replacement would pile up all windows on its last
-	 * hosts. */
+	/*
+	 * Tickets whose window is dropped are answered as lost, which is safe.
+	 * Without this bound a rolling replacement would accumulate the windows
+	 * of all hosts on the last ones.
+	 */
 	if (g_hash_table_size(windows->table) >=
-	    windows->capacity * INHERITED_FACTOR)
+	    windows->capacity * TOTAL_WINDOWS_FACTOR)
 		return;
 	*add(windows, incarnation, team_id) = *window;
 }
 
 void
-ticket_windows_each(struct ticket_windows *windows,
-    void (*each)(void *arg, uint64_t incarnation, uint64_t team_id,
+ticket_windows_foreach(struct ticket_windows *windows,
+    void (*callback)(void *arg, uint64_t incarnation, uint64_t team_id,
 	const struct ticket_window *),
     void *arg)
 {
@@ -130,12 +133,13 @@
 	g_hash_table_iter_init(&iter, windows->table);
 	while (g_hash_table_iter_next(&iter, &key, NULL)) {
 		entry = key;
-		each(arg, entry->incarnation, entry->team_id, &entry->window);
+		callback(
+		    arg, entry->incarnation, entry->team_id, &entry->window);
 	}
 }
 
 static gboolean
-is_of(gpointer key, gpointer value, gpointer incarnation)
+is_of_issuer(gpointer key, gpointer value, gpointer incarnation)
 {
 	const struct window_entry *entry = key;
 
@@ -144,7 +148,8 @@
 }
 
 void
-ticket_windows_forget(struct ticket_windows *windows, uint64_t incarnation)
+ticket_windows_remove_issuer(
+    struct ticket_windows *windows, uint64_t incarnation)
 {
-	g_hash_table_foreach_remove(windows->table, is_of, &incarnation);
+	g_hash_table_foreach_remove(windows->table, is_of_issuer, &incarnation);
 }
--- a/tests/decide/test_ticket_book.c
+++ b/tests/decide/test_ticket_book.c
@@ -1,6 +1,4 @@
-/*
- * The states of tickets at their executor, without locks or messages.
- */
+/* The states of tickets at their executor, without locks or messages. */
 
 #include <string.h>
 
@@ -11,7 +9,7 @@
 #define TEAM 9
 
 static const struct loom_ticket_limits small_limits = {
-	.kept_bytes = 2000,
+	.cached_bytes = 2000,
 	.answer_bytes = 1000,
 	.waiters = 2,
 	.teams = 2,
@@ -32,28 +30,29 @@
 static struct loom_ticket_waiter waiter = { .done = ignore_done };
 
 static struct loom_ticket_begin
-begin(struct ticket_book *book, uint64_t number,
+begin(struct ticket_store *store, uint64_t number,
     const struct loom_request_digest *digest, bool frozen)
 {
 	const struct ticket_key key = { INCARNATION, TEAM, number };
 	struct loom_ticket_begin out;
 
-	ticket_book_begin(book, &key, digest, &waiter, frozen, &out);
+	ticket_store_begin(store, &key, digest, &waiter, frozen, &out);
 	return out;
 }
 
 static uint64_t
-issue(struct ticket_book *book, uint32_t count)
+issue(struct ticket_store *store, uint32_t count)
 {
 	uint64_t first;
 
 	CU_ASSERT_EQUAL_FATAL(
-	    ticket_book_issue(book, INCARNATION, TEAM, count, &first), LOOM_OK);
+	    ticket_store_issue(store, INCARNATION, TEAM, count, &first),
+	    LOOM_OK);
 	return first;
 }
 
 static void
-finish(struct ticket_book *book, struct loom_ticket_run *run,
+finish(struct ticket_store *store, struct loom_ticket_run *run,
     enum loom_outcome outcome, size_t body_bytes)
 {
 	struct loom_answer *answer = NULL;
@@ -61,7 +60,7 @@
 
 	if (body_bytes != 0)
 		answer = loom_answer_new(200, "", 0, body, body_bytes);
-	g_array_free(ticket_book_finish(book, run, outcome, answer), TRUE);
+	g_array_free(ticket_store_finish(store, run, outcome, answer), TRUE);
 	loom_answer_release(answer);
 }
 
@@ -78,10 +77,14 @@
 	for (n = 0; n < 10; n++)
 		TEST_CHECK(
 		    ticket_window_get(&window, n) == n % 4, "%d", (int)n);
-	CU_ASSERT_EQUAL(ticket_window_get(&window, 10), TICKET_STATE_NEVER);
+	CU_ASSERT_EQUAL(
+	    ticket_window_get(&window, 10), TICKET_STATE_NOT_ISSUED);
 	CU_ASSERT_EQUAL(ticket_window_bytes(&window), 3);
 	ticket_window_issue(&window, TICKET_WINDOW - 9);
-	/* Number 0 left the window; its bits are number 4096's, unused. */
+	/*
+	 * Number 0 is below the window; number 4096 uses its bits and is
+	 * unused.
+	 */
 	CU_ASSERT_EQUAL(ticket_window_get(&window, 0), TICKET_STATE_EXPIRED);
 	ticket_window_set(&window, 0, TICKET_STATE_RAN);
 	state = ticket_window_get(&window, TICKET_WINDOW);
@@ -90,7 +93,7 @@
 	CU_ASSERT_EQUAL(ticket_window_bytes(&window), TICKET_WINDOW_BYTES);
 }
 
-/* How a run ended, and what the same ticket gets after it. */
+/* How the first run ended, and the expected result for a repeated request. */
 static const struct {
 	const char *name;
 	const struct loom_request_digest *digest;
@@ -125,32 +128,32 @@
 };
 
 /*
- * A caller on a bad line sends its order again with the same ticket, at any
- * moment of the first run and after it.  It must get one answer, one run.
+ * A caller on an unreliable link repeats its order with the same ticket, during
+ * the first run and after it. The order must run once and have one answer.
  */
 static void
 test_again(void)
 {
 	struct loom_ticket_begin first, second;
-	struct ticket_book *book;
+	struct ticket_store *store;
 	uint64_t number;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(again); i++) {
-		book = ticket_book_new(&small_limits);
-		number = issue(book, 1);
-		first = begin(book, number, &order, false);
+		store = ticket_store_new(&small_limits);
+		number = issue(store, 1);
+		first = begin(store, number, &order, false);
 		CU_ASSERT_EQUAL(first.verdict, LOOM_TICKET_VERDICT_RUN);
 		if (again[i].end == RAN_KEPT)
-			finish(book, first.run, LOOM_OUTCOME_RAN, 10);
+			finish(store, first.run, LOOM_OUTCOME_RAN, 10);
 		if (again[i].end == RAN_LARGE)
-			finish(book, first.run, LOOM_OUTCOME_RAN, 1001);
+			finish(store, first.run, LOOM_OUTCOME_RAN, 1001);
 		if (again[i].end == CUT)
-			finish(book, first.run, LOOM_OUTCOME_UNKNOWN, 0);
+			finish(store, first.run, LOOM_OUTCOME_UNKNOWN, 0);
 		if (again[i].end == ABANDONED)
 			g_array_free(
-			    ticket_book_abandon(book, first.run), TRUE);
-		second = begin(book, number, again[i].digest, false);
+			    ticket_store_abandon(store, first.run), TRUE);
+		second = begin(store, number, again[i].digest, false);
 		TEST_CHECK(second.verdict == again[i].verdict, "%s: %d",
 		    again[i].name, second.verdict);
 		TEST_CHECK(second.code == again[i].code, "%s: %d",
@@ -158,84 +161,92 @@
 		TEST_CHECK(second.outcome == again[i].outcome, "%s: %d",
 		    again[i].name, second.outcome);
 		loom_answer_release(second.answer);
-		ticket_book_free(book);
+		ticket_store_free(store);
 	}
 }
 
-/* Answers are kept within their bytes; the oldest unused one goes, and its
- * ticket still does not run. */
+/*
+ * The answer cache stays within its limit. The least recently used answer is
+ * evicted, and its ticket still does not run again.
+ */
 static void
 test_kept_bound(void)
 {
-	struct ticket_book *book = ticket_book_new(&small_limits);
+	struct ticket_store *store = ticket_store_new(&small_limits);
 	struct loom_ticket_begin got;
 	uint64_t n;
 
-	issue(book, 20);
+	issue(store, 20);
 	for (n = 0; n < 20; n++) {
-		got = begin(book, n, &order, false);
-		finish(book, got.run, LOOM_OUTCOME_RAN, 300);
-		CU_ASSERT_TRUE(ticket_book_kept_bytes(book) <= 2000);
-		got = begin(book, 0, &order, false);
+		got = begin(store, n, &order, false);
+		finish(store, got.run, LOOM_OUTCOME_RAN, 300);
+		CU_ASSERT_TRUE(ticket_store_cached_bytes(store) <= 2000);
+		got = begin(store, 0, &order, false);
 		CU_ASSERT_EQUAL(got.verdict, LOOM_TICKET_VERDICT_ANSWER);
 		loom_answer_release(got.answer);
 	}
-	got = begin(book, 1, &order, false);
+	got = begin(store, 1, &order, false);
 	CU_ASSERT_EQUAL(got.code, LOOM_TICKET_RAN);
-	ticket_book_free(book);
+	ticket_store_free(store);
 }
 
-/* Waiters and teams are bounded; a detached waiter makes room. */
+/* Waiters and teams are bounded; detaching a waiter frees its place. */
 static void
 test_bounds(void)
 {
-	struct ticket_book *book = ticket_book_new(&small_limits);
+	struct ticket_store *store = ticket_store_new(&small_limits);
 	const struct ticket_key key = { INCARNATION, TEAM, 0 };
 	struct loom_ticket_begin run;
 	uint64_t first;
 
-	issue(book, 1);
-	run = begin(book, 0, &order, false);
-	begin(book, 0, &order, false);
-	begin(book, 0, &order, false);
-	CU_ASSERT_EQUAL(begin(book, 0, &order, false).code, LOOM_TICKET_BUSY);
-	CU_ASSERT_TRUE(ticket_book_detach(book, &key, &waiter));
-	CU_ASSERT_EQUAL(begin(book, 0, &order, false).verdict,
+	issue(store, 1);
+	run = begin(store, 0, &order, false);
+	begin(store, 0, &order, false);
+	begin(store, 0, &order, false);
+	CU_ASSERT_EQUAL(begin(store, 0, &order, false).code, LOOM_TICKET_BUSY);
+	CU_ASSERT_TRUE(ticket_store_detach(store, &key, &waiter));
+	CU_ASSERT_EQUAL(begin(store, 0, &order, false).verdict,
 	    LOOM_TICKET_VERDICT_ATTACHED);
-	finish(book, run.run, LOOM_OUTCOME_RAN, 1);
-	CU_ASSERT_FALSE(ticket_book_detach(book, &key, &waiter));
+	finish(store, run.run, LOOM_OUTCOME_RAN, 1);
+	CU_ASSERT_FALSE(ticket_store_detach(store, &key, &waiter));
 	CU_ASSERT_EQUAL(
-	    ticket_book_issue(book, INCARNATION, TEAM + 1, 1, &first), LOOM_OK);
+	    ticket_store_issue(store, INCARNATION, TEAM + 1, 1, &first),
+	    LOOM_OK);
 	CU_ASSERT_EQUAL(
-	    ticket_book_issue(book, INCARNATION, TEAM + 2, 1, &first),
+	    ticket_store_issue(store, INCARNATION, TEAM + 2, 1, &first),
 	    LOOM_OVERLOAD);
-	ticket_book_free(book);
+	ticket_store_free(store);
 }
 
-/* A ticket below the window, one never issued, and one at a leaver. */
+/*
+ * Tickets that must not run: without a window, below the window, not yet
+ * issued, and unused while the host shuts down.
+ */
 static void
 test_not_run_here(void)
 {
-	struct ticket_book *book = ticket_book_new(&small_limits);
+	struct ticket_store *store = ticket_store_new(&small_limits);
 
-	CU_ASSERT_EQUAL(begin(book, 0, &order, false).code, LOOM_TICKET_LOST);
-	issue(book, TICKET_WINDOW + 1);
+	CU_ASSERT_EQUAL(begin(store, 0, &order, false).code, LOOM_TICKET_LOST);
+	issue(store, TICKET_WINDOW + 1);
 	CU_ASSERT_EQUAL(
-	    begin(book, 0, &order, false).code, LOOM_TICKET_EXPIRED);
-	CU_ASSERT_EQUAL(begin(book, TICKET_WINDOW + 1, &order, false).code,
+	    begin(store, 0, &order, false).code, LOOM_TICKET_EXPIRED);
+	CU_ASSERT_EQUAL(begin(store, TICKET_WINDOW + 1, &order, false).code,
 	    LOOM_TICKET_INVALID);
-	CU_ASSERT_EQUAL(begin(book, 1, &order, true).code, LOOM_TICKET_MOVING);
-	ticket_book_free(book);
+	CU_ASSERT_EQUAL(begin(store, 1, &order, true).code, LOOM_TICKET_MOVING);
+	ticket_store_free(store);
 }
 
-/* A hand-over that takes long: the caller is told to come back, and not held
- * until its deadline is near. */
+/*
+ * A call does not poll until near its deadline for a ticket whose handover
+ * takes long; its caller is told early to retry.
+ */
 static void
 test_waits_for_move(void)
 {
 	static const struct {
 		uint64_t remaining_us;
-		uint32_t waits; /* until it is told */
+		uint32_t waits; /* until the caller gets the refusal */
 	} cases[] = {
 		{ 0, 0 },
 		{ LOOM_TICKET_MOVING_ASK_US, 0 },
