--- a/include/loom/ticket.h
+++ b/include/loom/ticket.h
@@ -7,15 +7,15 @@
  * before the request is sent.
  *
  * A ticket names its executor (host and incarnation), team, route and number,
- * and carries a MAC with a secret of that incarnation. The executor keeps a
+ * and carries a MAC with a secret of that incarnation.  The executor keeps a
  * window of numbers for each team with two bits a number: unused, used, ran,
- * refused. None of this depends on time, so a pause of any length changes no
+ * refused.  None of this depends on time, so a pause of any length changes no
  * answer.
  *
- * A refusal with the outcome not-run spends the ticket. Otherwise a copy of the
- * request that was delayed by a paused daemon or a slow link could run after
- * its caller was told that it never would, and had started over with another
- * ticket.
+ * A refusal with the outcome not-run spends the ticket.  Otherwise a copy of
+ * the request that was delayed by a paused daemon or a slow link could run
+ * after its caller was told that it never would, and had started over with
+ * another ticket.
  *
  * All functions except the parser are safe to call from any thread.
  */
@@ -47,14 +47,14 @@
 };
 
 /*
- * Returns LOOM_OK or LOOM_TICKET_INVALID. Does not verify the MAC; only
+ * Returns LOOM_OK or LOOM_TICKET_INVALID.  Does not verify the MAC; only
  * loom_tickets_begin() does.
  */
 enum loom_result loom_ticket_parse(
     const char *text, size_t len, struct loom_ticket *);
 
 /*
- * A complete answer, cached for repeated requests. Immutable,
+ * A complete answer, cached for repeated requests.  Immutable,
  * reference-counted.
  */
 struct loom_answer {
@@ -87,7 +87,7 @@
 /* Called once when a run ends that another copy of the request started. */
 struct loom_ticket_waiter {
 	/*
-	 * Receives LOOM_OK with a borrowed answer, or a refusal. Called from
+	 * Receives LOOM_OK with a borrowed answer, or a refusal.  Called from
 	 * any thread, without locks held.
 	 */
 	void (*done)(void *arg, enum loom_result code,
@@ -125,8 +125,8 @@
 void loom_tickets_free(struct loom_tickets *);
 
 /*
- * Issues count tickets with this daemon as their executor. Safe to repeat: an
- * unused ticket costs two bits. Returns LOOM_OK; LOOM_BAD_REQUEST for a count
+ * Issues count tickets with this daemon as their executor.  Safe to repeat: an
+ * unused ticket costs two bits.  Returns LOOM_OK; LOOM_BAD_REQUEST for a count
  * of 0 or above LOOM_TICKET_ISSUE_MAX; LOOM_DRAINING; or LOOM_OVERLOAD for too
  * many teams.
  */
@@ -149,14 +149,14 @@
 	struct loom_ticket_run *run;
 	/*
 	 * For LOOM_TICKET_MOVED: the successor that took the tickets over, to
-	 * which the request is forwarded. If another daemon forwards it, this
+	 * which the request is forwarded.  If another daemon forwards it, this
 	 * is the refusal's heir_host_id.
 	 */
 	uint64_t heir_host_id;
 };
 
 /*
- * Decides what happens to a request with a ticket. Call it before any other
+ * Decides what happens to a request with a ticket.  Call it before any other
  * check that may refuse the request, so that each refusal goes through
  * loom_tickets_abandon(). team_id and route_id are those of the request.
  */
@@ -167,29 +167,29 @@
 /*
  * Ends a run that was sent to the upstream: with RAN and the answer, which is
  * NULL if it was streamed or is too large to cache, or with UNKNOWN and the
- * code that the caller got. The answer is borrowed.
+ * code that the caller got.  The answer is borrowed.
  */
 void loom_tickets_finish(struct loom_tickets *, struct loom_ticket_run *run,
     enum loom_outcome, enum loom_result code, struct loom_answer *answer);
 
 /*
- * Ends a run of which provably no byte reached the upstream. The ticket is
+ * Ends a run of which provably no byte reached the upstream.  The ticket is
  * spent; waiters get the code with the outcome not-run.
  */
 void loom_tickets_abandon(
     struct loom_tickets *, struct loom_ticket_run *run, enum loom_result code);
 
 /*
- * Removes a waiter whose caller went away. Returns false if it has been called
+ * Removes a waiter whose caller went away.  Returns false if it has been called
  * or is about to be.
  */
 bool loom_tickets_detach(struct loom_tickets *, const struct loom_ticket *,
     const struct loom_ticket_waiter *);
 
 /*
- * Handover at shutdown (message types 50-55). After the drain callback, unused
+ * Handover at shutdown (message types 50-55).  After the drain callback, unused
  * tickets are refused with LOOM_TICKET_MOVING, and with LOOM_TICKET_MOVED once
- * handed over. Returns true when the daemon may exit: the tickets are handed
+ * handed over.  Returns true when the daemon may exit: the tickets are handed
  * over, or no successor was found.
  */
 bool loom_tickets_drained(struct loom_tickets *);
@@ -197,7 +197,7 @@
 /*
  * Ranks the hosts to query for a ticket whose executor is no longer in the host
  * list or refuses connections: the live hosts of the service, in the order in
- * which the executor ranks its successors. Only the successor can run the
+ * which the executor ranks its successors.  Only the successor can run the
  * ticket; any other host refuses it with LOOM_TICKET_MOVED or LOOM_TICKET_LOST.
  * Writes up to max ids and returns their count.
  */
@@ -209,7 +209,7 @@
 
 /*
  * Returns whether a call that has polled this often for such a ticket may wait
- * for one more LOOM_TICKET_MOVING_ASK_US. No host runs a ticket while it is
+ * for one more LOOM_TICKET_MOVING_ASK_US.  No host runs a ticket while it is
  * being handed over, so polling is always safe, for the daemon and for the
  * caller.
  */
--- a/src/decide/heirs.c
+++ b/src/decide/heirs.c
@@ -1,10 +1,10 @@
 /*
  * Selects candidates to take over the tickets of a host that shuts down: the
- * live hosts of its service, ordered by rendezvous hashing. The order differs
+ * live hosts of its service, ordered by rendezvous hashing.  The order differs
  * from host to host, so that a rolling replacement does not move all tickets to
  * one host.
  *
- * Daemons need not agree on the order. The host that shuts down chooses its
+ * Daemons need not agree on the order.  The host that shuts down chooses its
  * successor alone; other daemons only use the order to decide whom to query
  * first.
  */
@@ -14,8 +14,8 @@
 
 /*
  * Bounds the time that a call is held while its ticket is being handed over: 20
- * polls, 2 s. The handover of an idle host takes milliseconds, plus a few
- * tenths of a second for each dead candidate that it asked first. A longer one
+ * polls, 2 s.  The handover of an idle host takes milliseconds, plus a few
+ * tenths of a second for each dead candidate that it asked first.  A longer one
  * waits for calls that are still running, for up to 10 s; there it is better to
  * tell the caller early to retry with the same ticket than to hold it until
  * near its deadline.
--- a/src/decide/ticket_book.c
+++ b/src/decide/ticket_book.c
@@ -5,13 +5,13 @@
  *                       |  \--finish, unknown--> used
  *                       \--abandon--> refused
  *
- * No state leads back to unused. An abandoned run never reached the upstream
+ * No state leads back to unused.  An abandoned run never reached the upstream
  * and would be safe to retry by itself, but its caller was told not-run and may
- * have started over with another ticket. A delayed copy of the first request
+ * have started over with another ticket.  A delayed copy of the first request
  * would then run the order a second time.
  *
  * The answer cache is bounded in bytes and evicts the least recently used
- * answer. A ticket whose answer was evicted keeps its two-bit state and never
+ * answer.  A ticket whose answer was evicted keeps its two-bit state and never
  * runs again.
  */
 
--- a/src/decide/ticket_book.h
+++ b/src/decide/ticket_book.h
@@ -3,8 +3,8 @@
 
 /*
  * The tickets of one shard of an executor: the state windows by issuer and
- * team, the runs in progress, and the cached answers. Does no locking and reads
- * no clock.
+ * team, the runs in progress, and the cached answers.  Does no locking and
+ * reads no clock.
  */
 
 #include "decide/ticket_windows.h"
@@ -30,7 +30,7 @@
 
 struct ticket_store;
 
-/* Creates a store; limits are per store. Owned by the caller. */
+/* Creates a store; limits are per store.  Owned by the caller. */
 struct ticket_store *ticket_store_new(const struct loom_ticket_limits *limits);
 void ticket_store_free(struct ticket_store *);
 
@@ -39,7 +39,7 @@
     uint64_t team_id, uint32_t count, uint64_t *first);
 
 /*
- * Decides what happens to a request with a ticket. While frozen is set no
+ * Decides what happens to a request with a ticket.  While frozen is set no
  * unused ticket may start to run; it is refused with LOOM_TICKET_MOVING.
  */
 void ticket_store_begin(struct ticket_store *, const struct ticket_key *,
--- a/src/decide/ticket_window.c
+++ b/src/decide/ticket_window.c
@@ -1,6 +1,6 @@
 /*
- * A ring buffer of two-bit ticket states. A number below the window is expired:
- * it may have run, so it is never run again.
+ * A ring buffer of two-bit ticket states.  A number below the window is
+ * expired: it may have run, so it is never run again.
  */
 
 #include <glib.h>
--- a/src/decide/ticket_window.h
+++ b/src/decide/ticket_window.h
@@ -10,7 +10,7 @@
 #include <stdint.h>
 
 /*
- * Size of the window in ticket numbers. Windows are per team, so that no team
+ * Size of the window in ticket numbers.  Windows are per team, so that no team
  * can expire another's tickets. 4096 states of two bits take 1 KB; a team that
  * takes one ticket for each of 10 orders a second has seven minutes to use one,
  * well above any deadline including its retries.
--- a/src/decide/ticket_windows.h
+++ b/src/decide/ticket_windows.h
@@ -26,7 +26,8 @@
     uint64_t incarnation, uint64_t team_id, uint32_t count, uint64_t *first);
 
 /*
- * Imports a window from another executor. A window that exists already is kept.
+ * Imports a window from another executor.  A window that exists already is
+ * kept.
  */
 void ticket_windows_import(struct ticket_windows *, uint64_t incarnation,
     uint64_t team_id, const struct ticket_window *);
@@ -41,7 +42,7 @@
     struct ticket_windows *, uint64_t incarnation);
 
 /*
- * Hashes an id or the XOR of two. Ids are random or hashes already; this mixes
+ * Hashes an id or the XOR of two.  Ids are random or hashes already; this mixes
  * their bits.
  */
 guint ticket_hash_id(uint64_t value);
--- a/tests/decide/test_ticket_book.c
+++ b/tests/decide/test_ticket_book.c
@@ -129,7 +129,7 @@
 
 /*
  * A caller on an unreliable link repeats its order with the same ticket, during
- * the first run and after it. The order must run once and have one answer.
+ * the first run and after it.  The order must run once and have one answer.
  */
 static void
 test_again(void)
@@ -166,7 +166,7 @@
 }
 
 /*
- * The answer cache stays within its limit. The least recently used answer is
+ * The answer cache stays within its limit.  The least recently used answer is
  * evicted, and its ticket still does not run again.
  */
 static void
