--- a/src/control/answer.c
+++ b/src/control/answer.c
@@ -1,5 +1,6 @@
 /*
- * A whole answer that several callers share.
+ * A complete answer shared by several callers (struct loom_answer in
+ * loom/ticket.h).
  */
 
 #include <talloc.h>
--- a/src/control/handover.c
+++ b/src/control/handover.c
@@ -1,6 +1,7 @@
 /*
- * The part of the control protocol that hands tickets over: its table, who
- * may be heir, and the word of who is.
+ * The message handling of the handover component: its callback table, and the
+ * announcements and queries that tell the hosts of a service which host has
+ * taken over the tickets of an incarnation.
  */
 
 #include <string.h>
@@ -9,14 +10,19 @@
 #include "control/tickets_state.h"
 #include "inner/handover_codec.h"
 
-/* Hosts that start later, or missed the word, hear it within this time; for
- * 20 hosts of a service it is a few bytes a second. */
-#define ANNOUNCE_US (30 * LOOM_US_PER_S)
-/* A host that is replaced in place gets the tickets of its forerunner at once
- * and must not call them lost while their heir is alive.  Three times, since
- * messages get lost. */
-#define ASK_TIMES 3
-#define ASK_US LOOM_US_PER_S
+/*
+ * Interval of the announcements, within which hosts that started later or
+ * missed a message learn of a successor.  For the 20 hosts of a service this is
+ * a few bytes a second.
+ */
+#define ANNOUNCE_INTERVAL_US (30 * LOOM_US_PER_S)
+/*
+ * A host that is replaced in place receives the tickets of its predecessor at
+ * once and must not report them as lost while their successor is alive.  So it
+ * queries for successors at its start, three times since messages may get lost.
+ */
+#define QUERIES_MAX 3
+#define QUERY_INTERVAL_US LOOM_US_PER_S
 
 struct handover *
 handover_new(struct loom_tickets *tickets, const uint8_t *fleet_secret)
@@ -25,7 +31,7 @@
 
 	handover->tickets = tickets;
 	loom_derive_key(handover->key, fleet_secret, LOOM_PURPOSE_HANDOVER);
-	handover_take_init(handover);
+	handover_successor_init(handover);
 	return handover;
 }
 
@@ -38,7 +44,7 @@
 		g_byte_array_free(handover->state, TRUE);
 	if (handover->acked != NULL)
 		g_byte_array_free(handover->acked, TRUE);
-	handover_take_free(handover);
+	handover_successor_free(handover);
 	talloc_free(handover);
 }
 
@@ -51,18 +57,18 @@
 	sender->send(sender->arg, host_id, type, payload, len);
 }
 
-/* Fills in the incarnations whose tickets run, or ran, here. */
+/* Fills in the incarnations whose tickets run or ran here. */
 static void
-list_incarnations(
-    struct loom_tickets *tickets, bool own_too, struct handover_heir *heir)
+list_incarnations(struct loom_tickets *tickets, bool include_own,
+    struct handover_heir *successor)
 {
 	guint i;
 
 	g_mutex_lock(&tickets->issuers_lock);
-	for (i = own_too ? 0 : 1; i < tickets->issuers->len; i++) {
-		if (heir->count == HANDOVER_INCARNATIONS_MAX)
+	for (i = include_own ? 0 : 1; i < tickets->issuers->len; i++) {
+		if (successor->count == HANDOVER_INCARNATIONS_MAX)
 			break;
-		heir->incarnations[heir->count++] =
+		successor->incarnations[successor->count++] =
 		    g_array_index(tickets->issuers, struct ticket_issuer, i)
 			.incarnation;
 	}
@@ -89,88 +95,94 @@
 
 void
 handover_announce(
-    struct handover *handover, uint64_t heir_host_id, uint64_t now_us)
+    struct handover *handover, uint64_t successor_host_id, uint64_t now_us)
 {
 	const struct loom_self *self = handover->tickets->config.self;
-	struct handover_heir heir = { .host_id = heir_host_id };
+	struct handover_heir successor = { .host_id = successor_host_id };
 	uint8_t message[HANDOVER_MESSAGE_MAX];
 
-	handover->announced_us = now_us;
+	handover->last_announce_us = now_us;
 	list_incarnations(
-	    handover->tickets, heir_host_id != self->host_id, &heir);
-	if (heir.count != 0)
+	    handover->tickets, successor_host_id != self->host_id, &successor);
+	if (successor.count != 0)
 		send_to_service(handover, HANDOVER_HEIR, message,
-		    handover_heir_pack(&heir, message));
+		    handover_heir_pack(&successor, message));
 }
 
-/* Whom the asker may send tickets to: us, while we run what we inherited. */
+/*
+ * Names this daemon as the successor for the tickets that it inherited, as long
+ * as it runs them.
+ */
 static void
-answer_ask(struct handover *handover, const struct loom_from *from)
+reply_to_query(struct handover *handover, const struct loom_from *from)
 {
 	const struct loom_self *self = handover->tickets->config.self;
-	struct handover_heir heir = { .host_id = self->host_id };
+	struct handover_heir successor = { .host_id = self->host_id };
 	uint8_t message[HANDOVER_MESSAGE_MAX];
 
-	list_incarnations(handover->tickets, false, &heir);
-	if (handover->phase == HANDOVER_STAY && heir.count != 0)
+	list_incarnations(handover->tickets, false, &successor);
+	if (handover->phase == HANDOVER_IDLE && successor.count != 0)
 		handover_send(handover, from->host_id, HANDOVER_HEIR, message,
-		    handover_heir_pack(&heir, message));
+		    handover_heir_pack(&successor, message));
 }
 
 static void
-ask_for_heirs(struct handover *handover, uint64_t now_us)
+query_successors(struct handover *handover, uint64_t now_us)
 {
-	if (handover->asked == ASK_TIMES || handover->hosts == NULL ||
-	    (handover->asked != 0 && now_us - handover->asked_us < ASK_US))
+	if (handover->query_count == QUERIES_MAX || handover->hosts == NULL ||
+	    (handover->query_count != 0 &&
+		now_us - handover->last_query_us < QUERY_INTERVAL_US))
 		return;
-	handover->asked++;
-	handover->asked_us = now_us;
+	handover->query_count++;
+	handover->last_query_us = now_us;
 	send_to_service(handover, HANDOVER_ASK, (const uint8_t *)"", 0);
 }
 
 static void
-note_heir(struct handover *handover, const uint8_t *payload, size_t len)
+record_successor(struct handover *handover, const uint8_t *payload, size_t len)
 {
 	struct loom_tickets *tickets = handover->tickets;
-	struct handover_heir heir;
+	struct handover_heir successor;
 	uint32_t i;
 
-	if (!handover_heir_unpack(payload, len, &heir))
+	if (!handover_heir_unpack(payload, len, &successor))
 		return;
-	if (heir.host_id == tickets->config.self->host_id)
+	if (successor.host_id == tickets->config.self->host_id)
 		return;
-	for (i = 0; i < heir.count; i++)
-		tickets_note_heir(tickets, heir.incarnations[i], heir.host_id);
+	for (i = 0; i < successor.count; i++)
+		tickets_set_successor(
+		    tickets, successor.incarnations[i], successor.host_id);
 }
 
 static void
-part_message(void *part, const struct loom_from *from, uint8_t type,
+on_message(void *component, const struct loom_from *from, uint8_t type,
     const uint8_t *payload, size_t len, uint64_t now_us)
 {
-	struct handover *handover = ((struct loom_tickets *)part)->handover;
+	struct handover *handover =
+	    ((struct loom_tickets *)component)->handover;
 	uint64_t incarnation;
 	uint32_t index;
 
 	switch (type) {
 	case HANDOVER_OFFER:
-		handover_offered(handover, from);
+		handover_on_offer(handover, from);
 		break;
 	case HANDOVER_ACCEPT:
 		if (handover_reply_unpack(payload, len, &incarnation, &index))
-			handover_accepted(handover, from, incarnation, now_us);
+			handover_on_accept(handover, from, incarnation, now_us);
 		break;
 	case HANDOVER_CHUNK:
-		handover_take(handover, from, payload, len, now_us);
+		handover_on_chunk(handover, from, payload, len, now_us);
 		break;
 	case HANDOVER_ACK:
 		if (handover_reply_unpack(payload, len, &incarnation, &index))
-			handover_acked(handover, from, incarnation, index);
+			handover_on_ack(handover, from, incarnation, index);
 		break;
 	case HANDOVER_HEIR:
-		note_heir(handover, payload, len);
+		record_successor(handover, payload, len);
 		break;
 	case HANDOVER_ASK:
-		answer_ask(handover, from);
+		reply_to_query(handover, from);
 		break;
 	default:
 		break;
@@ -178,24 +190,25 @@
 }
 
 static void
-part_tick(void *part, uint64_t now_us)
+on_tick(void *component, uint64_t now_us)
 {
-	struct loom_tickets *tickets = part;
+	struct loom_tickets *tickets = component;
 	struct handover *handover = tickets->handover;
 
-	ask_for_heirs(handover, now_us);
-	handover_take_tick(handover, now_us);
-	handover_leave_tick(handover, now_us);
-	if (handover->phase == HANDOVER_STAY &&
-	    now_us - handover->announced_us >= ANNOUNCE_US)
+	query_successors(handover, now_us);
+	handover_successor_tick(handover, now_us);
+	handover_source_tick(handover, now_us);
+	if (handover->phase == HANDOVER_IDLE &&
+	    now_us - handover->last_announce_us >= ANNOUNCE_INTERVAL_US)
 		handover_announce(
 		    handover, tickets->config.self->host_id, now_us);
 }
 
 static void
-part_hosts_changed(void *part, struct loom_hosts *hosts, uint64_t now_us)
+on_hosts_changed(void *component, struct loom_hosts *hosts, uint64_t now_us)
 {
-	struct handover *handover = ((struct loom_tickets *)part)->handover;
+	struct handover *handover =
+	    ((struct loom_tickets *)component)->handover;
 	struct loom_hosts *old = handover->hosts;
 
 	(void)now_us;
@@ -205,9 +218,9 @@
 }
 
 static void
-part_drain(void *part, uint64_t now_us)
+on_drain(void *component, uint64_t now_us)
 {
-	handover_leave(((struct loom_tickets *)part)->handover, now_us);
+	handover_start(((struct loom_tickets *)component)->handover, now_us);
 }
 
 const struct loom_part_ops loom_tickets_part = {
@@ -215,8 +228,8 @@
 	.first_type = HANDOVER_OFFER,
 	.last_type = HANDOVER_LAST,
 	.tick_us = HANDOVER_TICK_US,
-	.message = part_message,
-	.tick = part_tick,
-	.hosts_changed = part_hosts_changed,
-	.drain = part_drain,
+	.message = on_message,
+	.tick = on_tick,
+	.hosts_changed = on_hosts_changed,
+	.drain = on_drain,
 };
--- a/src/control/handover.h
+++ b/src/control/handover.h
@@ -2,19 +2,23 @@
 #define LOOM_CONTROL_HANDOVER_H
 
 /*
- * Hand-over of tickets at a graceful shutdown; the control thread's alone.
+ * Handover of tickets at a graceful shutdown, from the host that shuts down
+ * (the source) to another host of its service (the successor; "heir" in
+ * messages and refusals).  Runs on the control thread only.
  *
- *   leaver                               heir
- *     freeze, wait for running ones
- *     OFFER  ------------------------->
- *            <-------------------------  ACCEPT (its incarnation)
- *     CHUNK 0..n-1 ------------------->  keeps them
- *            <-------------------------  ACK each; all there: installs once
+ *  source                               successor
+ *    freeze, wait for running calls
+ *    OFFER  ------------------------->
+ *           <-------------------------  ACCEPT (its incarnation)
+ *    CHUNK 0..n-1 ------------------->  stores them
+ *           <-------------------------  ACK for each; when all have arrived,
+ *                                       installs the state once
  *
- * Until the first chunk the leaver may turn to another heir; after it, to
- * none: that one incarnation may have installed all of it, and a second heir
- * could run what the first has run.  A restarted heir is another incarnation
- * and takes no chunk that was sealed for the one before.
+ * Before the first chunk is sent, the source may turn to another candidate;
+ * afterwards it must not.  The incarnation that accepted may have installed the
+ * whole state, and a second successor could run a ticket that the first has
+ * run.  A successor that restarts is another incarnation and rejects chunks
+ * that were sealed for the previous one.
  */
 
 #include "loom/hosts.h"
@@ -23,64 +27,72 @@
 #define HANDOVER_TICK_US (50 * LOOM_US_PER_MS)
 
 enum handover_phase {
-	HANDOVER_STAY,
-	HANDOVER_WAIT, /* for running calls and incoming hand-overs */
+	HANDOVER_IDLE,
+	HANDOVER_WAITING, /* for running calls and incoming handovers */
 	HANDOVER_OFFERING,
 	HANDOVER_SENDING,
 	HANDOVER_DONE,
 };
 
-struct handover_incoming; /* a state that is arriving, at its heir */
+struct handover_incoming; /* a state being received by the successor */
 
 struct handover {
 	struct loom_tickets *tickets; /* borrowed: the owner */
 	uint8_t key[32];
-	struct loom_hosts *hosts; /* counted, NULL until known */
-	uint64_t announced_us;
-	uint64_t asked_us;
-	uint32_t asked; /* times */
+	struct loom_hosts *hosts; /* reference-counted; NULL until known */
+	uint64_t last_announce_us;
+	uint64_t last_query_us;
+	uint32_t query_count; /* successor queries sent so far */
 
-	/* as leaver */
+	/* as the source */
 	enum handover_phase phase;
-	uint64_t phase_us; /* when it began */
-	uint64_t sent_us; /* the last offer or round of chunks */
-	uint32_t offers; /* sent so far */
-	uint64_t heir_host_id;
-	uint64_t heir_incarnation;
+	uint64_t phase_start_us; /* start of the phase */
+	/* last offer or batch of chunks; 0 for none in this phase */
+	uint64_t last_send_us;
+	uint32_t offer_count; /* sent so far */
+	uint64_t successor_host_id;
+	uint64_t successor_incarnation;
 	GByteArray *state; /* owned */
-	GByteArray *acked; /* one byte a chunk; owned */
-	uint32_t nacked;
-	uint32_t cursor; /* the chunk to send next */
+	GByteArray *acked; /* one byte for each chunk; owned */
+	uint32_t acked_count;
+	uint32_t next_chunk; /* index at which the next batch starts */
 
-	/* as heir */
-	GHashTable *incoming; /* by the leaver's incarnation; owned */
-	GHashTable *installed; /* leavers' incarnations; never forgotten */
+	/* as the successor */
+	GHashTable *incoming; /* by the source's incarnation; owned */
+	/*
+	 * Incarnations whose state was installed.  Entries are never removed,
+	 * so that no state is installed twice.
+	 */
+	GHashTable *installed;
 };
 
 struct handover *handover_new(
     struct loom_tickets *tickets, const uint8_t *fleet_secret);
 void handover_free(struct handover *handover);
 
-/* The leaver's side. */
-void handover_leave(struct handover *handover, uint64_t now_us);
-void handover_leave_tick(struct handover *handover, uint64_t now_us);
-void handover_accepted(struct handover *handover, const struct loom_from *from,
+/* The source's side. */
+void handover_start(struct handover *handover, uint64_t now_us);
+void handover_source_tick(struct handover *handover, uint64_t now_us);
+void handover_on_accept(struct handover *handover, const struct loom_from *from,
     uint64_t incarnation, uint64_t now_us);
-void handover_acked(struct handover *handover, const struct loom_from *from,
+void handover_on_ack(struct handover *handover, const struct loom_from *from,
     uint64_t incarnation, uint32_t index);
 
-/* The heir's side. */
-void handover_take_init(struct handover *handover);
-void handover_take_free(struct handover *handover);
-void handover_offered(struct handover *handover, const struct loom_from *from);
-void handover_take(struct handover *handover, const struct loom_from *from,
+/* The successor's side. */
+void handover_successor_init(struct handover *handover);
+void handover_successor_free(struct handover *handover);
+void handover_on_offer(struct handover *handover, const struct loom_from *from);
+void handover_on_chunk(struct handover *handover, const struct loom_from *from,
     const uint8_t *message, size_t len, uint64_t now_us);
-void handover_take_tick(struct handover *handover, uint64_t now_us);
+void handover_successor_tick(struct handover *handover, uint64_t now_us);
 
-/* Shared: to one host, and to all of the service. */
+/*
+ * Shared by both sides: send to one host; announce the successor to all hosts
+ * of the service.
+ */
 void handover_send(struct handover *handover, uint64_t host_id, uint8_t type,
     const uint8_t *payload, size_t len);
 void handover_announce(
-    struct handover *handover, uint64_t heir_host_id, uint64_t now_us);
+    struct handover *handover, uint64_t successor_host_id, uint64_t now_us);
 
 #endif
--- a/src/control/handover_leave.c
+++ b/src/control/handover_leave.c
@@ -1,6 +1,4 @@
-/*
- * The leaver's side of a hand-over.
- */
+/* The source's side of a handover. */
 
 #include <string.h>
 
@@ -8,78 +6,92 @@
 #include "inner/handover_codec.h"
 #include "loom/log.h"
 
-/* Running calls may take this long before they are handed over as used with
- * an unknown outcome; their own callers are still answered from here. */
-#define WAIT_MAX_US (10 * LOOM_US_PER_S)
-/* A live heir answers within milliseconds; after this the next is asked. */
-#define OFFER_US (300 * LOOM_US_PER_MS)
+/*
+ * How long to wait for running calls.  After that their tickets are handed over
+ * as used, with an unknown outcome; their callers still get the answer from
+ * here.
+ */
+#define RUNS_WAIT_MAX_US (10 * LOOM_US_PER_S)
+/*
+ * A live candidate answers within milliseconds; after this the next one is
+ * asked.
+ */
+#define OFFER_TIMEOUT_US (300 * LOOM_US_PER_MS)
 #define OFFERS_MAX 16
-#define HEIRS_ASKED 4
-#define RESEND_US (200 * LOOM_US_PER_MS)
-/* Chunks in one tick: 10 MB/s at most, for a second or so in a daemon's
- * life. */
+#define CANDIDATES_MAX 4
+#define RESEND_INTERVAL_US (200 * LOOM_US_PER_MS)
+/*
+ * Chunks sent in one tick.  Limits the handover to 10 MB/s, for about a second
+ * in the life of a daemon.
+ */
 #define CHUNKS_PER_TICK 32
-/* An heir that acknowledges nothing for so long is gone. */
-#define SEND_MAX_US (10 * LOOM_US_PER_S)
-/* How long an heir answers for the tickets of a leaver.  Far over any
- * deadline; without an end, years of leavers would pile up. */
-#define INHERIT_US (3600 * LOOM_US_PER_S)
-/* Of kept answers; the others are handed over as "ran". */
-#define KEPT_MAX_BYTES (1024 * 1024)
+/*
+ * A successor whose acknowledgements are not complete by then is considered
+ * gone.
+ */
+#define SEND_TIMEOUT_US (10 * LOOM_US_PER_S)
+/*
+ * How long a successor handles the tickets of an incarnation.  Far longer than
+ * any deadline; without a limit, the state of all past incarnations would
+ * accumulate.
+ */
+#define INHERITED_TTL_US (3600 * LOOM_US_PER_S)
+/* Of cached answers; the tickets of the others are handed over as "ran". */
+#define ANSWERS_MAX_BYTES (1024 * 1024)
 
 static void
 enter_phase(
     struct handover *handover, enum handover_phase phase, uint64_t now_us)
 {
 	handover->phase = phase;
-	handover->phase_us = now_us;
-	handover->sent_us = 0;
+	handover->phase_start_us = now_us;
+	handover->last_send_us = 0;
 }
 
 static void
-finish(struct handover *handover, uint64_t heir_host_id, uint64_t now_us)
+finish(struct handover *handover, uint64_t successor_host_id, uint64_t now_us)
 {
 	enter_phase(handover, HANDOVER_DONE, now_us);
-	tickets_set_drained(handover->tickets, heir_host_id);
-	if (heir_host_id != 0)
-		handover_announce(handover, heir_host_id, now_us);
+	tickets_set_drained(handover->tickets, successor_host_id);
+	if (successor_host_id != 0)
+		handover_announce(handover, successor_host_id, now_us);
 	else
 		loom_log(LOOM_LOG_WARN, "tickets", LOOM_TICKET_LOST,
-		    "no heir took our tickets over");
+		    "no host took over the tickets at shutdown");
 }
 
 void
-handover_leave(struct handover *handover, uint64_t now_us)
+handover_start(struct handover *handover, uint64_t now_us)
 {
-	if (handover->phase != HANDOVER_STAY)
+	if (handover->phase != HANDOVER_IDLE)
 		return;
 	tickets_freeze(handover->tickets);
-	enter_phase(handover, HANDOVER_WAIT, now_us);
+	enter_phase(handover, HANDOVER_WAITING, now_us);
 }
 
 static void
 send_offer(struct handover *handover, uint64_t now_us)
 {
 	const struct loom_self *self = handover->tickets->config.self;
-	uint64_t ids[HEIRS_ASKED];
+	uint64_t ids[CANDIDATES_MAX];
 	size_t n = 0;
 
-	if (handover->offers >= OFFERS_MAX) {
+	if (handover->offer_count >= OFFERS_MAX) {
 		finish(handover, 0, now_us);
 		return;
 	}
 	if (handover->hosts != NULL)
 		n = loom_ticket_heirs(handover->hosts, self->service_id,
-		    self->host_id, ids, HEIRS_ASKED);
+		    self->host_id, ids, CANDIDATES_MAX);
 	if (n != 0)
-		handover_send(handover, ids[handover->offers % n],
+		handover_send(handover, ids[handover->offer_count % n],
 		    HANDOVER_OFFER, (const uint8_t *)"", 0);
-	handover->offers++;
-	handover->sent_us = now_us;
+	handover->offer_count++;
+	handover->last_send_us = now_us;
 }
 
-/* What the packing of the state carries along. */
-struct state_packing {
+/* Passed through the callbacks that write the state. */
+struct state_writer {
 	struct loom_packer packer;
 	uint64_t now_us;
 	size_t cached_bytes;
@@ -89,34 +101,37 @@
 pack_window(void *arg, uint64_t incarnation, uint64_t team_id,
     const struct ticket_window *window)
 {
-	struct state_packing *packing = arg;
+	struct state_writer *writer = arg;
 
-	/* Kept answers, and then whole windows, are left out when there is
-	 * no room: such tickets are answered as lost, never run. */
-	if (packing->packer.len + sizeof(*window) + 4 * LOOM_PACKED_SCALAR_MAX <
+	/*
+	 * If there is no room, cached answers are left out first, and then
+	 * whole windows.  Tickets without a window are answered as lost and
+	 * never run.
+	 */
+	if (writer->packer.len + sizeof(*window) + 4 * LOOM_PACKED_SCALAR_MAX <
 	    HANDOVER_STATE_MAX)
 		handover_window_pack(
-		    &packing->packer, incarnation, team_id, window);
+		    &writer->packer, incarnation, team_id, window);
 }
 
 static bool
-pack_kept(void *arg, const struct loom_ticket_run *run)
+pack_answer(void *arg, const struct loom_ticket_run *run)
 {
-	struct state_packing *packing = arg;
+	struct state_writer *writer = arg;
 	size_t size = handover_kept_size(run);
 
-	packing->cached_bytes += size;
-	if (packing->cached_bytes > KEPT_MAX_BYTES / TICKET_SHARDS)
+	writer->cached_bytes += size;
+	if (writer->cached_bytes > ANSWERS_MAX_BYTES / TICKET_SHARDS)
 		return false;
-	if (packing->packer.len + size + LOOM_PACKED_SCALAR_MAX >
+	if (writer->packer.len + size + LOOM_PACKED_SCALAR_MAX >
 	    HANDOVER_STATE_MAX)
 		return false;
-	handover_kept_pack(&packing->packer, run);
+	handover_kept_pack(&writer->packer, run);
 	return true;
 }
 
 static void
-pack_issuers(struct loom_tickets *tickets, struct state_packing *packing)
+pack_issuers(struct loom_tickets *tickets, struct state_writer *writer)
 {
 	const struct ticket_issuer *issuer;
 	struct handover_issuer item;
@@ -126,47 +141,47 @@
 	for (i = 0; i < tickets->issuers->len; i++) {
 		issuer =
 		    &g_array_index(tickets->issuers, struct ticket_issuer, i);
-		if (issuer->expires_us <= packing->now_us)
+		if (issuer->expires_us <= writer->now_us)
 			continue;
 		item = (struct handover_issuer){
 			.host_id = issuer->host_id,
 			.incarnation = issuer->incarnation,
-			.remaining_us = MIN(
-			    issuer->expires_us - packing->now_us, INHERIT_US),
+			.remaining_us = MIN(issuer->expires_us - writer->now_us,
+			    INHERITED_TTL_US),
 		};
 		memcpy(item.secret, issuer->secret, sizeof(item.secret));
-		handover_issuer_pack(&packing->packer, &item);
+		handover_issuer_pack(&writer->packer, &item);
 	}
 	g_mutex_unlock(&tickets->issuers_lock);
 }
 
 static void
-pack_shard(struct ticket_shard *shard, struct state_packing *packing)
+pack_shard(struct ticket_shard *shard, struct state_writer *writer)
 {
-	packing->cached_bytes = 0;
+	writer->cached_bytes = 0;
 	g_mutex_lock(&shard->lock);
 	ticket_windows_foreach(
-	    ticket_store_windows(shard->store), pack_window, packing);
-	ticket_store_foreach_answer(shard->store, pack_kept, packing);
+	    ticket_store_windows(shard->store), pack_window, writer);
+	ticket_store_foreach_answer(shard->store, pack_answer, writer);
 	g_mutex_unlock(&shard->lock);
 }
 
 static void
 pack_state(struct handover *handover, uint64_t now_us)
 {
-	struct state_packing packing = { .now_us = now_us };
+	struct state_writer writer = { .now_us = now_us };
 	struct loom_tickets *tickets = handover->tickets;
 	GByteArray *state = g_byte_array_new();
 	size_t i;
 
 	g_byte_array_set_size(state, HANDOVER_STATE_MAX);
-	loom_pack_init(&packing.packer, state->data, state->len);
-	handover_state_begin(&packing.packer);
-	pack_issuers(tickets, &packing);
+	loom_pack_init(&writer.packer, state->data, state->len);
+	handover_state_begin(&writer.packer);
+	pack_issuers(tickets, &writer);
 	for (i = 0; i < TICKET_SHARDS; i++)
-		pack_shard(&tickets->shards[i], &packing);
-	handover_state_end(&packing.packer);
-	g_byte_array_set_size(state, (guint)packing.packer.len);
+		pack_shard(&tickets->shards[i], &writer);
+	handover_state_end(&writer.packer);
+	g_byte_array_set_size(state, (guint)writer.packer.len);
 	handover->state = state;
 }
 
@@ -184,7 +199,7 @@
 	const struct handover_pair pair = {
 		.leaver_host_id = self->host_id,
 		.leaver_incarnation = self->incarnation,
-		.heir_incarnation = handover->heir_incarnation,
+		.heir_incarnation = handover->successor_incarnation,
 	};
 	uint8_t message[HANDOVER_MESSAGE_MAX];
 	size_t offset = (size_t)index * HANDOVER_CHUNK_BYTES;
@@ -193,100 +208,105 @@
 	len = handover_chunk_seal(handover->key, &pair, index,
 	    chunk_count(handover), handover->state->data + offset, len,
 	    message);
-	handover_send(
-	    handover, handover->heir_host_id, HANDOVER_CHUNK, message, len);
+	handover_send(handover, handover->successor_host_id, HANDOVER_CHUNK,
+	    message, len);
 }
 
-/* One tick's share of the chunks that are not acknowledged. */
+/* Sends the next batch of unacknowledged chunks, at most CHUNKS_PER_TICK. */
 static void
-send_round(struct handover *handover, uint64_t now_us)
+send_next_chunks(struct handover *handover, uint64_t now_us)
 {
 	uint32_t n = chunk_count(handover), sent = 0;
 
-	if (handover->cursor == 0 && handover->sent_us != 0 &&
-	    now_us - handover->sent_us < RESEND_US)
+	if (handover->next_chunk == 0 && handover->last_send_us != 0 &&
+	    now_us - handover->last_send_us < RESEND_INTERVAL_US)
 		return;
-	handover->sent_us = now_us;
-	while (handover->cursor < n && sent < CHUNKS_PER_TICK) {
-		if (!handover->acked->data[handover->cursor]) {
-			send_chunk(handover, handover->cursor);
+	handover->last_send_us = now_us;
+	while (handover->next_chunk < n && sent < CHUNKS_PER_TICK) {
+		if (!handover->acked->data[handover->next_chunk]) {
+			send_chunk(handover, handover->next_chunk);
 			sent++;
 		}
-		handover->cursor++;
+		handover->next_chunk++;
 	}
-	if (handover->cursor == n)
-		handover->cursor = 0;
+	if (handover->next_chunk == n)
+		handover->next_chunk = 0;
 }
 
 void
-handover_accepted(struct handover *handover, const struct loom_from *from,
+handover_on_accept(struct handover *handover, const struct loom_from *from,
     uint64_t incarnation, uint64_t now_us)
 {
 	const struct loom_self *self = handover->tickets->config.self;
 
-	/* The first to accept is the heir; a second one, or the same host
-	 * after a restart, comes too late. */
+	/*
+	 * The first host to accept is the successor.  A second one, or the same
+	 * host after a restart, is too late.
+	 */
 	if (handover->phase != HANDOVER_OFFERING ||
 	    incarnation != self->incarnation || from->host_id == self->host_id)
 		return;
-	handover->heir_host_id = from->host_id;
-	handover->heir_incarnation = from->incarnation;
+	handover->successor_host_id = from->host_id;
+	handover->successor_incarnation = from->incarnation;
 	pack_state(handover, now_us);
 	handover->acked = g_byte_array_new();
 	g_byte_array_set_size(handover->acked, chunk_count(handover));
 	memset(handover->acked->data, 0, handover->acked->len);
 	enter_phase(handover, HANDOVER_SENDING, now_us);
-	send_round(handover, now_us);
+	send_next_chunks(handover, now_us);
 }
 
 void
-handover_acked(struct handover *handover, const struct loom_from *from,
+handover_on_ack(struct handover *handover, const struct loom_from *from,
     uint64_t incarnation, uint32_t index)
 {
 	if (handover->phase != HANDOVER_SENDING ||
 	    incarnation != handover->tickets->config.self->incarnation ||
-	    from->host_id != handover->heir_host_id ||
-	    from->incarnation != handover->heir_incarnation ||
+	    from->host_id != handover->successor_host_id ||
+	    from->incarnation != handover->successor_incarnation ||
 	    index >= handover->acked->len || handover->acked->data[index])
 		return;
 	handover->acked->data[index] = 1;
-	handover->nacked++;
+	handover->acked_count++;
 }
 
 static void
-wait_tick(struct handover *handover, uint64_t now_us)
+waiting_tick(struct handover *handover, uint64_t now_us)
 {
-	bool waited = now_us - handover->phase_us >= WAIT_MAX_US;
+	bool timed_out = now_us - handover->phase_start_us >= RUNS_WAIT_MAX_US;
 	bool busy = tickets_running(handover->tickets) != 0 ||
 	    g_hash_table_size(handover->incoming) != 0;
 
-	if (busy && !waited)
+	if (busy && !timed_out)
 		return;
 	enter_phase(handover, HANDOVER_OFFERING, now_us);
 	send_offer(handover, now_us);
 }
 
 void
-handover_leave_tick(struct handover *handover, uint64_t now_us)
+handover_source_tick(struct handover *handover, uint64_t now_us)
 {
 	switch (handover->phase) {
-	case HANDOVER_WAIT:
-		wait_tick(handover, now_us);
+	case HANDOVER_WAITING:
+		waiting_tick(handover, now_us);
 		break;
 	case HANDOVER_OFFERING:
-		if (now_us - handover->sent_us >= OFFER_US)
+		if (now_us - handover->last_send_us >= OFFER_TIMEOUT_US)
 			send_offer(handover, now_us);
 		break;
 	case HANDOVER_SENDING:
-		/* Without the last acknowledgement it counts as handed over
-		 * all the same: the heir may run what we no longer do. */
-		if (handover->nacked == handover->acked->len ||
-		    now_us - handover->phase_us >= SEND_MAX_US)
-			finish(handover, handover->heir_host_id, now_us);
+		/*
+		 * Even if acknowledgements are missing, the tickets count as
+		 * handed over: the successor may run them, so this daemon no
+		 * longer may.
+		 */
+		if (handover->acked_count == handover->acked->len ||
+		    now_us - handover->phase_start_us >= SEND_TIMEOUT_US)
+			finish(handover, handover->successor_host_id, now_us);
 		else
-			send_round(handover, now_us);
+			send_next_chunks(handover, now_us);
 		break;
-	case HANDOVER_STAY:
+	case HANDOVER_IDLE:
 	case HANDOVER_DONE:
 		break;
 	}
--- a/src/control/handover_take.c
+++ b/src/control/handover_take.c
@@ -1,6 +1,4 @@
-/*
- * The heir's side of a hand-over.
- */
+/* The successor's side of a handover. */
 
 #include <string.h>
 #include <talloc.h>
@@ -9,18 +7,20 @@
 #include "inner/handover_codec.h"
 #include "loom/log.h"
 
-/* States that may arrive at once: each may take HANDOVER_STATE_MAX. */
+/* States received at the same time; each may take HANDOVER_STATE_MAX bytes. */
 #define INCOMING_MAX 4
-/* Longer than a leaver keeps sending, so that no state is dropped that could
- * still be completed. */
-#define INCOMING_MAX_US (60 * LOOM_US_PER_S)
+/*
+ * Longer than a source keeps sending (SEND_TIMEOUT_US), so that no state is
+ * dropped that could still be completed.
+ */
+#define INCOMING_TIMEOUT_US (60 * LOOM_US_PER_S)
 
 struct handover_incoming {
-	uint64_t incarnation; /* the leaver's; the key: first */
-	uint64_t began_us;
+	uint64_t incarnation; /* key: the source's incarnation; must be first */
+	uint64_t started_us;
 	uint32_t count;
-	uint32_t arrived;
-	GBytes **chunks; /* owned, NULL until each arrives */
+	uint32_t received_count;
+	GBytes **chunks; /* owned; NULL until each is received */
 };
 
 static void
@@ -37,7 +37,7 @@
 }
 
 void
-handover_take_init(struct handover *handover)
+handover_successor_init(struct handover *handover)
 {
 	handover->incoming = g_hash_table_new_full(
 	    g_int64_hash, g_int64_equal, NULL, incoming_free);
@@ -46,27 +46,30 @@
 }
 
 void
-handover_take_free(struct handover *handover)
+handover_successor_free(struct handover *handover)
 {
 	g_hash_table_destroy(handover->incoming);
 	g_hash_table_destroy(handover->installed);
 }
 
-/* Our own state is packed once; what came after could not be passed on. */
+/*
+ * This daemon's own state is written once, when it is sent; a state received
+ * later could not be passed on.
+ */
 static bool
-may_take(const struct handover *handover)
+can_receive(const struct handover *handover)
 {
-	return handover->phase == HANDOVER_STAY ||
-	    handover->phase == HANDOVER_WAIT;
+	return handover->phase == HANDOVER_IDLE ||
+	    handover->phase == HANDOVER_WAITING;
 }
 
 void
-handover_offered(struct handover *handover, const struct loom_from *from)
+handover_on_offer(struct handover *handover, const struct loom_from *from)
 {
 	uint8_t message[HANDOVER_MESSAGE_MAX];
 	size_t len;
 
-	if (handover->phase != HANDOVER_STAY ||
+	if (handover->phase != HANDOVER_IDLE ||
 	    g_hash_table_size(handover->incoming) >= INCOMING_MAX ||
 	    g_hash_table_contains(handover->installed, &from->incarnation))
 		return;
@@ -74,7 +77,7 @@
 	handover_send(handover, from->host_id, HANDOVER_ACCEPT, message, len);
 }
 
-/* What the reading of a state carries along. */
+/* Passed through the callbacks that read a state. */
 struct state_install {
 	struct loom_tickets *tickets;
 	uint64_t now_us;
@@ -109,7 +112,7 @@
 }
 
 static void
-install_kept(void *arg, const struct ticket_key *key,
+install_answer(void *arg, const struct ticket_key *key,
     const struct loom_request_digest *digest, struct loom_answer *answer)
 {
 	struct state_install *install = arg;
@@ -121,21 +124,26 @@
 	g_mutex_unlock(&shard->lock);
 }
 
-/* Now that we are the heir ourselves, the word about an earlier one would
- * send callers in a circle once our time is over too. */
+/*
+ * Removes the recorded successors of incarnations that this daemon has
+ * inherited.  A stale entry would send callers in a circle once the inherited
+ * issuers expire here.
+ */
 static void
-forget_heirs(struct loom_tickets *tickets, const GArray *issuers)
+remove_successors(struct loom_tickets *tickets, const GArray *issuers)
 {
 	guint i;
 
 	for (i = 0; i < issuers->len; i++)
-		g_hash_table_remove(tickets->heirs,
+		g_hash_table_remove(tickets->successors,
 		    &g_array_index(issuers, struct ticket_issuer, i)
 			 .incarnation);
 }
 
-/* The issuers go in last: a ticket that arrives in between is answered as
- * moving, and never meets an issuer whose windows are not there yet. */
+/*
+ * Installs the issuers last.  A ticket that arrives in between is answered as
+ * moving and never finds an issuer whose windows are not installed yet.
+ */
 static void
 install_state(
     struct handover *handover, const GByteArray *state, uint64_t now_us)
@@ -150,17 +158,17 @@
 	const struct handover_reader reader = {
 		.issuer = install_issuer,
 		.window = install_window,
-		.kept = install_kept,
+		.kept = install_answer,
 		.arg = &install,
 	};
 
 	if (!handover_state_read(state->data, state->len, &reader))
 		loom_log(LOOM_LOG_ERROR, "tickets", LOOM_INNER_MALFORMED,
-		    "a hand-over does not decode; its tickets are lost");
+		    "cannot decode a received ticket handover; its tickets are lost");
 	g_mutex_lock(&tickets->issuers_lock);
 	g_array_append_vals(
 	    tickets->issuers, install.issuers->data, install.issuers->len);
-	forget_heirs(tickets, install.issuers);
+	remove_successors(tickets, install.issuers);
 	g_mutex_unlock(&tickets->issuers_lock);
 	g_array_free(install.issuers, TRUE);
 }
@@ -179,20 +187,22 @@
 		data = g_bytes_get_data(incoming->chunks[i], &len);
 		g_byte_array_append(state, data, (guint)len);
 	}
-	/* Before anything is installed: a second copy of the state would
-	 * bring back as unused what has run since the first. */
+	/*
+	 * Recorded before anything is installed: a second copy of the state
+	 * would reset tickets to unused that have run since the first.
+	 */
 	g_hash_table_add(
 	    handover->installed, g_memdup2(&incarnation, sizeof(incarnation)));
 	g_hash_table_remove(handover->incoming, &incarnation);
 	install_state(handover, state, now_us);
 	g_byte_array_free(state, TRUE);
-	tickets_note_moving(handover->tickets, incarnation, false);
+	tickets_set_moving(handover->tickets, incarnation, false);
 	handover_announce(
 	    handover, handover->tickets->config.self->host_id, now_us);
 }
 
 static struct handover_incoming *
-find_incoming(struct handover *handover, uint64_t incarnation, uint32_t count,
+get_incoming(struct handover *handover, uint64_t incarnation, uint32_t count,
     uint64_t now_us)
 {
 	struct handover_incoming *incoming;
@@ -204,12 +214,12 @@
 		return NULL;
 	incoming = talloc_zero(handover, struct handover_incoming);
 	incoming->incarnation = incarnation;
-	incoming->began_us = now_us;
+	incoming->started_us = now_us;
 	incoming->count = count;
 	incoming->chunks = talloc_zero_array(incoming, GBytes *, count);
 	g_hash_table_insert(
 	    handover->incoming, &incoming->incarnation, incoming);
-	tickets_note_moving(handover->tickets, incarnation, true);
+	tickets_set_moving(handover->tickets, incarnation, true);
 	return incoming;
 }
 
@@ -223,32 +233,32 @@
 	handover_send(handover, from->host_id, HANDOVER_ACK, message, len);
 }
 
-/* True when the chunk is in hand, now or before. */
+/* Returns true if the chunk is stored, now or by an earlier copy. */
 static bool
-keep_chunk(struct handover *handover, const struct loom_from *from,
+store_chunk(struct handover *handover, const struct loom_from *from,
     const struct handover_chunk *chunk, uint64_t now_us)
 {
 	struct handover_incoming *incoming;
 
 	if (g_hash_table_contains(handover->installed, &from->incarnation))
 		return true;
-	if (!may_take(handover))
+	if (!can_receive(handover))
 		return false;
 	incoming =
-	    find_incoming(handover, from->incarnation, chunk->count, now_us);
+	    get_incoming(handover, from->incarnation, chunk->count, now_us);
 	if (incoming == NULL)
 		return false;
 	if (incoming->chunks[chunk->index] != NULL)
 		return true;
 	incoming->chunks[chunk->index] = g_bytes_new(chunk->data, chunk->len);
-	incoming->arrived++;
-	if (incoming->arrived == incoming->count)
+	incoming->received_count++;
+	if (incoming->received_count == incoming->count)
 		complete(handover, incoming, now_us);
 	return true;
 }
 
 void
-handover_take(struct handover *handover, const struct loom_from *from,
+handover_on_chunk(struct handover *handover, const struct loom_from *from,
     const uint8_t *message, size_t len, uint64_t now_us)
 {
 	const struct handover_pair pair = {
@@ -260,12 +270,12 @@
 
 	if (!handover_chunk_open(handover->key, &pair, message, len, &chunk))
 		return;
-	if (keep_chunk(handover, from, &chunk, now_us))
+	if (store_chunk(handover, from, &chunk, now_us))
 		acknowledge(handover, from, chunk.index);
 }
 
 static void
-drop_late(struct handover *handover, uint64_t now_us)
+drop_timed_out(struct handover *handover, uint64_t now_us)
 {
 	const struct handover_incoming *incoming;
 	GHashTableIter iter;
@@ -274,15 +284,18 @@
 	g_hash_table_iter_init(&iter, handover->incoming);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		incoming = value;
-		if (now_us - incoming->began_us < INCOMING_MAX_US)
+		if (now_us - incoming->started_us < INCOMING_TIMEOUT_US)
 			continue;
-		tickets_note_moving(
+		tickets_set_moving(
 		    handover->tickets, incoming->incarnation, false);
 		g_hash_table_iter_remove(&iter);
 	}
 }
 
-/* An inherited issuer whose time is over, or 0. */
+/*
+ * Removes one inherited issuer that has expired and returns its incarnation, or
+ * 0.
+ */
 static uint64_t
 pop_expired(struct loom_tickets *tickets, uint64_t now_us)
 {
@@ -304,7 +317,7 @@
 }
 
 static void
-forget_expired(struct loom_tickets *tickets, uint64_t now_us)
+remove_expired(struct loom_tickets *tickets, uint64_t now_us)
 {
 	uint64_t incarnation;
 	size_t i;
@@ -321,10 +334,10 @@
 }
 
 void
-handover_take_tick(struct handover *handover, uint64_t now_us)
+handover_successor_tick(struct handover *handover, uint64_t now_us)
 {
-	drop_late(handover, now_us);
-	/* Once packed, what we inherited stays here until the exit. */
-	if (may_take(handover))
-		forget_expired(handover->tickets, now_us);
+	drop_timed_out(handover, now_us);
+	/* Once the state was written, inherited issuers are kept until exit. */
+	if (can_receive(handover))
+		remove_expired(handover->tickets, now_us);
 }
--- a/src/control/tickets.c
+++ b/src/control/tickets.c
@@ -1,7 +1,7 @@
 /*
- * The executor's side of tickets, safe from any thread: the books of
- * src/decide in shards by team, each under its own lock, and the issuers
- * whose tickets run here.
+ * The executor's side of tickets, safe to call from any thread: the ticket
+ * stores of src/decide, sharded by team with a lock for each shard, and the
+ * issuers whose tickets run here.
  */
 
 #include <string.h>
@@ -10,9 +10,11 @@
 #include "control/tickets_state.h"
 #include "inner/ticket_text.h"
 
-/* Incarnations of one service whose heir is remembered: at 20 hosts that are
- * replaced every few days these are months. */
-#define HEIRS_MAX 4096
+/*
+ * Maximum of incarnations of one service whose successor is remembered; enough
+ * for months with 20 hosts that are replaced every few days.
+ */
+#define SUCCESSORS_MAX 4096
 
 const struct loom_ticket_limits loom_ticket_limits_default = {
 	.cached_bytes = 16 * 1024 * 1024,
@@ -57,7 +59,7 @@
 	g_mutex_init(&tickets->issuers_lock);
 	tickets->issuers =
 	    g_array_new(FALSE, FALSE, sizeof(struct ticket_issuer));
-	tickets->heirs =
+	tickets->successors =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
 	tickets->moving =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
@@ -79,7 +81,7 @@
 		g_mutex_clear(&tickets->shards[i].lock);
 	}
 	g_array_free(tickets->issuers, TRUE);
-	g_hash_table_destroy(tickets->heirs);
+	g_hash_table_destroy(tickets->successors);
 	g_hash_table_destroy(tickets->moving);
 	g_mutex_clear(&tickets->issuers_lock);
 	talloc_free(tickets);
@@ -145,45 +147,47 @@
 	begin->outcome = loom_result_info(code)->outcome;
 }
 
-/* What is known of a ticket by its issuer alone. */
-struct issuer_view {
+/* What the issuer alone determines for a ticket. */
+struct issuer_info {
 	enum loom_result code; /* LOOM_OK: its tickets run here */
-	uint64_t heir_host_id;
+	uint64_t successor_host_id;
 	uint8_t secret[LOOM_SEAL_KEY_SIZE];
 };
 
-static struct issuer_view
-view_issuer(struct loom_tickets *tickets, const struct loom_ticket *ticket)
+static struct issuer_info
+lookup_issuer(struct loom_tickets *tickets, const struct loom_ticket *ticket)
 {
-	struct issuer_view view = { .code = LOOM_TICKET_LOST };
+	struct issuer_info info = { .code = LOOM_TICKET_LOST };
 	const struct ticket_issuer *issuer;
-	const uint64_t *heir;
+	const uint64_t *successor;
 	guint i;
 
 	g_mutex_lock(&tickets->issuers_lock);
-	heir = g_hash_table_lookup(tickets->heirs, &ticket->incarnation);
-	if (heir != NULL) {
-		view.code = LOOM_TICKET_MOVED;
-		view.heir_host_id = *heir;
+	successor =
+	    g_hash_table_lookup(tickets->successors, &ticket->incarnation);
+	if (successor != NULL) {
+		info.code = LOOM_TICKET_MOVED;
+		info.successor_host_id = *successor;
 	}
 	if (g_hash_table_contains(tickets->moving, &ticket->incarnation))
-		view.code = LOOM_TICKET_MOVING;
+		info.code = LOOM_TICKET_MOVING;
 	for (i = 0; i < tickets->issuers->len; i++) {
 		issuer =
 		    &g_array_index(tickets->issuers, struct ticket_issuer, i);
 		if (issuer->incarnation != ticket->incarnation ||
 		    issuer->host_id != ticket->host_id)
 			continue;
-		view.code = LOOM_OK;
-		view.heir_host_id = tickets->handed ? tickets->heir_host_id : 0;
-		memcpy(view.secret, issuer->secret, sizeof(view.secret));
+		info.code = LOOM_OK;
+		info.successor_host_id =
+		    tickets->handed_over ? tickets->successor_host_id : 0;
+		memcpy(info.secret, issuer->secret, sizeof(info.secret));
 	}
 	g_mutex_unlock(&tickets->issuers_lock);
-	return view;
+	return info;
 }
 
 static struct ticket_key
-key_of(const struct loom_ticket *ticket)
+make_key(const struct loom_ticket *ticket)
 {
 	return (struct ticket_key){
 		.incarnation = ticket->incarnation,
@@ -198,16 +202,16 @@
     const struct loom_request_digest *digest,
     const struct loom_ticket_waiter *waiter, struct loom_ticket_begin *begin)
 {
-	struct ticket_key key = key_of(ticket);
-	struct issuer_view view = view_issuer(tickets, ticket);
+	struct ticket_key key = make_key(ticket);
+	struct issuer_info info = lookup_issuer(tickets, ticket);
 	struct ticket_shard *shard;
 
-	if (view.code != LOOM_OK) {
-		refuse(begin, view.code);
-		begin->heir_host_id = view.heir_host_id;
+	if (info.code != LOOM_OK) {
+		refuse(begin, info.code);
+		begin->heir_host_id = info.successor_host_id;
 		return;
 	}
-	if (!ticket_mac_holds(ticket, view.secret) ||
+	if (!ticket_mac_holds(ticket, info.secret) ||
 	    ticket->team_id != team_id || ticket->route_id != route_id) {
 		refuse(begin, LOOM_TICKET_INVALID);
 		return;
@@ -218,15 +222,15 @@
 	    shard->store, &key, digest, waiter, shard->frozen, begin);
 	g_mutex_unlock(&shard->lock);
 	if (begin->verdict == LOOM_TICKET_VERDICT_REFUSED &&
-	    begin->code == LOOM_TICKET_MOVING && view.heir_host_id != 0) {
+	    begin->code == LOOM_TICKET_MOVING && info.successor_host_id != 0) {
 		refuse(begin, LOOM_TICKET_MOVED);
-		begin->heir_host_id = view.heir_host_id;
+		begin->heir_host_id = info.successor_host_id;
 	}
 }
 
 static void
-tell_waiters(GArray *waiters, enum loom_result code, enum loom_outcome outcome,
-    struct loom_answer *answer)
+notify_waiters(GArray *waiters, enum loom_result code,
+    enum loom_outcome outcome, struct loom_answer *answer)
 {
 	const struct loom_ticket_waiter *waiter;
 	guint i;
@@ -246,8 +250,10 @@
 	struct ticket_shard *shard = tickets_shard(tickets, run->key.team_id);
 	GArray *waiters;
 
-	/* A run that was sent is never told as not-run, whatever its caller
-	 * passes: only abandon says that. */
+	/*
+	 * Only loom_tickets_abandon() may report not-run.  A run that was sent
+	 * to the upstream is never reported so, whatever outcome is passed.
+	 */
 	if (outcome != LOOM_OUTCOME_RAN)
 		outcome = LOOM_OUTCOME_UNKNOWN;
 	if (outcome == LOOM_OUTCOME_RAN && answer == NULL)
@@ -255,7 +261,7 @@
 	g_mutex_lock(&shard->lock);
 	waiters = ticket_store_finish(shard->store, run, outcome, answer);
 	g_mutex_unlock(&shard->lock);
-	tell_waiters(waiters, code, outcome, answer);
+	notify_waiters(waiters, code, outcome, answer);
 }
 
 void
@@ -268,7 +274,7 @@
 	g_mutex_lock(&shard->lock);
 	waiters = ticket_store_abandon(shard->store, run);
 	g_mutex_unlock(&shard->lock);
-	tell_waiters(waiters, code, LOOM_OUTCOME_NOT_RUN, NULL);
+	notify_waiters(waiters, code, LOOM_OUTCOME_NOT_RUN, NULL);
 }
 
 bool
@@ -276,7 +282,7 @@
     const struct loom_ticket *ticket, const struct loom_ticket_waiter *waiter)
 {
 	struct ticket_shard *shard = tickets_shard(tickets, ticket->team_id);
-	struct ticket_key key = key_of(ticket);
+	struct ticket_key key = make_key(ticket);
 	bool detached;
 
 	g_mutex_lock(&shard->lock);
@@ -312,11 +318,11 @@
 }
 
 void
-tickets_set_drained(struct loom_tickets *tickets, uint64_t heir_host_id)
+tickets_set_drained(struct loom_tickets *tickets, uint64_t successor_host_id)
 {
 	g_mutex_lock(&tickets->issuers_lock);
-	tickets->handed = heir_host_id != 0;
-	tickets->heir_host_id = heir_host_id;
+	tickets->handed_over = successor_host_id != 0;
+	tickets->successor_host_id = successor_host_id;
 	tickets->drained = true;
 	g_mutex_unlock(&tickets->issuers_lock);
 }
@@ -333,21 +339,24 @@
 }
 
 void
-tickets_note_heir(
+tickets_set_successor(
     struct loom_tickets *tickets, uint64_t incarnation, uint64_t host_id)
 {
 	g_mutex_lock(&tickets->issuers_lock);
-	/* The heirs announce themselves again, so nothing is lost for long. */
-	if (g_hash_table_size(tickets->heirs) >= HEIRS_MAX)
-		g_hash_table_remove_all(tickets->heirs);
-	g_hash_table_replace(tickets->heirs,
+	/*
+	 * Successors repeat their announcements, so entries removed here return
+	 * soon.
+	 */
+	if (g_hash_table_size(tickets->successors) >= SUCCESSORS_MAX)
+		g_hash_table_remove_all(tickets->successors);
+	g_hash_table_replace(tickets->successors,
 	    g_memdup2(&incarnation, sizeof(incarnation)),
 	    g_memdup2(&host_id, sizeof(host_id)));
 	g_mutex_unlock(&tickets->issuers_lock);
 }
 
 void
-tickets_note_moving(
+tickets_set_moving(
     struct loom_tickets *tickets, uint64_t incarnation, bool moving)
 {
 	g_mutex_lock(&tickets->issuers_lock);
