--- a/src/control/calls.c
+++ b/src/control/calls.c
@@ -1,5 +1,5 @@
 /*
- * The calls that this daemon's upstream runs now, by call id.
+ * The calls that this daemon's upstream is running, by call id.
  */
 
 #include <talloc.h>
@@ -10,7 +10,7 @@
 #define SHARDS 16
 
 struct calls_shard {
-	GMutex lock; /* of the talloc hierarchy below as well */
+	GMutex lock; /* also guards the talloc hierarchy below ctx */
 	void *ctx; /* owns the calls */
 	GHashTable *calls; /* struct loom_live_call by its context.call */
 };
@@ -115,7 +115,10 @@
 	return code;
 }
 
-/* The live call, with its shard locked; NULL when it is not live. */
+/*
+ * Locks the shard and returns the live call, or NULL if there is none.  The
+ * caller unlocks the shard in either case.
+ */
 static struct loom_live_call *
 lock_call(struct calls_shard *shard, const struct loom_id128 *id)
 {
@@ -130,8 +133,8 @@
 	struct calls_shard *shard = shard_of(calls, id);
 	struct loom_live_call *call = lock_call(shard, id);
 
-	if (call != NULL && call->ndeeper++ == 0)
-		call->deeper_since_us = now_us;
+	if (call != NULL && call->nested_count++ == 0)
+		call->nested_since_us = now_us;
 	g_mutex_unlock(&shard->lock);
 }
 
@@ -142,8 +145,8 @@
 	struct calls_shard *shard = shard_of(calls, id);
 	struct loom_live_call *call = lock_call(shard, id);
 
-	if (call != NULL && call->ndeeper > 0 && --call->ndeeper == 0)
-		call->deeper_us += now_us - call->deeper_since_us;
+	if (call != NULL && call->nested_count > 0 && --call->nested_count == 0)
+		call->nested_us += now_us - call->nested_since_us;
 	g_mutex_unlock(&shard->lock);
 }
 
@@ -153,15 +156,15 @@
 {
 	struct calls_shard *shard = shard_of(calls, id);
 	const struct loom_live_call *call = lock_call(shard, id);
-	uint64_t deeper_us = 0;
+	uint64_t nested_us = 0;
 
 	if (call != NULL) {
-		deeper_us = call->deeper_us;
-		if (call->ndeeper > 0)
-			deeper_us += now_us - call->deeper_since_us;
+		nested_us = call->nested_us;
+		if (call->nested_count > 0)
+			nested_us += now_us - call->nested_since_us;
 	}
 	g_mutex_unlock(&shard->lock);
-	return deeper_us;
+	return nested_us;
 }
 
 size_t
--- a/src/control/control.c
+++ b/src/control/control.c
@@ -1,13 +1,14 @@
 /*
  * The control thread.
  *
- * All parts run on one thread, one call at a time, so that a part needs locks
- * only against the workers that call into it.  What other threads want done
- * comes in through a mailbox.
+ * Runs all components on one thread, one callback at a time, so that a
+ * component needs locks only against the workers that call into it.  Other
+ * threads submit jobs through a mailbox.
  *
- * Ticks start at a random point of their period: daemons that were started
- * together would otherwise all send in the same moment for ever.  After a
- * pause of the process a tick comes once, not once for each one missed.
+ * The first tick of a component comes at a random point of its period.
+ * Otherwise daemons that were started together would always send at the same
+ * moment.  After a pause of the process a tick runs once, not once for each
+ * period missed.
  */
 
 #include <glib.h>
@@ -20,14 +21,15 @@
 #include "loom/log.h"
 #include "loom/mailbox.h"
 
-#define PARTS_MAX 16
+#define COMPONENTS_MAX 16
 
-struct control_part {
+struct control_component {
 	const struct loom_part_ops *ops; /* borrowed */
-	void *part; /* borrowed */
+	void *object; /* borrowed */
 	struct loom_control *control; /* borrowed */
 	struct tevent_timer *timer; /* owned by the control */
-	bool slow; /* the timer was set while the part was idle */
+	/* timer was set with the period of an idle component */
+	bool timer_is_idle;
 };
 
 struct loom_control {
@@ -37,9 +39,9 @@
 	struct resolver *resolver; /* owned */
 	struct loom_self self;
 	struct loom_random random;
-	struct control_part parts[PARTS_MAX];
-	uint32_t nparts;
-	struct control_part *by_type[LOOM_MESSAGE_TYPES];
+	struct control_component components[COMPONENTS_MAX];
+	uint32_t component_count;
+	struct control_component *by_type[LOOM_MESSAGE_TYPES];
 	pthread_t thread;
 	bool started;
 	bool stopping; /* control thread only */
@@ -48,45 +50,46 @@
 };
 
 /* The control whose loop runs on this thread. */
-static _Thread_local const struct loom_control *running;
+static _Thread_local const struct loom_control *running_control;
 
-/* Work of another thread, or a message to this daemon itself. */
-struct errand {
+/* A job posted by another thread, or a message from this daemon to itself. */
+struct control_job {
 	struct loom_control *control; /* borrowed */
 	uint64_t host_id;
-	struct loom_manifest *manifest; /* acquired or NULL */
-	struct loom_hosts *hosts; /* acquired or NULL */
+	struct loom_manifest *manifest; /* acquired, or NULL */
+	struct loom_hosts *hosts; /* acquired, or NULL */
 	uint8_t type;
 	size_t len;
 	uint8_t payload[];
 };
 
-static void hurry(struct control_part *part);
+static void shorten_tick_delay(struct control_component *component);
 
-static struct errand *
-errand_new(struct loom_control *control, const void *payload, size_t len)
+static struct control_job *
+job_new(struct loom_control *control, const void *payload, size_t len)
 {
-	struct errand *errand = g_malloc0(sizeof(*errand) + len);
+	struct control_job *job = g_malloc0(sizeof(*job) + len);
 
-	errand->control = control;
-	errand->len = len;
+	job->control = control;
+	job->len = len;
 	if (len > 0)
-		memcpy(errand->payload, payload, len);
-	return errand;
+		memcpy(job->payload, payload, len);
+	return job;
 }
 
 static void
 dispatch(struct loom_control *control, const struct loom_from *from,
     uint8_t type, const uint8_t *payload, size_t len, uint64_t now_us)
 {
-	struct control_part *part = control->by_type[type];
+	struct control_component *component = control->by_type[type];
 
-	if (part == NULL || part->ops->message == NULL) {
+	if (component == NULL || component->ops->message == NULL) {
 		loom_counter_add(control->unknown_type, 1);
 		return;
 	}
-	part->ops->message(part->part, from, type, payload, len, now_us);
-	hurry(part);
+	component->ops->message(
+	    component->object, from, type, payload, len, now_us);
+	shorten_tick_delay(component);
 }
 
 static void
@@ -104,19 +107,19 @@
 static void
 deliver_to_self(void *arg)
 {
-	struct errand *errand = arg;
+	struct control_job *job = arg;
 	struct loom_from from = {
-		.host_id = errand->control->self.host_id,
-		.incarnation = errand->control->self.incarnation,
+		.host_id = job->control->self.host_id,
+		.incarnation = job->control->self.incarnation,
 	};
 
-	dispatch(errand->control, &from, errand->type, errand->payload,
-	    errand->len, loom_now_us());
-	g_free(errand);
+	dispatch(job->control, &from, job->type, job->payload, job->len,
+	    loom_now_us());
+	g_free(job);
 }
 
 static void
-send_to(struct loom_control *control, uint64_t host_id, uint8_t type,
+send_now(struct loom_control *control, uint64_t host_id, uint8_t type,
     const void *payload, size_t len)
 {
 	const char *address;
@@ -130,13 +133,12 @@
 }
 
 static void
-send_posted(void *arg)
+send_job(void *arg)
 {
-	struct errand *errand = arg;
+	struct control_job *job = arg;
 
-	send_to(errand->control, errand->host_id, errand->type, errand->payload,
-	    errand->len);
-	g_free(errand);
+	send_now(job->control, job->host_id, job->type, job->payload, job->len);
+	g_free(job);
 }
 
 static void
@@ -145,78 +147,82 @@
 {
 	struct loom_control *control = arg;
 	bool to_self = host_id == control->self.host_id;
-	struct errand *errand;
+	struct control_job *job;
 
-	if (!to_self && running == control) {
-		send_to(control, host_id, type, payload, len);
+	if (!to_self && running_control == control) {
+		send_now(control, host_id, type, payload, len);
 		return;
 	}
-	errand = errand_new(control, payload, len);
-	errand->host_id = host_id;
-	errand->type = type;
-	loom_control_post(
-	    control, to_self ? deliver_to_self : send_posted, errand);
+	job = job_new(control, payload, len);
+	job->host_id = host_id;
+	job->type = type;
+	loom_control_post(control, to_self ? deliver_to_self : send_job, job);
 }
 
-static void schedule_tick(struct control_part *part, uint64_t delay_us);
+static void schedule_tick(
+    struct control_component *component, uint64_t delay_us);
 
 static bool
-is_busy(const struct control_part *part)
+is_busy(const struct control_component *component)
 {
-	return part->ops->busy_tick_us > 0 && part->ops->busy(part->part);
+	return component->ops->busy_tick_us > 0 &&
+	    component->ops->busy(component->object);
 }
 
 static uint64_t
-next_tick_us(struct control_part *part)
+next_tick_us(struct control_component *component)
 {
-	part->slow = !is_busy(part);
-	return part->slow ? part->ops->tick_us : part->ops->busy_tick_us;
+	component->timer_is_idle = !is_busy(component);
+	return component->timer_is_idle ? component->ops->tick_us
+					: component->ops->busy_tick_us;
 }
 
 static void
-hurry(struct control_part *part)
+shorten_tick_delay(struct control_component *component)
 {
-	if (!part->slow || part->timer == NULL || !is_busy(part))
+	if (!component->timer_is_idle || component->timer == NULL ||
+	    !is_busy(component))
 		return;
-	TALLOC_FREE(part->timer);
-	schedule_tick(part, next_tick_us(part));
+	TALLOC_FREE(component->timer);
+	schedule_tick(component, next_tick_us(component));
 }
 
 static void
 tick(struct tevent_context *ev, struct tevent_timer *timer, struct timeval now,
     void *arg)
 {
-	struct control_part *part = arg;
+	struct control_component *component = arg;
 
 	(void)ev;
 	(void)timer;
 	(void)now;
-	part->timer = NULL;
-	part->ops->tick(part->part, loom_now_us());
-	schedule_tick(part, next_tick_us(part));
+	component->timer = NULL;
+	component->ops->tick(component->object, loom_now_us());
+	schedule_tick(component, next_tick_us(component));
 }
 
 static void
-schedule_tick(struct control_part *part, uint64_t delay_us)
+schedule_tick(struct control_component *component, uint64_t delay_us)
 {
-	part->timer = tevent_add_timer(part->control->ev, part->control->ev,
-	    tevent_timeval_current_ofs((uint32_t)(delay_us / LOOM_US_PER_S),
-		(uint32_t)(delay_us % LOOM_US_PER_S)),
-	    tick, part);
+	component->timer =
+	    tevent_add_timer(component->control->ev, component->control->ev,
+		tevent_timeval_current_ofs((uint32_t)(delay_us / LOOM_US_PER_S),
+		    (uint32_t)(delay_us % LOOM_US_PER_S)),
+		tick, component);
 }
 
 static void
 start_ticks(struct loom_control *control)
 {
-	struct control_part *part;
+	struct control_component *component;
 	uint32_t i;
 
-	for (i = 0; i < control->nparts; i++) {
-		part = &control->parts[i];
-		if (part->ops->tick != NULL && part->ops->tick_us > 0)
-			schedule_tick(part,
+	for (i = 0; i < control->component_count; i++) {
+		component = &control->components[i];
+		if (component->ops->tick != NULL && component->ops->tick_us > 0)
+			schedule_tick(component,
 			    loom_random_below(
-				&control->random, part->ops->tick_us));
+				&control->random, component->ops->tick_us));
 	}
 }
 
@@ -225,7 +231,7 @@
 {
 	struct loom_control *control = arg;
 
-	running = control;
+	running_control = control;
 	while (!control->stopping) {
 		if (tevent_loop_once(control->ev) != 0) {
 			loom_log(LOOM_LOG_ERROR, "control", LOOM_INTERNAL,
@@ -233,7 +239,7 @@
 			break;
 		}
 	}
-	running = NULL;
+	running_control = NULL;
 	return NULL;
 }
 
@@ -299,23 +305,24 @@
 }
 
 void
-loom_control_add(
-    struct loom_control *control, const struct loom_part_ops *ops, void *part)
+loom_control_add(struct loom_control *control, const struct loom_part_ops *ops,
+    void *component)
 {
-	struct control_part *own;
+	struct control_component *added;
 	unsigned type;
 
-	g_assert(!control->started && control->nparts < PARTS_MAX);
-	own = &control->parts[control->nparts++];
-	*own = (struct control_part){
+	g_assert(
+	    !control->started && control->component_count < COMPONENTS_MAX);
+	added = &control->components[control->component_count++];
+	*added = (struct control_component){
 		.ops = ops,
-		.part = part,
+		.object = component,
 		.control = control,
 	};
 	for (type = ops->first_type;
 	     ops->message != NULL && type <= ops->last_type; type++) {
 		g_assert(control->by_type[type] == NULL);
-		control->by_type[type] = own;
+		control->by_type[type] = added;
 	}
 }
 
@@ -336,104 +343,108 @@
 }
 
 void
-loom_control_hurry(struct loom_control *control, const void *which)
+loom_control_hurry(struct loom_control *control, const void *target)
 {
 	uint32_t i;
 
-	for (i = 0; i < control->nparts; i++) {
-		if (control->parts[i].part == which)
-			hurry(&control->parts[i]);
+	for (i = 0; i < control->component_count; i++) {
+		if (control->components[i].object == target)
+			shorten_tick_delay(&control->components[i]);
 	}
 }
 
 static void
-tell_parts(const struct errand *errand,
-    void (*tell)(const struct control_part *, const struct errand *))
+notify_components(const struct control_job *job,
+    void (*notify)(
+	const struct control_component *, const struct control_job *))
 {
-	const struct loom_control *control = errand->control;
+	const struct loom_control *control = job->control;
 	uint32_t i;
 
-	for (i = 0; i < control->nparts; i++)
-		tell(&control->parts[i], errand);
+	for (i = 0; i < control->component_count; i++)
+		notify(&control->components[i], job);
 }
 
 static void
-tell_part_manifest(const struct control_part *part, const struct errand *errand)
+notify_component_manifest(
+    const struct control_component *component, const struct control_job *job)
 {
-	if (part->ops->manifest_changed != NULL)
-		part->ops->manifest_changed(
-		    part->part, errand->manifest, loom_now_us());
+	if (component->ops->manifest_changed != NULL)
+		component->ops->manifest_changed(
+		    component->object, job->manifest, loom_now_us());
 }
 
 static void
-tell_manifest(void *arg)
+notify_manifest(void *arg)
 {
-	struct errand *errand = arg;
+	struct control_job *job = arg;
 
-	tell_parts(errand, tell_part_manifest);
-	loom_manifest_release(errand->manifest);
-	g_free(errand);
+	notify_components(job, notify_component_manifest);
+	loom_manifest_release(job->manifest);
+	g_free(job);
 }
 
 static void
-tell_part_hosts(const struct control_part *part, const struct errand *errand)
+notify_component_hosts(
+    const struct control_component *component, const struct control_job *job)
 {
-	if (part->ops->hosts_changed != NULL)
-		part->ops->hosts_changed(
-		    part->part, errand->hosts, loom_now_us());
+	if (component->ops->hosts_changed != NULL)
+		component->ops->hosts_changed(
+		    component->object, job->hosts, loom_now_us());
 }
 
 static void
-tell_hosts(void *arg)
+notify_hosts(void *arg)
 {
-	struct errand *errand = arg;
+	struct control_job *job = arg;
 
-	resolver_set_hosts(errand->control->resolver, errand->hosts);
-	tell_parts(errand, tell_part_hosts);
-	loom_hosts_release(errand->hosts);
-	g_free(errand);
+	resolver_set_hosts(job->control->resolver, job->hosts);
+	notify_components(job, notify_component_hosts);
+	loom_hosts_release(job->hosts);
+	g_free(job);
 }
 
 static void
-tell_part_drain(const struct control_part *part, const struct errand *errand)
+notify_component_drain(
+    const struct control_component *component, const struct control_job *job)
 {
-	(void)errand;
-	if (part->ops->drain != NULL)
-		part->ops->drain(part->part, loom_now_us());
+	(void)job;
+	if (component->ops->drain != NULL)
+		component->ops->drain(component->object, loom_now_us());
 }
 
 static void
-tell_drain(void *arg)
+notify_drain(void *arg)
 {
-	struct errand *errand = arg;
+	struct control_job *job = arg;
 
-	tell_parts(errand, tell_part_drain);
-	g_free(errand);
+	notify_components(job, notify_component_drain);
+	g_free(job);
 }
 
 void
 loom_control_set_manifest(
     struct loom_control *control, struct loom_manifest *manifest)
 {
-	struct errand *errand = errand_new(control, NULL, 0);
+	struct control_job *job = job_new(control, NULL, 0);
 
-	errand->manifest = loom_manifest_acquire(manifest);
-	loom_control_post(control, tell_manifest, errand);
+	job->manifest = loom_manifest_acquire(manifest);
+	loom_control_post(control, notify_manifest, job);
 }
 
 void
 loom_control_set_hosts(struct loom_control *control, struct loom_hosts *hosts)
 {
-	struct errand *errand = errand_new(control, NULL, 0);
+	struct control_job *job = job_new(control, NULL, 0);
 
-	errand->hosts = loom_hosts_acquire(hosts);
-	loom_control_post(control, tell_hosts, errand);
+	job->hosts = loom_hosts_acquire(hosts);
+	loom_control_post(control, notify_hosts, job);
 }
 
 void
 loom_control_drain(struct loom_control *control)
 {
-	loom_control_post(control, tell_drain, errand_new(control, NULL, 0));
+	loom_control_post(control, notify_drain, job_new(control, NULL, 0));
 }
 
 static void
@@ -458,7 +469,7 @@
 loom_control_free(struct loom_control *control)
 {
 	loom_control_stop(control);
-	/* The loop goes last: the others hold events of it. */
+	/* The event loop is freed last because the others hold events of it. */
 	talloc_free(control->inner);
 	talloc_free(control->mailbox);
 	talloc_free(control);
--- a/src/control/handover.h
+++ b/src/control/handover.h
@@ -19,6 +19,9 @@
  * whole state, and a second successor could run a ticket that the first has
  * run.  A successor that restarts is another incarnation and rejects chunks
  * that were sealed for the previous one.
+ *
+ * The state in the chunks holds the issuers with their secrets, the ticket
+ * windows and the cached answers.
  */
 
 #include "loom/hosts.h"
--- a/src/control/handover_leave.c
+++ b/src/control/handover_leave.c
@@ -1,4 +1,6 @@
-/* The source's side of a handover. */
+/*
+ * The source's side of a handover.
+ */
 
 #include <string.h>
 
--- a/src/control/handover_take.c
+++ b/src/control/handover_take.c
@@ -1,4 +1,6 @@
-/* The successor's side of a handover. */
+/*
+ * The successor's side of a handover.
+ */
 
 #include <string.h>
 #include <talloc.h>
--- a/src/control/id_hash.h
+++ b/src/control/id_hash.h
@@ -1,8 +1,10 @@
 #ifndef LOOM_CONTROL_ID_HASH_H
 #define LOOM_CONTROL_ID_HASH_H
 
-/* GHashTable functions for 128-bit ids, which are random or hashes: their
- * own bytes spread well enough. */
+/*
+ * GHashTable functions for 128-bit ids.  These are random or hashes themselves,
+ * so their leading bytes serve as the hash value.
+ */
 
 #include <glib.h>
 #include <string.h>
@@ -24,7 +26,7 @@
 	return memcmp(a, b, sizeof(struct loom_id128)) == 0;
 }
 
-/* A shard by bytes that the hash does not use. */
+/* Selects a shard by a byte that id128_hash() does not use. */
 static inline size_t
 id128_shard(const struct loom_id128 *id, size_t nshards)
 {
--- a/src/control/resolve.c
+++ b/src/control/resolve.c
@@ -1,7 +1,9 @@
 /*
- * A host's control address comes from three places, which disagree after a
- * host was replaced.  Its own word, when fresh, goes first, since the list
- * lags; the list goes before an old word, since the host may have moved.
+ * A host's control address has three sources, which may disagree after a host
+ * was replaced.  An address that was pinned always wins.  Next comes an address
+ * that the host itself sent recently, since the host list lags behind; then the
+ * host list; and then an older address from the host, which may have moved
+ * since.
  */
 
 #include <glib.h>
@@ -10,20 +12,20 @@
 #include "loom/clock.h"
 #include "loom/inner.h"
 
-#define FRESH_US (60 * LOOM_US_PER_S)
-/* Twice a fleet of 17,000, in about 4 MB. */
+#define LEARNED_FRESH_US (60 * LOOM_US_PER_S)
+/* Twice a fleet of 17,000 hosts; takes about 4 MB. */
 #define LEARNED_MAX 34000
 
 struct learned {
-	uint64_t host_id; /* the key */
-	uint64_t since_us;
+	uint64_t host_id; /* key */
+	uint64_t learned_us;
 	char address[LOOM_ADDRESS_SIZE];
 };
 
 struct resolver {
-	GHashTable *learned; /* host id: struct learned */
-	GHashTable *pinned; /* host id: struct learned */
-	struct loom_hosts *hosts; /* acquired; NULL before the first */
+	GHashTable *learned; /* host id to struct learned */
+	GHashTable *pinned; /* host id to struct learned */
+	struct loom_hosts *hosts; /* acquired; NULL until the first list */
 };
 
 static int
@@ -56,7 +58,8 @@
 }
 
 static void
-put(GHashTable *table, uint64_t host_id, const char *address, uint64_t now_us)
+store_address(
+    GHashTable *table, uint64_t host_id, const char *address, uint64_t now_us)
 {
 	struct learned *entry = g_hash_table_lookup(table, &host_id);
 
@@ -65,18 +68,18 @@
 		entry->host_id = host_id;
 		g_hash_table_insert(table, &entry->host_id, entry);
 	}
-	entry->since_us = now_us;
+	entry->learned_us = now_us;
 	g_strlcpy(entry->address, address, sizeof(entry->address));
 }
 
 static gboolean
-is_old(gpointer key, gpointer value, gpointer arg)
+is_expired(gpointer key, gpointer value, gpointer arg)
 {
 	const struct learned *entry = value;
 	const uint64_t *now_us = arg;
 
 	(void)key;
-	return *now_us - entry->since_us > FRESH_US;
+	return *now_us - entry->learned_us > LEARNED_FRESH_US;
 }
 
 void
@@ -84,15 +87,16 @@
     uint64_t now_us)
 {
 	if (g_hash_table_size(resolver->learned) >= LEARNED_MAX)
-		g_hash_table_foreach_remove(resolver->learned, is_old, &now_us);
+		g_hash_table_foreach_remove(
+		    resolver->learned, is_expired, &now_us);
 	if (g_hash_table_size(resolver->learned) < LEARNED_MAX)
-		put(resolver->learned, host_id, address, now_us);
+		store_address(resolver->learned, host_id, address, now_us);
 }
 
 void
 resolver_pin(struct resolver *resolver, uint64_t host_id, const char *address)
 {
-	put(resolver->pinned, host_id, address, 0);
+	store_address(resolver->pinned, host_id, address, 0);
 }
 
 void
@@ -114,7 +118,7 @@
 	if (pinned != NULL)
 		return pinned->address;
 	learned = g_hash_table_lookup(resolver->learned, &host_id);
-	if (learned != NULL && now_us - learned->since_us <= FRESH_US)
+	if (learned != NULL && now_us - learned->learned_us <= LEARNED_FRESH_US)
 		return learned->address;
 	if (resolver->hosts != NULL)
 		host = loom_hosts_find(resolver->hosts, host_id);
--- a/src/control/resolve.h
+++ b/src/control/resolve.h
@@ -2,7 +2,7 @@
 #define LOOM_CONTROL_RESOLVE_H
 
 /*
- * From a host's id to its control address.
+ * Resolves a host id to the host's control address.
  */
 
 #include <talloc.h>
@@ -14,17 +14,20 @@
 /* Owned by mem_ctx. */
 struct resolver *resolver_new(TALLOC_CTX *mem_ctx);
 
-/* An address that a host itself gave in a message. */
+/* Records an address that the host itself sent in a message. */
 void resolver_learn(
     struct resolver *, uint64_t host_id, const char *address, uint64_t now_us);
 
-/* A fixed address. */
+/* Sets a fixed address, which has precedence over all others. */
 void resolver_pin(struct resolver *, uint64_t host_id, const char *address);
 
-/* Resolve by this list from now on; acquired. */
+/* Sets the host list to resolve by; acquires it. */
 void resolver_set_hosts(struct resolver *, struct loom_hosts *);
 
-/* Borrowed until the next call of any function here; NULL for none. */
+/*
+ * Returns NULL if no address is known.  Borrowed until the next call of any
+ * function here.
+ */
 const char *resolver_find(
     const struct resolver *, uint64_t host_id, uint64_t now_us);
 
--- a/src/decide/ticket_windows.c
+++ b/src/decide/ticket_windows.c
@@ -1,4 +1,6 @@
-/* Hash table of ticket windows, keyed by issuer and team. */
+/*
+ * Hash table of ticket windows, keyed by issuer and team.
+ */
 
 #include <string.h>
 #include <talloc.h>
--- a/src/decide/ticket_windows.h
+++ b/src/decide/ticket_windows.h
@@ -1,7 +1,9 @@
 #ifndef LOOM_DECIDE_TICKET_WINDOWS_H
 #define LOOM_DECIDE_TICKET_WINDOWS_H
 
-/* The ticket windows of one shard, by issuer and team. */
+/*
+ * The ticket windows of one shard, by issuer and team.
+ */
 
 #include <glib.h>
 
--- a/tests/decide/test_ticket_book.c
+++ b/tests/decide/test_ticket_book.c
@@ -1,4 +1,6 @@
-/* The states of tickets at their executor, without locks or messages. */
+/*
+ * The states of tickets at their executor, without locks or messages.
+ */
 
 #include <string.h>
 
