--- a/include/loom/calls.h
+++ b/include/loom/calls.h
@@ -48,10 +48,10 @@
     const struct loom_context *, uint64_t now_us, struct loom_live_call *out);
 
 /*
- * Mark the begin and end of a nested call, made while the call id is live.  The
- * time that a call waits for nested calls says nothing about the load of its
- * own upstream, so it is counted here; concurrent nested calls count once.  An
- * unknown id is ignored.
+ * Mark the begin and end of a nested call, which the upstream makes while it
+ * runs the call with this id.  The time that a call waits for nested calls says
+ * nothing about the load of its own upstream, so it is counted here; concurrent
+ * nested calls count once.  An unknown id is ignored.
  */
 void loom_calls_deeper_begin(
     struct loom_calls *, const struct loom_id128 *call, uint64_t now_us);
--- a/tests/control/test_control.c
+++ b/tests/control/test_control.c
@@ -1,6 +1,7 @@
 /*
- * The control thread with real sockets: two daemons' parts talk, a worker
- * posts, changes and the drain reach every part, and it stops cleanly.
+ * The control thread with real sockets: components of two daemons exchange
+ * messages, a worker posts a job, changes and the drain reach every component,
+ * and the thread stops cleanly.
  */
 
 #include <string.h>
@@ -12,7 +13,10 @@
 #define TYPE LOOM_MESSAGE_RIGHTS_FIRST
 #define LIMIT_US (30 * G_USEC_PER_SEC)
 
-/* What a part saw; under the lock, since the test's thread waits for it. */
+/*
+ * What a component received.  Under the lock, since the test's thread waits for
+ * it.
+ */
 struct probe {
 	GMutex lock;
 	GCond changed;
@@ -29,7 +33,7 @@
 };
 
 static void
-note(struct probe *probe, unsigned *what)
+increment(struct probe *probe, unsigned *what)
 {
 	g_mutex_lock(&probe->lock);
 	++*what;
@@ -52,7 +56,7 @@
 	if (probe->answers)
 		probe->sender.send(
 		    probe->sender.arg, from->host_id, type, "answer", 6);
-	note(probe, &probe->messages);
+	increment(probe, &probe->messages);
 }
 
 static void
@@ -61,7 +65,7 @@
 	struct probe *probe = part;
 
 	(void)now_us;
-	note(probe, &probe->ticks);
+	increment(probe, &probe->ticks);
 }
 
 static void
@@ -71,7 +75,7 @@
 
 	(void)hosts;
 	(void)now_us;
-	note(probe, &probe->hosts);
+	increment(probe, &probe->hosts);
 }
 
 static void
@@ -80,7 +84,7 @@
 	struct probe *probe = part;
 
 	(void)now_us;
-	note(probe, &probe->drains);
+	increment(probe, &probe->drains);
 }
 
 static void
@@ -88,7 +92,7 @@
 {
 	struct probe *probe = arg;
 
-	note(probe, &probe->posts);
+	increment(probe, &probe->posts);
 }
 
 static const struct loom_part_ops probe_ops = {
@@ -102,7 +106,7 @@
 	.drain = on_drain,
 };
 
-/* True once the count is reached; false after a generous limit. */
+/* Returns true once the count is reached, false after LIMIT_US. */
 static bool
 wait_for(struct probe *probe, const unsigned *what, unsigned count)
 {
@@ -138,7 +142,7 @@
 }
 
 static void
-test_life(void)
+test_lifecycle(void)
 {
 	struct probe a = { .messages = 0 }, b = { .answers = true };
 	struct loom_control *ca = control_new(1), *cb = control_new(2);
@@ -153,15 +157,17 @@
 	CU_ASSERT(loom_control_start(ca));
 	CU_ASSERT(loom_control_start(cb));
 	CU_ASSERT(wait_for(&a, &a.ticks, 3));
-	/* From this thread, which is not the loop's; b knows a's address
-	 * from the message alone. */
+	/*
+	 * Sent from this thread, which is not the loop's. b learns a's address
+	 * from the message alone.
+	 */
 	a.sender.send(a.sender.arg, seed, TYPE, "hello", 5);
 	CU_ASSERT(wait_for(&b, &b.messages, 1));
 	CU_ASSERT_STRING_EQUAL(b.last, "hello");
 	CU_ASSERT_EQUAL(b.last_from, 1);
 	CU_ASSERT(wait_for(&a, &a.messages, 1));
 	CU_ASSERT_STRING_EQUAL(a.last, "answer");
-	/* To itself. */
+	/* A message to itself. */
 	a.sender.send(a.sender.arg, 1, TYPE + 1, "me", 2);
 	CU_ASSERT(wait_for(&a, &a.messages, 2));
 	CU_ASSERT_STRING_EQUAL(a.last, "me");
@@ -180,7 +186,10 @@
 	loom_control_free(cb);
 }
 
-/* Messages for nobody are counted and do no harm. */
+/*
+ * Messages to an unknown host or of an unknown type are counted and otherwise
+ * ignored.
+ */
 static void
 test_dropped(void)
 {
@@ -205,7 +214,7 @@
 }
 
 static const struct test_case tests[] = {
-	{ "life", test_life },
+	{ "lifecycle", test_lifecycle },
 	{ "dropped", test_dropped },
 };
 
--- a/tests/control/test_tickets.c
+++ b/tests/control/test_tickets.c
@@ -1,5 +1,5 @@
 /*
- * Tickets at one executor, and their hand-over, step by step.
+ * Tickets at one executor, and their handover, step by step.
  */
 
 #include <stdatomic.h>
@@ -8,7 +8,7 @@
 #include "inner/handover_codec.h"
 #include "support/ticket_fleet.h"
 
-struct told {
+struct waiter_result {
 	unsigned count;
 	enum loom_result code;
 	enum loom_outcome outcome;
@@ -16,15 +16,15 @@
 };
 
 static void
-note_told(void *arg, enum loom_result code, enum loom_outcome outcome,
+record_result(void *arg, enum loom_result code, enum loom_outcome outcome,
     struct loom_answer *answer)
 {
-	struct told *told = arg;
+	struct waiter_result *waiter_result = arg;
 
-	told->count++;
-	told->code = code;
-	told->outcome = outcome;
-	told->status = answer != NULL ? answer->status : 0;
+	waiter_result->count++;
+	waiter_result->code = code;
+	waiter_result->outcome = outcome;
+	waiter_result->status = answer != NULL ? answer->status : 0;
 }
 
 static void
@@ -57,8 +57,10 @@
 	loom_answer_release(answer);
 }
 
-/* Every changed bit of a ticket is refused by its executor, and what parses
- * at all keeps its host, so that it is sent nowhere else. */
+/*
+ * The executor refuses a ticket of which a byte was changed, also if its last
+ * byte is missing.
+ */
 static void
 test_forged(void)
 {
@@ -89,9 +91,11 @@
 	test_random_free(&random);
 }
 
-/* Another team or route brings the ticket, or a daemon that cannot run it. */
+/*
+ * Refuses a ticket that arrives with another team or route, or at another host.
+ */
 static void
-test_whose(void)
+test_mismatched_request(void)
 {
 	static const struct {
 		const char *name;
@@ -108,7 +112,7 @@
 		{ "right", 0, FLEET_TEAM, FLEET_ROUTE, LOOM_OK },
 	};
 	struct loom_request_digest digest = { .head = "x" };
-	struct loom_ticket_waiter waiter = { note_told, NULL };
+	struct loom_ticket_waiter waiter = { record_result, NULL };
 	struct loom_ticket_begin out;
 	struct loom_ticket ticket;
 	struct ticket_fleet fleet;
@@ -126,8 +130,10 @@
 	ticket_fleet_clear(&fleet);
 }
 
-/* Copies that wait for the run are told its end: the same answer, or the
- * refusal that the run's own caller got. */
+/*
+ * Copies that wait for a run get its result: the same answer, or the refusal
+ * that the caller of the run got.
+ */
 static void
 test_waiters(void)
 {
@@ -140,15 +146,16 @@
 		{ false, LOOM_OK, LOOM_OUTCOME_RAN, 201 },
 		{ true, LOOM_OVERLOAD, LOOM_OUTCOME_NOT_RUN, 0 },
 	};
-	struct told told;
-	const struct loom_ticket_waiter waiter = { note_told, &told };
+	struct waiter_result waiter_result;
+	const struct loom_ticket_waiter waiter = { record_result,
+		&waiter_result };
 	struct loom_ticket_begin run;
 	struct loom_ticket ticket;
 	struct ticket_fleet fleet;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
-		memset(&told, 0, sizeof(told));
+		memset(&waiter_result, 0, sizeof(waiter_result));
 		ticket_fleet_init(&fleet, 1);
 		ticket = ticket_fleet_ticket(&fleet.nodes[0]);
 		run = begin(&fleet.nodes[0], &ticket);
@@ -158,17 +165,18 @@
 			    fleet.nodes[0].tickets, run.run, LOOM_OVERLOAD);
 		else
 			finish(&fleet.nodes[0], run.run, 201);
-		CU_ASSERT_EQUAL(told.count, 1);
-		CU_ASSERT_EQUAL(told.code, cases[i].code);
-		CU_ASSERT_EQUAL(told.outcome, cases[i].outcome);
-		CU_ASSERT_EQUAL(told.status, cases[i].status);
+		CU_ASSERT_EQUAL(waiter_result.count, 1);
+		CU_ASSERT_EQUAL(waiter_result.code, cases[i].code);
+		CU_ASSERT_EQUAL(waiter_result.outcome, cases[i].outcome);
+		CU_ASSERT_EQUAL(waiter_result.status, cases[i].status);
 		ticket_fleet_clear(&fleet);
 	}
 }
 
 /*
- * The executor is killed and comes back on the same host.  It cannot know
- * what ran, so the caller hears unknown, never not-run, and nothing runs.
+ * The executor is killed and starts again on the same host.  It cannot know
+ * which tickets ran, so it must report unknown, never not-run, and run none of
+ * them.
  */
 static void
 test_restart(void)
@@ -188,14 +196,14 @@
 }
 
 static struct ticket_fleet_node *
-holder_of(struct ticket_fleet *fleet, const struct loom_ticket *ticket,
-    const struct ticket_fleet_node *leaver)
+find_successor(struct ticket_fleet *fleet, const struct loom_ticket *ticket,
+    const struct ticket_fleet_node *source)
 {
 	struct loom_ticket_begin out;
 	size_t i;
 
 	for (i = 0; i < FLEET_NODES; i++) {
-		if (&fleet->nodes[i] == leaver ||
+		if (&fleet->nodes[i] == source ||
 		    fleet->nodes[i].tickets == NULL)
 			continue;
 		out = begin(&fleet->nodes[i], ticket);
@@ -208,85 +216,88 @@
 }
 
 /*
- * A host is replaced in a rollout while callers hold its tickets.  Orders
- * that ran are answered by the heir as before, unused tickets run there, and
- * whoever is asked instead names the heir.
+ * A host is replaced in a rollout while callers hold its tickets.  The
+ * successor must answer orders that ran as before and run unused tickets, and
+ * any other host must name the successor.
  */
 static void
 test_handover(void)
 {
 	struct loom_ticket ran, cut, unused, spent;
 	struct loom_ticket_begin out;
-	struct ticket_fleet_node *leaver, *heir;
+	struct ticket_fleet_node *source, *successor;
 	struct ticket_fleet fleet;
 
 	ticket_fleet_init(&fleet, 3);
-	leaver = &fleet.nodes[0];
-	ran = ticket_fleet_ticket(leaver);
-	cut = ticket_fleet_ticket(leaver);
-	unused = ticket_fleet_ticket(leaver);
-	spent = ticket_fleet_ticket(leaver);
-	finish(leaver, begin(leaver, &ran).run, 202);
-	loom_tickets_finish(leaver->tickets, begin(leaver, &cut).run,
+	source = &fleet.nodes[0];
+	ran = ticket_fleet_ticket(source);
+	cut = ticket_fleet_ticket(source);
+	unused = ticket_fleet_ticket(source);
+	spent = ticket_fleet_ticket(source);
+	finish(source, begin(source, &ran).run, 202);
+	loom_tickets_finish(source->tickets, begin(source, &cut).run,
 	    LOOM_OUTCOME_UNKNOWN, LOOM_UPSTREAM_CUT, NULL);
 	loom_tickets_abandon(
-	    leaver->tickets, begin(leaver, &spent).run, LOOM_OVERLOAD);
-	ticket_fleet_drain(leaver);
-	CU_ASSERT_EQUAL(begin(leaver, &unused).code, LOOM_TICKET_MOVING);
-	CU_ASSERT_TRUE_FATAL(ticket_fleet_run_until_drained(&fleet, leaver));
-	out = begin(leaver, &unused);
+	    source->tickets, begin(source, &spent).run, LOOM_OVERLOAD);
+	ticket_fleet_drain(source);
+	CU_ASSERT_EQUAL(begin(source, &unused).code, LOOM_TICKET_MOVING);
+	CU_ASSERT_TRUE_FATAL(ticket_fleet_run_until_drained(&fleet, source));
+	out = begin(source, &unused);
 	CU_ASSERT_EQUAL_FATAL(out.code, LOOM_TICKET_MOVED);
-	heir = &fleet.nodes[out.heir_host_id - 1];
-	ticket_fleet_kill(leaver);
+	successor = &fleet.nodes[out.heir_host_id - 1];
+	ticket_fleet_kill(source);
 	ticket_fleet_step(&fleet);
 	ticket_fleet_step(&fleet);
-	CU_ASSERT_PTR_EQUAL(holder_of(&fleet, &spent, leaver), heir);
-	out = begin(heir, &ran);
+	CU_ASSERT_PTR_EQUAL(find_successor(&fleet, &spent, source), successor);
+	out = begin(successor, &ran);
 	CU_ASSERT_EQUAL_FATAL(out.verdict, LOOM_TICKET_VERDICT_ANSWER);
 	CU_ASSERT_EQUAL(out.answer->status, 202);
 	loom_answer_release(out.answer);
-	CU_ASSERT_EQUAL(begin(heir, &cut).code, LOOM_TICKET_UNKNOWN);
-	CU_ASSERT_EQUAL(begin(heir, &spent).code, LOOM_TICKET_SPENT);
-	CU_ASSERT_EQUAL(begin(heir, &unused).verdict, LOOM_TICKET_VERDICT_RUN);
+	CU_ASSERT_EQUAL(begin(successor, &cut).code, LOOM_TICKET_UNKNOWN);
+	CU_ASSERT_EQUAL(begin(successor, &spent).code, LOOM_TICKET_SPENT);
+	CU_ASSERT_EQUAL(
+	    begin(successor, &unused).verdict, LOOM_TICKET_VERDICT_RUN);
 	ticket_fleet_clear(&fleet);
 }
 
 /*
  * A host is replaced in place, under the same name.  Callers still send it
- * the tickets of its forerunner, whose heir is alive: it must point there
- * within moments and not call them lost.
+ * tickets of its previous incarnation, whose successor is alive.  It must name
+ * the successor within 100 ms and not report the tickets as lost.
  */
 static void
 test_replaced_in_place(void)
 {
 	struct loom_ticket ticket;
 	struct loom_ticket_begin out;
-	struct ticket_fleet_node *leaver;
+	struct ticket_fleet_node *source;
 	struct ticket_fleet fleet;
 	unsigned i;
 
 	ticket_fleet_init(&fleet, 3);
-	leaver = &fleet.nodes[0];
-	ticket = ticket_fleet_ticket(leaver);
-	ticket_fleet_drain(leaver);
-	CU_ASSERT_TRUE_FATAL(ticket_fleet_run_until_drained(&fleet, leaver));
-	ticket_fleet_kill(leaver);
+	source = &fleet.nodes[0];
+	ticket = ticket_fleet_ticket(source);
+	ticket_fleet_drain(source);
+	CU_ASSERT_TRUE_FATAL(ticket_fleet_run_until_drained(&fleet, source));
+	ticket_fleet_kill(source);
 	for (i = 0; i < 50; i++)
 		ticket_fleet_step(&fleet);
-	ticket_fleet_start(leaver);
+	ticket_fleet_start(source);
 	for (i = 0; i < 10; i++)
 		ticket_fleet_step(&fleet);
-	out = begin(leaver, &ticket);
+	out = begin(source, &ticket);
 	CU_ASSERT_EQUAL_FATAL(out.code, LOOM_TICKET_MOVED);
 	out = begin(&fleet.nodes[out.heir_host_id - 1], &ticket);
 	CU_ASSERT_EQUAL(out.verdict, LOOM_TICKET_VERDICT_RUN);
 	ticket_fleet_clear(&fleet);
 }
 
-/* A rolling replacement: the heir leaves as well, and what it inherited goes
- * along; after an hour the tickets are forgotten, never run. */
+/*
+ * A rolling replacement: the successor shuts down as well and hands over what
+ * it inherited.  After an hour the tickets are forgotten and never run.
+ */
 static void
-test_chain_of_heirs(void)
+test_successive_handovers(void)
 {
 	struct loom_ticket ticket, late;
 	struct loom_ticket_begin out;
@@ -316,7 +327,7 @@
 	ticket_fleet_clear(&fleet);
 }
 
-/* Which message of the hand-over a test loses for ever. */
+/* Drops all messages of the type in fleet->arg. */
 static bool
 drop_type(struct ticket_fleet *fleet, const struct ticket_fleet_node *from,
     const struct ticket_fleet_node *to, uint8_t type)
@@ -327,9 +338,9 @@
 }
 
 /*
- * The heir installs everything and runs a ticket, but no acknowledgement
- * comes back.  The leaver must neither run the ticket nor give it to a second
- * heir: it counts as handed over.
+ * The successor installs the state and runs a ticket, but no acknowledgement
+ * arrives.  The source must neither run the ticket nor hand it to a second
+ * successor; it counts as handed over.
  */
 static void
 test_lost_acknowledgement(void)
@@ -337,29 +348,29 @@
 	uint8_t lost = HANDOVER_ACK;
 	struct loom_ticket_begin out;
 	struct loom_ticket ticket;
-	struct ticket_fleet_node *leaver;
+	struct ticket_fleet_node *source;
 	struct ticket_fleet fleet;
 	unsigned i, runs = 0;
 
 	ticket_fleet_init(&fleet, 4);
 	fleet.drop = drop_type;
 	fleet.arg = &lost;
-	leaver = &fleet.nodes[0];
-	ticket = ticket_fleet_ticket(leaver);
-	ticket_fleet_drain(leaver);
-	CU_ASSERT_TRUE_FATAL(ticket_fleet_run_until_drained(&fleet, leaver));
+	source = &fleet.nodes[0];
+	ticket = ticket_fleet_ticket(source);
+	ticket_fleet_drain(source);
+	CU_ASSERT_TRUE_FATAL(ticket_fleet_run_until_drained(&fleet, source));
 	for (i = 0; i < FLEET_NODES; i++) {
 		out = begin(&fleet.nodes[i], &ticket);
 		runs += out.verdict == LOOM_TICKET_VERDICT_RUN;
 	}
 	CU_ASSERT_EQUAL(runs, 1);
-	CU_ASSERT_EQUAL(begin(leaver, &ticket).code, LOOM_TICKET_MOVED);
+	CU_ASSERT_EQUAL(begin(source, &ticket).code, LOOM_TICKET_MOVED);
 	ticket_fleet_clear(&fleet);
 }
 
 /*
- * The first candidate's word is slow, the leaver asks a second one, and both
- * accept.  If both were sent the state, both would run the ticket.
+ * The reply of the first candidate is slow, so the source asks a second one,
+ * and both accept.  If both got the state, both would run the ticket.
  */
 static void
 test_two_accept(void)
@@ -402,34 +413,35 @@
 }
 
 /*
- * The heir installs, runs a ticket and is killed before its acknowledgement
- * arrives; it starts again and the leaver's chunks, resent, reach its new
- * incarnation.  If that took them, the ticket would run a second time.
+ * The successor installs the state, runs a ticket, and is killed before its
+ * acknowledgement arrives.  It starts again, and chunks that the source resends
+ * reach its new incarnation.  If that accepted them, the ticket would run
+ * twice.
  */
 static void
-test_heir_restarts(void)
+test_successor_restarts(void)
 {
 	struct loom_ticket ticket;
-	struct ticket_fleet_node *leaver;
+	struct ticket_fleet_node *source;
 	struct ticket_fleet fleet;
 	unsigned i, runs = 0;
 
 	ticket_fleet_init(&fleet, 5);
-	leaver = &fleet.nodes[0];
-	ticket = ticket_fleet_ticket(leaver);
+	source = &fleet.nodes[0];
+	ticket = ticket_fleet_ticket(source);
 	watched_type = HANDOVER_ACK;
 	watched_to = NULL;
 	fleet.drop = watch_type;
-	ticket_fleet_drain(leaver);
+	ticket_fleet_drain(source);
 	while (watched_to == NULL)
 		ticket_fleet_step(&fleet);
 	runs += begin(watched_from, &ticket).verdict == LOOM_TICKET_VERDICT_RUN;
-	/* The acknowledgement dies with its sender's connection. */
+	/* The acknowledgement is lost with its sender's connection. */
 	for (i = 0; i < fleet.messages->len; i++)
 		g_array_set_size(fleet.messages, 0);
 	ticket_fleet_kill(watched_from);
 	ticket_fleet_start(watched_from);
-	CU_ASSERT_TRUE_FATAL(ticket_fleet_run_until_drained(&fleet, leaver));
+	CU_ASSERT_TRUE_FATAL(ticket_fleet_run_until_drained(&fleet, source));
 	for (i = 0; i < FLEET_NODES; i++)
 		runs += begin(&fleet.nodes[i], &ticket).verdict ==
 		    LOOM_TICKET_VERDICT_RUN;
@@ -438,47 +450,50 @@
 }
 
 /*
- * Copies of the chunks come late: after the heir has run the ticket, and
- * again after it has forgotten the leaver.  Installed again, the ticket would
- * be unused again.
+ * Copies of the chunks arrive late: after the successor has run the ticket, and
+ * again after it has forgotten the source.  If they were installed again, the
+ * ticket would be unused again.
  */
 static void
 test_late_chunks(void)
 {
 	struct loom_ticket ticket;
 	struct loom_ticket_begin out;
-	struct ticket_fleet_node *leaver, *heir;
+	struct ticket_fleet_node *source, *successor;
 	struct ticket_fleet fleet;
 	unsigned i;
 
 	ticket_fleet_init(&fleet, 6);
 	fleet.duplication = 0.9;
 	fleet.delay_us = 3 * LOOM_US_PER_S;
-	leaver = &fleet.nodes[0];
-	ticket = ticket_fleet_ticket(leaver);
-	ticket_fleet_drain(leaver);
-	CU_ASSERT_TRUE_FATAL(ticket_fleet_run_until_drained(&fleet, leaver));
-	out = begin(leaver, &ticket);
+	source = &fleet.nodes[0];
+	ticket = ticket_fleet_ticket(source);
+	ticket_fleet_drain(source);
+	CU_ASSERT_TRUE_FATAL(ticket_fleet_run_until_drained(&fleet, source));
+	out = begin(source, &ticket);
 	CU_ASSERT_EQUAL_FATAL(out.code, LOOM_TICKET_MOVED);
-	heir = &fleet.nodes[out.heir_host_id - 1];
-	finish(heir, begin(heir, &ticket).run, 200);
+	successor = &fleet.nodes[out.heir_host_id - 1];
+	finish(successor, begin(successor, &ticket).run, 200);
 	for (i = 0; i < 50; i++)
 		ticket_fleet_step(&fleet);
-	out = begin(heir, &ticket);
+	out = begin(successor, &ticket);
 	CU_ASSERT_EQUAL(out.verdict, LOOM_TICKET_VERDICT_ANSWER);
 	loom_answer_release(out.answer);
 	CU_ASSERT_TRUE(fleet.messages->len > 0);
 	fleet.now_us += 3601 * LOOM_US_PER_S;
-	loom_tickets_part.tick(heir->tickets, fleet.now_us);
-	CU_ASSERT_EQUAL(begin(heir, &ticket).code, LOOM_TICKET_LOST);
+	loom_tickets_part.tick(successor->tickets, fleet.now_us);
+	CU_ASSERT_EQUAL(begin(successor, &ticket).code, LOOM_TICKET_LOST);
 	ticket_fleet_step(&fleet);
-	CU_ASSERT_EQUAL(begin(heir, &ticket).code, LOOM_TICKET_LOST);
+	CU_ASSERT_EQUAL(begin(successor, &ticket).code, LOOM_TICKET_LOST);
 	ticket_fleet_clear(&fleet);
 }
 
-/* Nobody takes the hand-over: the leaver ends all the same, and says so. */
+/*
+ * No host accepts the handover.  The source must still finish, and must not
+ * name a successor.
+ */
 static void
-test_no_heir(void)
+test_no_successor(void)
 {
 	uint8_t lost = HANDOVER_OFFER;
 	struct loom_ticket ticket;
@@ -495,28 +510,28 @@
 	ticket_fleet_clear(&fleet);
 }
 
-/* A run that outlasts the wait is handed over as used. */
+/* The ticket of a run that outlasts the wait is handed over as used. */
 static void
 test_run_outlasts_wait(void)
 {
 	struct loom_ticket ticket;
 	struct loom_ticket_begin run;
-	struct ticket_fleet_node *leaver, *heir;
+	struct ticket_fleet_node *source, *successor;
 	struct ticket_fleet fleet;
 	uint64_t from_us;
 
 	ticket_fleet_init(&fleet, 8);
-	leaver = &fleet.nodes[0];
-	ticket = ticket_fleet_ticket(leaver);
-	run = begin(leaver, &ticket);
+	source = &fleet.nodes[0];
+	ticket = ticket_fleet_ticket(source);
+	run = begin(source, &ticket);
 	from_us = fleet.now_us;
-	ticket_fleet_drain(leaver);
-	CU_ASSERT_TRUE_FATAL(ticket_fleet_run_until_drained(&fleet, leaver));
+	ticket_fleet_drain(source);
+	CU_ASSERT_TRUE_FATAL(ticket_fleet_run_until_drained(&fleet, source));
 	CU_ASSERT_TRUE(fleet.now_us - from_us >= 10 * LOOM_US_PER_S);
-	finish(leaver, run.run, 200);
-	heir = holder_of(&fleet, &ticket, leaver);
-	CU_ASSERT_PTR_NOT_NULL_FATAL(heir);
-	CU_ASSERT_EQUAL(begin(heir, &ticket).code, LOOM_TICKET_UNKNOWN);
+	finish(source, run.run, 200);
+	successor = find_successor(&fleet, &ticket, source);
+	CU_ASSERT_PTR_NOT_NULL_FATAL(successor);
+	CU_ASSERT_EQUAL(begin(successor, &ticket).code, LOOM_TICKET_UNKNOWN);
 	ticket_fleet_clear(&fleet);
 }
 
@@ -527,7 +542,7 @@
 	struct loom_ticket *tickets;
 	unsigned n;
 	unsigned runs;
-	atomic_uint *ready; /* all begin together */
+	atomic_uint *ready; /* shared start barrier */
 };
 
 static gpointer
@@ -551,7 +566,10 @@
 	return NULL;
 }
 
-/* Workers get copies of the same tickets at the same time. */
+/*
+ * Several workers get copies of the same tickets at the same time; each ticket
+ * must run once.
+ */
 static void
 test_threads(void)
 {
@@ -580,17 +598,17 @@
 
 static const struct test_case tests[] = {
 	{ "forged", test_forged },
-	{ "whose ticket", test_whose },
+	{ "mismatched request", test_mismatched_request },
 	{ "waiters", test_waiters },
 	{ "restart", test_restart },
-	{ "hand-over", test_handover },
+	{ "handover", test_handover },
 	{ "replaced in place", test_replaced_in_place },
-	{ "chain of heirs", test_chain_of_heirs },
+	{ "successive handovers", test_successive_handovers },
 	{ "lost acknowledgement", test_lost_acknowledgement },
 	{ "two accept", test_two_accept },
-	{ "heir restarts", test_heir_restarts },
+	{ "successor restarts", test_successor_restarts },
 	{ "late chunks", test_late_chunks },
-	{ "no heir", test_no_heir },
+	{ "no successor", test_no_successor },
 	{ "run outlasts the wait", test_run_outlasts_wait },
 	{ "threads", test_threads },
 };
--- a/tests/decide/test_ticket_book.c
+++ b/tests/decide/test_ticket_book.c
@@ -109,7 +109,7 @@
 	enum loom_ticket_verdict verdict;
 	enum loom_result code;
 	enum loom_outcome outcome;
-} again[] = {
+} repeat_cases[] = {
 	{ "attaches while it runs", &order, WHILE_RUNNING,
 	    LOOM_TICKET_VERDICT_ATTACHED, LOOM_OK, LOOM_OUTCOME_NONE },
 	{ "another request while it runs", &other, WHILE_RUNNING,
@@ -134,34 +134,34 @@
  * the first run and after it.  The order must run once and have one answer.
  */
 static void
-test_again(void)
+test_repeated(void)
 {
 	struct loom_ticket_begin first, second;
 	struct ticket_store *store;
 	uint64_t number;
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(again); i++) {
+	for (i = 0; i < G_N_ELEMENTS(repeat_cases); i++) {
 		store = ticket_store_new(&small_limits);
 		number = issue(store, 1);
 		first = begin(store, number, &order, false);
 		CU_ASSERT_EQUAL(first.verdict, LOOM_TICKET_VERDICT_RUN);
-		if (again[i].end == RAN_KEPT)
+		if (repeat_cases[i].end == RAN_KEPT)
 			finish(store, first.run, LOOM_OUTCOME_RAN, 10);
-		if (again[i].end == RAN_LARGE)
+		if (repeat_cases[i].end == RAN_LARGE)
 			finish(store, first.run, LOOM_OUTCOME_RAN, 1001);
-		if (again[i].end == CUT)
+		if (repeat_cases[i].end == CUT)
 			finish(store, first.run, LOOM_OUTCOME_UNKNOWN, 0);
-		if (again[i].end == ABANDONED)
+		if (repeat_cases[i].end == ABANDONED)
 			g_array_free(
 			    ticket_store_abandon(store, first.run), TRUE);
-		second = begin(store, number, again[i].digest, false);
-		TEST_CHECK(second.verdict == again[i].verdict, "%s: %d",
-		    again[i].name, second.verdict);
-		TEST_CHECK(second.code == again[i].code, "%s: %d",
-		    again[i].name, second.code);
-		TEST_CHECK(second.outcome == again[i].outcome, "%s: %d",
-		    again[i].name, second.outcome);
+		second = begin(store, number, repeat_cases[i].digest, false);
+		TEST_CHECK(second.verdict == repeat_cases[i].verdict, "%s: %d",
+		    repeat_cases[i].name, second.verdict);
+		TEST_CHECK(second.code == repeat_cases[i].code, "%s: %d",
+		    repeat_cases[i].name, second.code);
+		TEST_CHECK(second.outcome == repeat_cases[i].outcome, "%s: %d",
+		    repeat_cases[i].name, second.outcome);
 		loom_answer_release(second.answer);
 		ticket_store_free(store);
 	}
@@ -169,7 +169,7 @@
 
 /*
  * The answer cache stays within its limit.  The least recently used answer is
- * evicted, and its ticket still does not run again.
+ * evicted, and its ticket still does not run repeat_cases.
  */
 static void
 test_kept_bound(void)
@@ -244,7 +244,7 @@
  * takes long; its caller is told early to retry.
  */
 static void
-test_waits_for_move(void)
+test_poll_limit(void)
 {
 	static const struct {
 		uint64_t remaining_us;
@@ -270,11 +270,11 @@
 
 static const struct test_case tests[] = {
 	{ "window", test_window },
-	{ "the same ticket again", test_again },
+	{ "repeated request", test_repeated },
 	{ "kept answers are bounded", test_kept_bound },
 	{ "waiters and teams are bounded", test_bounds },
 	{ "not run here", test_not_run_here },
-	{ "waits for a move", test_waits_for_move },
+	{ "poll limit", test_poll_limit },
 };
 
-TEST_MAIN("ticket book", tests)
+TEST_MAIN("ticket store", tests)
--- a/tests/support/ticket_fleet.c
+++ b/tests/support/ticket_fleet.c
@@ -1,5 +1,5 @@
 /*
- * The schedule player for tickets.
+ * The simulated fleet of ticket executors.
  */
 
 #include <stdio.h>
