--- a/include/loom/ticket.h
+++ b/include/loom/ticket.h
@@ -33,12 +33,12 @@
 #define LOOM_TICKET_MAC_SIZE 16
 /* Buffer size for the text of a ticket, including the final NUL. */
 #define LOOM_TICKET_TEXT_MAX 128
-/* Maximum of tickets issued by one call. */
+/* Maximum number of tickets issued by one call. */
 #define LOOM_TICKET_ISSUE_MAX 64
 
 /* The fields of a ticket that can be read without the executor's secret. */
 struct loom_ticket {
-	uint64_t host_id; /* the executor; only it may be sent the request */
+	uint64_t host_id; /* the executor; the request is sent only there */
 	uint64_t incarnation;
 	uint64_t team_id;
 	uint64_t route_id; /* loom_name_id() of the route's name */
--- a/src/control/tickets.c
+++ b/src/control/tickets.c
@@ -11,8 +11,8 @@
 #include "inner/ticket_text.h"
 
 /*
- * Maximum of incarnations of one service whose successor is remembered; enough
- * for months with 20 hosts that are replaced every few days.
+ * Maximum number of incarnations of one service whose successor is remembered;
+ * enough for months with 20 hosts that are replaced every few days.
  */
 #define SUCCESSORS_MAX 4096
 
--- a/src/decide/ticket_windows.c
+++ b/src/decide/ticket_windows.c
@@ -8,8 +8,8 @@
 #include "decide/ticket_windows.h"
 
 /*
- * Maximum of all windows, own and imported, as a multiple of the capacity for
- * own windows.
+ * Maximum number of windows, own and imported, as a multiple of the capacity
+ * for own windows.
  */
 #define TOTAL_WINDOWS_FACTOR 4
 
--- a/src/decide/ticket_windows.h
+++ b/src/decide/ticket_windows.h
@@ -13,7 +13,8 @@
 struct ticket_windows {
 	void *ctx; /* talloc context that owns the windows */
 	GHashTable *table;
-	uint32_t capacity; /* maximum of windows for tickets issued here */
+	uint32_t
+	    capacity; /* maximum number of windows for tickets issued here */
 };
 
 void ticket_windows_init(struct ticket_windows *, uint32_t capacity);
--- a/tests/control/test_control.c
+++ b/tests/control/test_control.c
@@ -214,7 +214,7 @@
 }
 
 static const struct test_case tests[] = {
-	{ "lifecycle", test_lifecycle },
+	{ "life", test_lifecycle },
 	{ "dropped", test_dropped },
 };
 
--- a/tests/support/ticket_fleet.c
+++ b/tests/support/ticket_fleet.c
@@ -24,7 +24,7 @@
 }
 
 static void
-put_message(
+enqueue_message(
     struct ticket_fleet *fleet, const struct ticket_fleet_message *message)
 {
 	struct ticket_fleet_message copy = *message;
@@ -52,9 +52,9 @@
 		return;
 	message.payload = g_bytes_new(payload, len);
 	if (loom_random_unit(&fleet->random) >= fleet->loss)
-		put_message(fleet, &message);
+		enqueue_message(fleet, &message);
 	while (loom_random_unit(&fleet->random) < fleet->duplication)
-		put_message(fleet, &message);
+		enqueue_message(fleet, &message);
 	g_bytes_unref(message.payload);
 }
 
--- a/tests/support/ticket_fleet.h
+++ b/tests/support/ticket_fleet.h
@@ -3,7 +3,7 @@
 
 /*
  * Simulates a few ticket executors of one service on one fake clock.  Their
- * control messages are lost, delayed, duplicated and reordered, and the
+ * control messages can be lost, delayed, duplicated and reordered, and the
  * executors can be paused, killed, drained and restarted.
  */
 
