--- a/src/decide/ticket_windows.h
+++ b/src/decide/ticket_windows.h
@@ -13,8 +13,7 @@
 struct ticket_windows {
 	void *ctx; /* talloc context that owns the windows */
 	GHashTable *table;
-	uint32_t
-	    capacity; /* maximum number of windows for tickets issued here */
+	uint32_t capacity; /* maximum number of windows of own issue */
 };
 
 void ticket_windows_init(struct ticket_windows *, uint32_t capacity);
