--- a/src/control/control.c
+++ b/src/control/control.c
@@ -177,6 +177,10 @@
 					: component->ops->busy_tick_us;
 }
 
+/*
+ * Reschedules the next tick of a component that has become busy since its timer
+ * was set with the idle period.
+ */
 static void
 shorten_tick_delay(struct control_component *component)
 {
--- a/src/control/handover.c
+++ b/src/control/handover.c
@@ -126,6 +126,7 @@
 		    handover_heir_pack(&successor, message));
 }
 
+/* Asks the hosts of the service whose tickets they have inherited. */
 static void
 query_successors(struct handover *handover, uint64_t now_us)
 {
--- a/src/control/tickets_state.h
+++ b/src/control/tickets_state.h
@@ -79,6 +79,10 @@
 void tickets_set_successor(
     struct loom_tickets *tickets, uint64_t incarnation, uint64_t host_id);
 
+/*
+ * Marks whether the handover of an incarnation to this daemon is in progress,
+ * in which case its tickets are refused with LOOM_TICKET_MOVING.
+ */
 void tickets_set_moving(
     struct loom_tickets *tickets, uint64_t incarnation, bool moving);
 
