--- a/include/loom/codec.h
+++ b/include/loom/codec.h
@@ -2,15 +2,16 @@
 #define LOOM_CODEC_H
 
 /*
- * Payloads between daemons: a flat run of msgpack scalars, strings and byte
- * strings.  A list is its count followed by its items.  Containers are never
- * written and are refused when read, so that a hostile count cannot make a
- * reader allocate: reading allocates nothing at all.
+ * Payloads of messages between daemons: a sequence of msgpack scalars, strings
+ * and byte strings. A list is encoded as its count followed by its items.
+ * Arrays, maps and extensions are never written and are rejected when read,
+ * because msgpack-c allocates as much as an array header announces. Reading
+ * allocates no memory at all.
  *
- * Both sides keep the first error.  Writing past the buffer, or reading past
- * the end, a wrong type or a value out of bounds, marks the packer or the
- * unpacker; calls after that do nothing and return zeros.  So a caller packs
- * or reads a whole message and checks once at its end.
+ * The packer and the unpacker each record the first error: a write past the
+ * buffer, a read past the end, a wrong type or a value out of bounds. Later
+ * calls do nothing, and reads return zeros. A caller can therefore pack or read
+ * a whole message and check for errors once at the end.
  */
 
 #include <stdbool.h>
@@ -19,22 +20,22 @@
 
 #include "loom/result.h"
 
-/* The largest payload that the transport takes, in bytes. */
+/* Maximum size of a payload that the transport accepts, in bytes. */
 #define LOOM_PAYLOAD_MAX (UINT32_C(1024) * 1024)
 
-/* The most that one packed integer, double or bool takes, in bytes. */
+/* Maximum encoded size of an integer, double or bool, in bytes. */
 #define LOOM_PACKED_SCALAR_MAX 9
-/* The most that a byte string's or string's head takes, in bytes. */
+/* Maximum encoded size of the header of a string or byte string, in bytes. */
 #define LOOM_PACKED_HEAD_MAX 5
 
 struct loom_packer {
-	uint8_t *data; /* borrowed from the caller */
+	uint8_t *data; /* owned by the caller */
 	size_t size; /* bytes at data */
 	size_t len; /* bytes written */
-	bool failed; /* something did not fit */
+	bool failed; /* a value did not fit */
 };
 
-/* Write into buf, which is borrowed for the packer's life. */
+/* Starts writing to buf, which must outlive the packer. */
 void loom_pack_init(struct loom_packer *, void *buf, size_t size);
 void loom_pack_u64(struct loom_packer *, uint64_t value);
 void loom_pack_i64(struct loom_packer *, int64_t value);
@@ -42,42 +43,58 @@
 void loom_pack_double(struct loom_packer *, double value);
 void loom_pack_bin(struct loom_packer *, const void *data, size_t len);
 void loom_pack_str(struct loom_packer *, const char *text);
-/* True when all of it fitted; then data and len are the message. */
+/*
+ * Returns true if everything fit; the message is then the first len bytes of
+ * data.
+ */
 bool loom_pack_ok(const struct loom_packer *);
 
 struct loom_unpacker {
 	const uint8_t *data; /* borrowed */
 	size_t len;
-	size_t offset; /* first byte not yet read */
-	enum loom_result error; /* the first error, LOOM_OK for none */
+	size_t offset; /* of the next byte to read */
+	enum loom_result error; /* the first error, or LOOM_OK */
 };
 
-/* Read from data, which is borrowed for the unpacker's life. */
+/* Starts reading data, which must outlive the unpacker. */
 void loom_unpack_init(struct loom_unpacker *, const void *data, size_t len);
-/* Integers in [0, max] and [min, max]. */
+/* Read an integer in [0, max] or [min, max]. */
 uint64_t loom_unpack_u64(struct loom_unpacker *, uint64_t max);
 int64_t loom_unpack_i64(struct loom_unpacker *, int64_t min, int64_t max);
 bool loom_unpack_bool(struct loom_unpacker *);
-/* Finite and in [min, max]. */
+/* Reads a finite number in [min, max]. */
 double loom_unpack_double(struct loom_unpacker *, double min, double max);
-/* At most max bytes; *len receives the length.  Borrowed from the message;
- * NULL after an error. */
+/*
+ * Reads a byte string of at most max bytes and sets *len to its length. Returns
+ * a pointer into the message, or NULL after an error.
+ */
 const uint8_t *loom_unpack_bin(struct loom_unpacker *, size_t max, size_t *len);
-/* Exactly len bytes, copied to out; zeros after an error. */
+/*
+ * Copies a byte string of exactly len bytes to out; fills out with zeros after
+ * an error.
+ */
 void loom_unpack_bin_exact(struct loom_unpacker *, void *out, size_t len);
-/* A string without NUL inside, copied with its end to out of size bytes
- * (size > 0); "" after an error. */
+/*
+ * Copies a string that contains no NUL to out, with a terminating NUL. It must
+ * fit in size bytes (size > 0). Sets out to "" after an error.
+ */
 void loom_unpack_str(struct loom_unpacker *, char *out, size_t size);
-/* The count of a list: at most max, and never more than the bytes left, so
- * that a loop over it is bounded by the message's own length. */
+/*
+ * Reads the count of a list, which must be at most max and at most the number
+ * of bytes left. The message's own length thus bounds a loop over the list.
+ */
 uint32_t loom_unpack_count(struct loom_unpacker *, uint32_t max);
-/* Mark the message as malformed: for checks of the caller's own. */
+/* Marks the message as malformed, for checks made by the caller. */
 void loom_unpack_reject(struct loom_unpacker *);
-/* The first error so far: LOOM_OK, LOOM_INNER_TRUNCATED or
- * LOOM_INNER_MALFORMED. */
+/*
+ * Returns the first error so far: LOOM_OK, LOOM_INNER_TRUNCATED or
+ * LOOM_INNER_MALFORMED.
+ */
 enum loom_result loom_unpack_error(const struct loom_unpacker *);
-/* True when nothing failed and nothing is left over: the last call on each
- * message. */
+/*
+ * Returns true if there was no error and no bytes are left. Must be the last
+ * call for each message.
+ */
 bool loom_unpack_end(struct loom_unpacker *);
 
 #endif
--- a/src/inner/codec.c
+++ b/src/inner/codec.c
@@ -1,10 +1,12 @@
 /*
- * Payloads as a flat run of msgpack objects, by msgpack-c.
+ * Encodes and decodes message payloads as a sequence of msgpack objects, with
+ * msgpack-c.
  *
- * msgpack-c's unpacker allocates the whole array that a head announces.  A
- * message of five bytes could so ask for gigabytes.  Therefore the type byte
- * is looked at first, and only scalars, strings and byte strings, which
- * msgpack-c hands out as pointers into the message, ever reach the unpacker.
+ * msgpack-c's unpacker allocates the whole array that an array header
+ * announces, so a message of five bytes could make it allocate gigabytes. The
+ * reader therefore checks the type byte first. Only scalars, strings and byte
+ * strings reach the unpacker; msgpack-c returns strings and byte strings as
+ * pointers into the message.
  */
 
 #include <math.h>
@@ -28,7 +30,7 @@
 }
 
 static msgpack_packer
-writer(struct loom_packer *packer)
+init_msgpack_packer(struct loom_packer *packer)
 {
 	return (msgpack_packer){ .data = packer, .callback = write_bytes };
 }
@@ -42,7 +44,7 @@
 void
 loom_pack_u64(struct loom_packer *packer, uint64_t value)
 {
-	msgpack_packer pk = writer(packer);
+	msgpack_packer pk = init_msgpack_packer(packer);
 
 	msgpack_pack_uint64(&pk, value);
 }
@@ -50,7 +52,7 @@
 void
 loom_pack_i64(struct loom_packer *packer, int64_t value)
 {
-	msgpack_packer pk = writer(packer);
+	msgpack_packer pk = init_msgpack_packer(packer);
 
 	msgpack_pack_int64(&pk, value);
 }
@@ -58,7 +60,7 @@
 void
 loom_pack_bool(struct loom_packer *packer, bool value)
 {
-	msgpack_packer pk = writer(packer);
+	msgpack_packer pk = init_msgpack_packer(packer);
 
 	if (value)
 		msgpack_pack_true(&pk);
@@ -69,7 +71,7 @@
 void
 loom_pack_double(struct loom_packer *packer, double value)
 {
-	msgpack_packer pk = writer(packer);
+	msgpack_packer pk = init_msgpack_packer(packer);
 
 	msgpack_pack_double(&pk, value);
 }
@@ -77,7 +79,7 @@
 void
 loom_pack_bin(struct loom_packer *packer, const void *data, size_t len)
 {
-	msgpack_packer pk = writer(packer);
+	msgpack_packer pk = init_msgpack_packer(packer);
 
 	if (len > LOOM_PAYLOAD_MAX) {
 		packer->failed = true;
@@ -91,7 +93,7 @@
 void
 loom_pack_str(struct loom_packer *packer, const char *text)
 {
-	msgpack_packer pk = writer(packer);
+	msgpack_packer pk = init_msgpack_packer(packer);
 	size_t len = strlen(text);
 
 	if (len > LOOM_PAYLOAD_MAX) {
@@ -116,30 +118,34 @@
 }
 
 static void
-fail(struct loom_unpacker *unpacker, enum loom_result code)
+set_error(struct loom_unpacker *unpacker, enum loom_result code)
 {
 	if (unpacker->error == LOOM_OK)
 		unpacker->error = code;
 }
 
-/* False for arrays, maps, extensions and the byte that is never used. */
+/*
+ * Returns false for arrays, maps, extensions and the unassigned type byte 0xc1.
+ */
 static bool
-is_flat(uint8_t type)
+is_allowed_type(uint8_t type)
 {
 	if (type >= 0x80 && type <= 0x9f)
 		return false; /* fixmap, fixarray */
 	if (type == 0xc1 || (type >= 0xc7 && type <= 0xc9))
-		return false; /* never used; ext 8, 16, 32 */
+		return false; /* unassigned; ext 8, 16, 32 */
 	if (type >= 0xd4 && type <= 0xd8)
 		return false; /* fixext */
 	return type < 0xdc || type > 0xdf; /* array and map 16, 32 */
 }
 
-/* The next object; false, with the error kept, when there is none of the
- * type.  The object points into the message. */
+/*
+ * Reads the next object, which must have the given type. Otherwise records the
+ * error and returns false. The object points into the message.
+ */
 static bool
-next_object(
-    struct loom_unpacker *unpacker, msgpack_object_type type, msgpack_object *o)
+unpack_object(struct loom_unpacker *unpacker, msgpack_object_type type,
+    msgpack_object *out)
 {
 	msgpack_unpacked unpacked;
 	msgpack_unpack_return result;
@@ -147,22 +153,22 @@
 	if (unpacker->error != LOOM_OK)
 		return false;
 	if (unpacker->offset >= unpacker->len) {
-		fail(unpacker, LOOM_INNER_TRUNCATED);
+		set_error(unpacker, LOOM_INNER_TRUNCATED);
 		return false;
 	}
-	if (!is_flat(unpacker->data[unpacker->offset])) {
-		fail(unpacker, LOOM_INNER_MALFORMED);
+	if (!is_allowed_type(unpacker->data[unpacker->offset])) {
+		set_error(unpacker, LOOM_INNER_MALFORMED);
 		return false;
 	}
 	msgpack_unpacked_init(&unpacked);
 	result = msgpack_unpack_next(&unpacked, (const char *)unpacker->data,
 	    unpacker->len, &unpacker->offset);
-	*o = unpacked.data;
+	*out = unpacked.data;
 	msgpack_unpacked_destroy(&unpacked);
 	if (result == MSGPACK_UNPACK_CONTINUE)
-		fail(unpacker, LOOM_INNER_TRUNCATED);
-	else if (result != MSGPACK_UNPACK_SUCCESS || o->type != type)
-		fail(unpacker, LOOM_INNER_MALFORMED);
+		set_error(unpacker, LOOM_INNER_TRUNCATED);
+	else if (result != MSGPACK_UNPACK_SUCCESS || out->type != type)
+		set_error(unpacker, LOOM_INNER_MALFORMED);
 	return unpacker->error == LOOM_OK;
 }
 
@@ -171,10 +177,10 @@
 {
 	msgpack_object object;
 
-	if (!next_object(unpacker, MSGPACK_OBJECT_POSITIVE_INTEGER, &object))
+	if (!unpack_object(unpacker, MSGPACK_OBJECT_POSITIVE_INTEGER, &object))
 		return 0;
 	if (object.via.u64 > max) {
-		fail(unpacker, LOOM_INNER_MALFORMED);
+		set_error(unpacker, LOOM_INNER_MALFORMED);
 		return 0;
 	}
 	return object.via.u64;
@@ -188,23 +194,24 @@
 	bool negative;
 
 	if (unpacker->offset >= unpacker->len) {
-		fail(unpacker, LOOM_INNER_TRUNCATED);
+		set_error(unpacker, LOOM_INNER_TRUNCATED);
 		return 0;
 	}
-	/* msgpack writes a signed number that is not negative as unsigned. */
+	/* msgpack-c encodes a non-negative signed integer as unsigned. */
 	type = unpacker->data[unpacker->offset];
 	negative = type >= 0xe0 || (type >= 0xd0 && type <= 0xd3);
 	if (negative) {
-		msgpack_object_type want = MSGPACK_OBJECT_NEGATIVE_INTEGER;
+		msgpack_object_type expected_type =
+		    MSGPACK_OBJECT_NEGATIVE_INTEGER;
 
-		if (!next_object(unpacker, want, &object))
+		if (!unpack_object(unpacker, expected_type, &object))
 			return 0;
 	} else {
 		object.via.i64 = (int64_t)loom_unpack_u64(unpacker, INT64_MAX);
 	}
 	if (unpacker->error == LOOM_OK &&
 	    (object.via.i64 < min || object.via.i64 > max))
-		fail(unpacker, LOOM_INNER_MALFORMED);
+		set_error(unpacker, LOOM_INNER_MALFORMED);
 	return unpacker->error == LOOM_OK ? object.via.i64 : 0;
 }
 
@@ -213,7 +220,7 @@
 {
 	msgpack_object object;
 
-	return next_object(unpacker, MSGPACK_OBJECT_BOOLEAN, &object) &&
+	return unpack_object(unpacker, MSGPACK_OBJECT_BOOLEAN, &object) &&
 	    object.via.boolean;
 }
 
@@ -222,11 +229,11 @@
 {
 	msgpack_object object;
 
-	if (!next_object(unpacker, MSGPACK_OBJECT_FLOAT64, &object))
+	if (!unpack_object(unpacker, MSGPACK_OBJECT_FLOAT64, &object))
 		return 0;
 	if (!isfinite(object.via.f64) || object.via.f64 < min ||
 	    object.via.f64 > max) {
-		fail(unpacker, LOOM_INNER_MALFORMED);
+		set_error(unpacker, LOOM_INNER_MALFORMED);
 		return 0;
 	}
 	return object.via.f64;
@@ -238,10 +245,10 @@
 	msgpack_object object;
 
 	*len = 0;
-	if (!next_object(unpacker, MSGPACK_OBJECT_BIN, &object))
+	if (!unpack_object(unpacker, MSGPACK_OBJECT_BIN, &object))
 		return NULL;
 	if (object.via.bin.size > max) {
-		fail(unpacker, LOOM_INNER_MALFORMED);
+		set_error(unpacker, LOOM_INNER_MALFORMED);
 		return NULL;
 	}
 	*len = object.via.bin.size;
@@ -252,11 +259,11 @@
 loom_unpack_bin_exact(struct loom_unpacker *unpacker, void *out, size_t len)
 {
 	const uint8_t *data;
-	size_t got;
+	size_t actual_len;
 
-	data = loom_unpack_bin(unpacker, len, &got);
-	if (unpacker->error == LOOM_OK && got != len)
-		fail(unpacker, LOOM_INNER_MALFORMED);
+	data = loom_unpack_bin(unpacker, len, &actual_len);
+	if (unpacker->error == LOOM_OK && actual_len != len)
+		set_error(unpacker, LOOM_INNER_MALFORMED);
 	if (unpacker->error == LOOM_OK && len > 0)
 		memcpy(out, data, len);
 	else if (len > 0)
@@ -269,13 +276,13 @@
 	msgpack_object object;
 
 	out[0] = '\0';
-	if (!next_object(unpacker, MSGPACK_OBJECT_STR, &object))
+	if (!unpack_object(unpacker, MSGPACK_OBJECT_STR, &object))
 		return;
 	if (object.via.str.size == 0)
 		return;
 	if (object.via.str.size >= size ||
 	    memchr(object.via.str.ptr, '\0', object.via.str.size) != NULL) {
-		fail(unpacker, LOOM_INNER_MALFORMED);
+		set_error(unpacker, LOOM_INNER_MALFORMED);
 		return;
 	}
 	memcpy(out, object.via.str.ptr, object.via.str.size);
@@ -288,7 +295,7 @@
 	uint64_t count = loom_unpack_u64(unpacker, max);
 
 	if (count > unpacker->len - unpacker->offset) {
-		fail(unpacker, LOOM_INNER_TRUNCATED);
+		set_error(unpacker, LOOM_INNER_TRUNCATED);
 		return 0;
 	}
 	return (uint32_t)count;
@@ -297,7 +304,7 @@
 void
 loom_unpack_reject(struct loom_unpacker *unpacker)
 {
-	fail(unpacker, LOOM_INNER_MALFORMED);
+	set_error(unpacker, LOOM_INNER_MALFORMED);
 }
 
 enum loom_result
@@ -310,6 +317,6 @@
 loom_unpack_end(struct loom_unpacker *unpacker)
 {
 	if (unpacker->offset != unpacker->len)
-		fail(unpacker, LOOM_INNER_MALFORMED);
+		set_error(unpacker, LOOM_INNER_MALFORMED);
 	return unpacker->error == LOOM_OK;
 }
--- a/src/inner/codec_retry.c
+++ b/src/inner/codec_retry.c
@@ -1,5 +1,5 @@
 /*
- * Messages of the retry part: three scalars each.
+ * Encodes and decodes the retry messages, which consist of three scalars each.
  */
 
 #include "inner/codec_retry.h"
--- a/src/inner/codec_retry.h
+++ b/src/inner/codec_retry.h
@@ -1,17 +1,20 @@
 #ifndef LOOM_INNER_CODEC_RETRY_H
 #define LOOM_INNER_CODEC_RETRY_H
 
-/* The question for one retry and its answer. */
+/*
+ * Messages that ask the root's home daemon for permission to retry a call once,
+ * and that answer the request.
+ */
 
 #include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
 
-/* Bytes that hold either message. */
+/* Buffer size that is enough for either message. */
 #define LOOM_RETRY_MESSAGE_MAX 32
 
 struct loom_retry_question {
-	uint64_t number; /* the asker's own */
+	uint64_t number; /* assigned by the requester */
 	uint64_t home_incarnation;
 	uint64_t root_id;
 };
@@ -22,13 +25,13 @@
 	bool granted;
 };
 
-/* Bytes written. */
+/* Return the number of bytes written, or 0 if the message did not fit. */
 size_t loom_retry_question_pack(
     const struct loom_retry_question *, uint8_t *buf, size_t size);
 size_t loom_retry_answer_pack(
     const struct loom_retry_answer *, uint8_t *buf, size_t size);
 
-/* False for anything malformed. */
+/* Return false if the message is malformed. */
 bool loom_retry_question_unpack(
     struct loom_retry_question *, const uint8_t *data, size_t len);
 bool loom_retry_answer_unpack(
--- a/src/inner/codec_rights.c
+++ b/src/inner/codec_rights.c
@@ -1,9 +1,10 @@
 /*
- * Messages of the rights part as flat runs of msgpack integers.
+ * Encodes and decodes the messages on team rights as a sequence of msgpack
+ * integers.
  *
- * Fields that are often nothing are left out, by a bit set of those that are
- * there: a renewal of a team that changed nothing is a third of the bytes of
- * a full one.
+ * Entry fields that are zero are omitted; a bit mask tells which fields are
+ * present. This makes a renewal for a team without changes a third of the size
+ * of a full entry.
  */
 
 #include "inner/codec_rights.h"
@@ -17,13 +18,14 @@
 #define UP_FIELDS 8
 #define DOWN_FIELDS 6
 
-struct field {
+struct field_codec {
 	uint64_t *value;
 	uint64_t max;
 };
 
 static void
-pack_fields(struct loom_packer *packer, const struct field *fields, unsigned n)
+pack_fields(
+    struct loom_packer *packer, const struct field_codec *fields, unsigned n)
 {
 	uint64_t present = 0;
 	unsigned i;
@@ -40,8 +42,8 @@
 }
 
 static void
-unpack_fields(
-    struct loom_unpacker *unpacker, const struct field *fields, unsigned n)
+unpack_fields(struct loom_unpacker *unpacker, const struct field_codec *fields,
+    unsigned n)
 {
 	uint64_t present = loom_unpack_u64(unpacker, (UINT64_C(1) << n) - 1);
 	unsigned i;
@@ -55,32 +57,35 @@
 }
 
 static void
-up_fields(struct loom_rights_up_entry *entry, struct field fields[UP_FIELDS])
+up_entry_fields(
+    struct loom_rights_up_entry *entry, struct field_codec fields[UP_FIELDS])
 {
 	unsigned i = 0;
 
-	fields[i++] = (struct field){ &entry->got_seq, UINT64_MAX };
-	fields[i++] = (struct field){ &entry->keep.refill, LOOM_WHOLE };
-	fields[i++] = (struct field){ &entry->keep.capacity, LOOM_WHOLE };
-	fields[i++] = (struct field){ &entry->held_utok, UTOK_MAX };
-	fields[i++] = (struct field){ &entry->need_utok, UTOK_MAX };
-	fields[i++] = (struct field){ &entry->first_utok, UTOK_MAX };
-	fields[i++] = (struct field){ &entry->ahead_utok, UTOK_MAX };
-	fields[i++] = (struct field){ &entry->give_utok, UTOK_MAX };
+	fields[i++] = (struct field_codec){ &entry->got_seq, UINT64_MAX };
+	fields[i++] = (struct field_codec){ &entry->keep.refill, LOOM_WHOLE };
+	fields[i++] = (struct field_codec){ &entry->keep.capacity, LOOM_WHOLE };
+	fields[i++] = (struct field_codec){ &entry->held_utok, UTOK_MAX };
+	fields[i++] = (struct field_codec){ &entry->need_utok, UTOK_MAX };
+	fields[i++] = (struct field_codec){ &entry->first_utok, UTOK_MAX };
+	fields[i++] = (struct field_codec){ &entry->ahead_utok, UTOK_MAX };
+	fields[i++] = (struct field_codec){ &entry->give_utok, UTOK_MAX };
 }
 
 static void
-down_fields(
-    struct loom_rights_down_entry *entry, struct field fields[DOWN_FIELDS])
+down_entry_fields(struct loom_rights_down_entry *entry,
+    struct field_codec fields[DOWN_FIELDS])
 {
 	unsigned i = 0;
 
-	fields[i++] = (struct field){ &entry->share.refill, LOOM_WHOLE };
-	fields[i++] = (struct field){ &entry->share.capacity, LOOM_WHOLE };
-	fields[i++] = (struct field){ &entry->tokens_utok, UTOK_MAX };
-	fields[i++] = (struct field){ &entry->flash_utok, UTOK_MAX };
-	fields[i++] = (struct field){ &entry->duration_us, DURATION_MAX_US };
-	fields[i++] = (struct field){ &entry->retry_us, DURATION_MAX_US };
+	fields[i++] = (struct field_codec){ &entry->share.refill, LOOM_WHOLE };
+	fields[i++] =
+	    (struct field_codec){ &entry->share.capacity, LOOM_WHOLE };
+	fields[i++] = (struct field_codec){ &entry->tokens_utok, UTOK_MAX };
+	fields[i++] = (struct field_codec){ &entry->flash_utok, UTOK_MAX };
+	fields[i++] =
+	    (struct field_codec){ &entry->duration_us, DURATION_MAX_US };
+	fields[i++] = (struct field_codec){ &entry->retry_us, DURATION_MAX_US };
 }
 
 static size_t
@@ -93,7 +98,7 @@
 loom_rights_up_pack(const struct loom_rights_up *up, uint8_t *buf, size_t size)
 {
 	struct loom_rights_up_entry entry;
-	struct field fields[UP_FIELDS];
+	struct field_codec fields[UP_FIELDS];
 	struct loom_packer packer;
 	uint32_t i;
 
@@ -108,7 +113,7 @@
 	loom_pack_u64(&packer, up->nentries);
 	for (i = 0; i < up->nentries; i++) {
 		entry = up->entries[i];
-		up_fields(&entry, fields);
+		up_entry_fields(&entry, fields);
 		loom_pack_u64(&packer, entry.team_id);
 		loom_pack_u64(&packer, entry.demand_mhz);
 		pack_fields(&packer, fields, UP_FIELDS);
@@ -121,7 +126,7 @@
     struct loom_rights_up *up, const uint8_t *data, size_t len)
 {
 	struct loom_rights_up_entry *entry;
-	struct field fields[UP_FIELDS];
+	struct field_codec fields[UP_FIELDS];
 	struct loom_unpacker unpacker;
 	uint32_t i;
 
@@ -136,7 +141,7 @@
 	up->nentries = loom_unpack_count(&unpacker, LOOM_RIGHTS_ENTRIES_MAX);
 	for (i = 0; i < up->nentries; i++) {
 		entry = &up->entries[i];
-		up_fields(entry, fields);
+		up_entry_fields(entry, fields);
 		entry->team_id = loom_unpack_u64(&unpacker, UINT64_MAX);
 		entry->demand_mhz = loom_unpack_u64(&unpacker, DEMAND_MAX_MHZ);
 		unpack_fields(&unpacker, fields, UP_FIELDS);
@@ -149,7 +154,7 @@
     const struct loom_rights_down *down, uint8_t *buf, size_t size)
 {
 	struct loom_rights_down_entry entry;
-	struct field fields[DOWN_FIELDS];
+	struct field_codec fields[DOWN_FIELDS];
 	struct loom_packer packer;
 	uint32_t i;
 
@@ -162,7 +167,7 @@
 	loom_pack_u64(&packer, down->nentries);
 	for (i = 0; i < down->nentries; i++) {
 		entry = down->entries[i];
-		down_fields(&entry, fields);
+		down_entry_fields(&entry, fields);
 		loom_pack_u64(&packer, entry.team_id);
 		loom_pack_u64(&packer, entry.flags);
 		pack_fields(&packer, fields, DOWN_FIELDS);
@@ -175,7 +180,7 @@
     struct loom_rights_down *down, const uint8_t *data, size_t len)
 {
 	struct loom_rights_down_entry *entry;
-	struct field fields[DOWN_FIELDS];
+	struct field_codec fields[DOWN_FIELDS];
 	struct loom_unpacker unpacker;
 	uint32_t i;
 
@@ -188,7 +193,7 @@
 	down->nentries = loom_unpack_count(&unpacker, LOOM_RIGHTS_ENTRIES_MAX);
 	for (i = 0; i < down->nentries; i++) {
 		entry = &down->entries[i];
-		down_fields(entry, fields);
+		down_entry_fields(entry, fields);
 		entry->team_id = loom_unpack_u64(&unpacker, UINT64_MAX);
 		entry->flags = (uint32_t)loom_unpack_u64(&unpacker, FLAGS_MAX);
 		unpack_fields(&unpacker, fields, DOWN_FIELDS);
--- a/src/inner/context.c
+++ b/src/inner/context.c
@@ -1,9 +1,9 @@
 /*
- * The text of a context: msgpack scalars, a MAC behind them, base64url.
+ * Encodes contexts as text: msgpack scalars followed by a MAC, in base64url.
  *
- * Nothing is read before the MAC holds, and the MAC's key is derived from the
- * fleet's secret for this purpose alone, so that no other text of the fleet
- * can pass as a context.
+ * The MAC is verified before anything is parsed. Its key is derived from the
+ * fleet secret for this purpose alone, so that no other authenticated text of
+ * the fleet is accepted as a context.
  */
 
 #include <sodium.h>
@@ -17,10 +17,13 @@
 
 #define CONTEXT_VERSION 2
 
-/* What the text leaves out, since most calls have none or it stands there
- * already: it goes with each call, and bytes between data centres cost. */
-#define FLAG_TEAM 1 /* a team and a key */
-#define FLAG_HOME 2 /* a home that is not the issuer */
+/*
+ * Flags for optional fields. The context is sent with every call, and traffic
+ * between data centres is expensive, so fields are omitted when they are unset
+ * or equal to another field.
+ */
+#define FLAG_TEAM 1 /* has a team id and a key prefix */
+#define FLAG_HOME 2 /* the home is not the issuer */
 #define FLAG_WANTS_TICKET 4
 #define FLAGS_ALL (FLAG_TEAM | FLAG_HOME | FLAG_WANTS_TICKET)
 #define CONTEXT_BYTES_MAX 224
@@ -34,20 +37,20 @@
 }
 
 static bool
-is_home(const struct loom_context *context)
+issuer_is_home(const struct loom_context *context)
 {
 	return context->home_host_id == context->issuer_host_id &&
 	    context->home_incarnation == context->issuer_incarnation;
 }
 
 static uint64_t
-flags_of(const struct loom_context *context)
+context_flags(const struct loom_context *context)
 {
 	uint64_t flags = 0;
 
 	if (context->team_id != 0)
 		flags |= FLAG_TEAM;
-	if (!is_home(context))
+	if (!issuer_is_home(context))
 		flags |= FLAG_HOME;
 	if (context->wants_ticket)
 		flags |= FLAG_WANTS_TICKET;
@@ -57,7 +60,7 @@
 static void
 pack_context(struct loom_packer *packer, const struct loom_context *context)
 {
-	const uint64_t flags = flags_of(context);
+	const uint64_t flags = context_flags(context);
 
 	loom_pack_u64(packer, CONTEXT_VERSION);
 	loom_pack_u64(packer, context->kind);
@@ -84,51 +87,52 @@
 }
 
 static void
-unpack_home(
-    struct loom_unpacker *in, uint64_t flags, struct loom_context *context)
+unpack_home(struct loom_unpacker *unpacker, uint64_t flags,
+    struct loom_context *context)
 {
 	if ((flags & FLAG_HOME) == 0) {
 		context->home_host_id = context->issuer_host_id;
 		context->home_incarnation = context->issuer_incarnation;
 		return;
 	}
-	context->home_host_id = loom_unpack_u64(in, UINT64_MAX);
-	context->home_incarnation = loom_unpack_u64(in, UINT64_MAX);
+	context->home_host_id = loom_unpack_u64(unpacker, UINT64_MAX);
+	context->home_incarnation = loom_unpack_u64(unpacker, UINT64_MAX);
 }
 
 static bool
 unpack_context(const uint8_t *data, size_t len, struct loom_context *context)
 {
-	struct loom_unpacker in;
+	struct loom_unpacker unpacker;
 	uint64_t flags;
 
-	loom_unpack_init(&in, data, len);
-	if (loom_unpack_u64(&in, CONTEXT_VERSION) != CONTEXT_VERSION)
+	loom_unpack_init(&unpacker, data, len);
+	if (loom_unpack_u64(&unpacker, CONTEXT_VERSION) != CONTEXT_VERSION)
 		return false;
-	context->kind =
-	    (enum loom_context_kind)loom_unpack_u64(&in, LOOM_CONTEXT_UPSTREAM);
-	flags = loom_unpack_u64(&in, FLAGS_ALL);
+	context->kind = (enum loom_context_kind)loom_unpack_u64(
+	    &unpacker, LOOM_CONTEXT_UPSTREAM);
+	flags = loom_unpack_u64(&unpacker, FLAGS_ALL);
 	loom_unpack_bin_exact(
-	    &in, context->root.bytes, sizeof(context->root.bytes));
+	    &unpacker, context->root.bytes, sizeof(context->root.bytes));
 	loom_unpack_bin_exact(
-	    &in, context->call.bytes, sizeof(context->call.bytes));
+	    &unpacker, context->call.bytes, sizeof(context->call.bytes));
 	if ((flags & FLAG_TEAM) != 0) {
-		context->team_id = loom_unpack_u64(&in, UINT64_MAX);
-		loom_unpack_bin_exact(
-		    &in, context->key_prefix, sizeof(context->key_prefix));
+		context->team_id = loom_unpack_u64(&unpacker, UINT64_MAX);
+		loom_unpack_bin_exact(&unpacker, context->key_prefix,
+		    sizeof(context->key_prefix));
 	}
-	context->importance =
-	    (enum loom_importance)loom_unpack_u64(&in, LOOM_IMPORTANCES - 1);
-	context->remaining_us = loom_unpack_u64(&in, LOOM_DEADLINE_MAX_US);
-	context->hops = (uint8_t)loom_unpack_u64(&in, UINT8_MAX);
-	context->audience_host_id = loom_unpack_u64(&in, UINT64_MAX);
-	context->audience_incarnation = loom_unpack_u64(&in, UINT64_MAX);
-	context->audience_stamp_us = loom_unpack_u64(&in, UINT64_MAX);
-	context->issuer_host_id = loom_unpack_u64(&in, UINT64_MAX);
-	context->issuer_incarnation = loom_unpack_u64(&in, UINT64_MAX);
-	unpack_home(&in, flags, context);
+	context->importance = (enum loom_importance)loom_unpack_u64(
+	    &unpacker, LOOM_IMPORTANCES - 1);
+	context->remaining_us =
+	    loom_unpack_u64(&unpacker, LOOM_DEADLINE_MAX_US);
+	context->hops = (uint8_t)loom_unpack_u64(&unpacker, UINT8_MAX);
+	context->audience_host_id = loom_unpack_u64(&unpacker, UINT64_MAX);
+	context->audience_incarnation = loom_unpack_u64(&unpacker, UINT64_MAX);
+	context->audience_stamp_us = loom_unpack_u64(&unpacker, UINT64_MAX);
+	context->issuer_host_id = loom_unpack_u64(&unpacker, UINT64_MAX);
+	context->issuer_incarnation = loom_unpack_u64(&unpacker, UINT64_MAX);
+	unpack_home(&unpacker, flags, context);
 	context->wants_ticket = (flags & FLAG_WANTS_TICKET) != 0;
-	return loom_unpack_end(&in);
+	return loom_unpack_end(&unpacker);
 }
 
 size_t
@@ -156,17 +160,21 @@
 		return LOOM_CONTEXT_INVALID;
 	if (context->audience_incarnation == expect->incarnation)
 		return LOOM_OK;
-	/* The issuer of a peer context can learn better; the call of an
-	 * upstream context ended with the incarnation that ran it. */
+	/*
+	 * The issuer of a peer context can learn the current incarnation and
+	 * retry. The call of an upstream context ended with the incarnation
+	 * that executed it.
+	 */
 	return context->kind == LOOM_CONTEXT_PEER ? LOOM_CONTEXT_STALE
 						  : LOOM_CONTEXT_INVALID;
 }
 
 /*
- * Without this check a peer context that was recorded would be good again as
- * soon as loom_replay had forgotten its id, since its deadline names no time.
- * The stamp is this host's own clock, so no clocks are compared but through
- * an exchange with this very incarnation.
+ * Rejects a peer context that is too old. Its deadline is relative, so without
+ * this check a recorded context would be accepted again as soon as loom_replay
+ * had dropped its call id. The stamp is a time of this host's own clock, which
+ * the issuer estimates from an exchange with this very incarnation; no other
+ * clocks are compared.
  */
 static enum loom_result
 check_age(const struct loom_context *context, uint64_t now_us)
@@ -183,7 +191,7 @@
 }
 
 static enum loom_result
-check_call(const struct loom_context *context)
+check_limits(const struct loom_context *context)
 {
 	if (context->hops == 0)
 		return LOOM_CONTEXT_INVALID;
@@ -195,7 +203,8 @@
 }
 
 static enum loom_result
-verify(const char *text, size_t len, const struct loom_context_key *key,
+decode_and_check(const char *text, size_t len,
+    const struct loom_context_key *key,
     const struct loom_context_expect *expect, uint64_t now_us,
     struct loom_context *context)
 {
@@ -210,7 +219,7 @@
 		return LOOM_CONTEXT_INVALID;
 	code = check_audience(context, expect);
 	if (code == LOOM_OK)
-		code = check_call(context);
+		code = check_limits(context);
 	if (code == LOOM_OK)
 		code = check_age(context, now_us);
 	return code;
@@ -225,7 +234,7 @@
 	enum loom_result code;
 
 	memset(context, 0, sizeof(*context));
-	code = verify(text, len, key, expect, now_us, context);
+	code = decode_and_check(text, len, key, expect, now_us, context);
 	if (code != LOOM_OK)
 		memset(context, 0, sizeof(*context));
 	return code;
@@ -244,14 +253,15 @@
     struct loom_peer_clock *clock, const char *text, uint64_t now_us)
 {
 	unsigned long long incarnation, heard_us;
-	int end = 0;
+	int parsed_len = 0;
 
 	if (strlen(text) >= LOOM_CLOCK_TEXT_MAX)
 		return false;
-	/* The widths keep the numbers inside 64 bits. */
-	if (sscanf(text, "%16llx.%18llu%n", &incarnation, &heard_us, &end) != 2)
+	/* The field widths keep the numbers within 64 bits. */
+	if (sscanf(text, "%16llx.%18llu%n", &incarnation, &heard_us,
+		&parsed_len) != 2)
 		return false;
-	if (text[end] != '\0' || text[0] == '-' || text[0] == '+')
+	if (text[parsed_len] != '\0' || text[0] == '-' || text[0] == '+')
 		return false;
 	clock->incarnation = incarnation;
 	clock->heard_us = heard_us;
--- a/src/inner/digest.c
+++ b/src/inner/digest.c
@@ -1,7 +1,8 @@
 /*
- * Digests of requests, by BLAKE2b: what a ticket is bound to, and what a
- * crashing request is known by.  Each part goes in behind its length, so that
- * no two requests run together to the same bytes.
+ * Computes BLAKE2b digests of requests: the digest that a ticket is bound to,
+ * and the fingerprint that identifies a request that crashes upstreams. Each
+ * variable-length part is preceded by its length, so that different requests
+ * never yield the same input to the hash.
  */
 
 #include <sodium.h>
@@ -11,7 +12,7 @@
 #include "loom/ticket.h"
 
 static void
-add(crypto_generichash_state *state, const void *data, size_t len)
+hash_with_length(crypto_generichash_state *state, const void *data, size_t len)
 {
 	uint64_t len64 = len;
 
@@ -21,7 +22,7 @@
 }
 
 static void
-add_u64(crypto_generichash_state *state, uint64_t value)
+hash_u64(crypto_generichash_state *state, uint64_t value)
 {
 	crypto_generichash_update(
 	    state, (const uint8_t *)&value, sizeof(value));
@@ -35,9 +36,9 @@
 
 	memset(digest, 0, sizeof(*digest));
 	crypto_generichash_init(&state, NULL, 0, sizeof(digest->head));
-	add(&state, method, strlen(method));
-	add(&state, path, strlen(path));
-	add_u64(&state, declared_bytes);
+	hash_with_length(&state, method, strlen(method));
+	hash_with_length(&state, path, strlen(path));
+	hash_u64(&state, declared_bytes);
 	crypto_generichash_final(&state, digest->head, sizeof(digest->head));
 	if (body == NULL)
 		return;
@@ -56,11 +57,11 @@
 	if (prefix_bytes > LOOM_FINGERPRINT_PREFIX_BYTES)
 		prefix_bytes = LOOM_FINGERPRINT_PREFIX_BYTES;
 	crypto_generichash_init(&state, NULL, 0, sizeof(fingerprint->bytes));
-	add_u64(&state, team_id);
-	add_u64(&state, route_id);
-	add(&state, path, strlen(path));
-	add_u64(&state, declared_bytes);
-	add(&state, prefix, prefix_bytes);
+	hash_u64(&state, team_id);
+	hash_u64(&state, route_id);
+	hash_with_length(&state, path, strlen(path));
+	hash_u64(&state, declared_bytes);
+	hash_with_length(&state, prefix, prefix_bytes);
 	crypto_generichash_final(
 	    &state, fingerprint->bytes, sizeof(fingerprint->bytes));
 }
--- a/src/inner/handover_codec.c
+++ b/src/inner/handover_codec.c
@@ -1,8 +1,12 @@
 /*
- * The messages of a hand-over.  Chunks carry the secrets of incarnations, so
- * they are sealed by a key of their own besides whatever the link does, and
- * bound to leaver, heir's incarnation, index and count: a chunk recorded once
- * opens nowhere else, not even at the same heir after a restart.
+ * Encodes and decodes the messages that hand over tickets.
+ *
+ * Chunks contain the ticket secrets of incarnations, so they are encrypted with
+ * a separate key in addition to the encryption of the connection. The source's
+ * host and incarnation, the successor's incarnation, the chunk index and the
+ * chunk count are authenticated with each chunk. A recorded chunk can therefore
+ * not be decrypted anywhere else, not even by the same successor after a
+ * restart.
  */
 
 #include <sodium.h>
@@ -13,18 +17,21 @@
 #define STATE_VERSION 1
 #define NONCE_SIZE crypto_aead_xchacha20poly1305_ietf_NPUBBYTES
 #define TAG_SIZE crypto_aead_xchacha20poly1305_ietf_ABYTES
-#define PAIR_BYTES 64
-/* A kept answer is no larger than its book allows; this only bounds what a
- * reader believes. */
-#define KEPT_BYTES_MAX (1024 * 1024)
+#define AAD_BYTES_MAX 64
+/*
+ * Upper bound for a decoded part of a stored answer. The ticket store has its
+ * own limit for what it keeps; this only limits what is accepted from a
+ * message.
+ */
+#define ANSWER_PART_BYTES_MAX (1024 * 1024)
 
 static size_t
-pack_pair(const struct handover_pair *pair, uint32_t index, uint32_t count,
-    uint8_t out[PAIR_BYTES])
+pack_aad(const struct handover_pair *pair, uint32_t index, uint32_t count,
+    uint8_t out[AAD_BYTES_MAX])
 {
 	struct loom_packer packer;
 
-	loom_pack_init(&packer, out, PAIR_BYTES);
+	loom_pack_init(&packer, out, AAD_BYTES_MAX);
 	loom_pack_u64(&packer, pair->leaver_host_id);
 	loom_pack_u64(&packer, pair->leaver_incarnation);
 	loom_pack_u64(&packer, pair->heir_incarnation);
@@ -38,22 +45,22 @@
     const struct handover_pair *pair, uint32_t index, uint32_t count,
     const uint8_t *data, size_t len, uint8_t out[HANDOVER_MESSAGE_MAX])
 {
-	uint8_t sealed[HANDOVER_CHUNK_BYTES + TAG_SIZE];
-	uint8_t nonce[NONCE_SIZE], extra[PAIR_BYTES];
-	size_t extra_len = pack_pair(pair, index, count, extra);
-	unsigned long long sealed_len;
+	uint8_t ciphertext[HANDOVER_CHUNK_BYTES + TAG_SIZE];
+	uint8_t nonce[NONCE_SIZE], aad[AAD_BYTES_MAX];
+	size_t aad_len = pack_aad(pair, index, count, aad);
+	unsigned long long ciphertext_len;
 	struct loom_packer packer;
 
 	if (len > HANDOVER_CHUNK_BYTES)
 		return 0;
 	randombytes_buf(nonce, sizeof(nonce));
-	crypto_aead_xchacha20poly1305_ietf_encrypt(
-	    sealed, &sealed_len, data, len, extra, extra_len, NULL, nonce, key);
+	crypto_aead_xchacha20poly1305_ietf_encrypt(ciphertext, &ciphertext_len,
+	    data, len, aad, aad_len, NULL, nonce, key);
 	loom_pack_init(&packer, out, HANDOVER_MESSAGE_MAX);
 	loom_pack_u64(&packer, index);
 	loom_pack_u64(&packer, count);
 	loom_pack_bin(&packer, nonce, sizeof(nonce));
-	loom_pack_bin(&packer, sealed, (size_t)sealed_len);
+	loom_pack_bin(&packer, ciphertext, (size_t)ciphertext_len);
 	return loom_pack_ok(&packer) ? packer.len : 0;
 }
 
@@ -62,23 +69,26 @@
     const struct handover_pair *pair, const uint8_t *message, size_t len,
     struct handover_chunk *chunk)
 {
-	uint8_t nonce[NONCE_SIZE], extra[PAIR_BYTES];
+	uint8_t nonce[NONCE_SIZE], aad[AAD_BYTES_MAX];
 	unsigned long long data_len;
-	struct loom_unpacker in;
-	const uint8_t *sealed;
-	size_t sealed_len, extra_len;
-
-	loom_unpack_init(&in, message, len);
-	chunk->index = (uint32_t)loom_unpack_u64(&in, HANDOVER_CHUNKS_MAX - 1);
-	chunk->count = (uint32_t)loom_unpack_u64(&in, HANDOVER_CHUNKS_MAX);
-	loom_unpack_bin_exact(&in, nonce, sizeof(nonce));
-	sealed =
-	    loom_unpack_bin(&in, HANDOVER_CHUNK_BYTES + TAG_SIZE, &sealed_len);
-	if (!loom_unpack_end(&in) || chunk->index >= chunk->count)
+	struct loom_unpacker unpacker;
+	const uint8_t *ciphertext;
+	size_t ciphertext_len, aad_len;
+
+	loom_unpack_init(&unpacker, message, len);
+	chunk->index =
+	    (uint32_t)loom_unpack_u64(&unpacker, HANDOVER_CHUNKS_MAX - 1);
+	chunk->count =
+	    (uint32_t)loom_unpack_u64(&unpacker, HANDOVER_CHUNKS_MAX);
+	loom_unpack_bin_exact(&unpacker, nonce, sizeof(nonce));
+	ciphertext = loom_unpack_bin(
+	    &unpacker, HANDOVER_CHUNK_BYTES + TAG_SIZE, &ciphertext_len);
+	if (!loom_unpack_end(&unpacker) || chunk->index >= chunk->count)
 		return false;
-	extra_len = pack_pair(pair, chunk->index, chunk->count, extra);
+	aad_len = pack_aad(pair, chunk->index, chunk->count, aad);
 	if (crypto_aead_xchacha20poly1305_ietf_decrypt(chunk->data, &data_len,
-		NULL, sealed, sealed_len, extra, extra_len, nonce, key) != 0)
+		NULL, ciphertext, ciphertext_len, aad, aad_len, nonce,
+		key) != 0)
 		return false;
 	chunk->len = (size_t)data_len;
 	return true;
@@ -100,12 +110,12 @@
 handover_reply_unpack(
     const uint8_t *message, size_t len, uint64_t *incarnation, uint32_t *index)
 {
-	struct loom_unpacker in;
+	struct loom_unpacker unpacker;
 
-	loom_unpack_init(&in, message, len);
-	*incarnation = loom_unpack_u64(&in, UINT64_MAX);
-	*index = (uint32_t)loom_unpack_u64(&in, HANDOVER_CHUNKS_MAX - 1);
-	return loom_unpack_end(&in);
+	loom_unpack_init(&unpacker, message, len);
+	*incarnation = loom_unpack_u64(&unpacker, UINT64_MAX);
+	*index = (uint32_t)loom_unpack_u64(&unpacker, HANDOVER_CHUNKS_MAX - 1);
+	return loom_unpack_end(&unpacker);
 }
 
 size_t
@@ -127,15 +137,15 @@
 handover_heir_unpack(
     const uint8_t *message, size_t len, struct handover_heir *heir)
 {
-	struct loom_unpacker in;
+	struct loom_unpacker unpacker;
 	uint32_t i;
 
-	loom_unpack_init(&in, message, len);
-	heir->host_id = loom_unpack_u64(&in, UINT64_MAX);
-	heir->count = loom_unpack_count(&in, HANDOVER_INCARNATIONS_MAX);
+	loom_unpack_init(&unpacker, message, len);
+	heir->host_id = loom_unpack_u64(&unpacker, UINT64_MAX);
+	heir->count = loom_unpack_count(&unpacker, HANDOVER_INCARNATIONS_MAX);
 	for (i = 0; i < heir->count; i++)
-		heir->incarnations[i] = loom_unpack_u64(&in, UINT64_MAX);
-	return loom_unpack_end(&in);
+		heir->incarnations[i] = loom_unpack_u64(&unpacker, UINT64_MAX);
+	return loom_unpack_end(&unpacker);
 }
 
 void
@@ -197,33 +207,35 @@
 }
 
 static void
-read_issuer(struct loom_unpacker *in, const struct handover_reader *reader)
+read_issuer(
+    struct loom_unpacker *unpacker, const struct handover_reader *reader)
 {
 	struct handover_issuer issuer;
 
-	issuer.host_id = loom_unpack_u64(in, UINT64_MAX);
-	issuer.incarnation = loom_unpack_u64(in, UINT64_MAX);
-	loom_unpack_bin_exact(in, issuer.secret, sizeof(issuer.secret));
-	issuer.remaining_us = loom_unpack_u64(in, UINT64_MAX);
+	issuer.host_id = loom_unpack_u64(unpacker, UINT64_MAX);
+	issuer.incarnation = loom_unpack_u64(unpacker, UINT64_MAX);
+	loom_unpack_bin_exact(unpacker, issuer.secret, sizeof(issuer.secret));
+	issuer.remaining_us = loom_unpack_u64(unpacker, UINT64_MAX);
 	if (reader != NULL)
 		reader->issuer(reader->arg, &issuer);
 }
 
 static void
-read_window(struct loom_unpacker *in, const struct handover_reader *reader)
+read_window(
+    struct loom_unpacker *unpacker, const struct handover_reader *reader)
 {
 	struct ticket_window window = { 0 };
 	uint64_t incarnation, team_id;
 	const uint8_t *bits;
 	size_t len;
 
-	incarnation = loom_unpack_u64(in, UINT64_MAX);
-	team_id = loom_unpack_u64(in, UINT64_MAX);
-	window.next = loom_unpack_u64(in, UINT64_MAX - TICKET_WINDOW);
-	bits = loom_unpack_bin(in, sizeof(window.bits), &len);
-	/* Fewer bytes would read used numbers as unused ones. */
+	incarnation = loom_unpack_u64(unpacker, UINT64_MAX);
+	team_id = loom_unpack_u64(unpacker, UINT64_MAX);
+	window.next = loom_unpack_u64(unpacker, UINT64_MAX - TICKET_WINDOW);
+	bits = loom_unpack_bin(unpacker, sizeof(window.bits), &len);
+	/* With fewer bytes, used ticket numbers would be read as unused. */
 	if (bits == NULL || len != ticket_window_bytes(&window)) {
-		loom_unpack_reject(in);
+		loom_unpack_reject(unpacker);
 		return;
 	}
 	memcpy(window.bits, bits, len);
@@ -232,7 +244,8 @@
 }
 
 static void
-read_kept(struct loom_unpacker *in, const struct handover_reader *reader)
+read_answer(
+    struct loom_unpacker *unpacker, const struct handover_reader *reader)
 {
 	struct loom_request_digest digest = { 0 };
 	struct loom_answer *answer;
@@ -241,15 +254,15 @@
 	struct ticket_key key;
 	uint16_t status;
 
-	key.incarnation = loom_unpack_u64(in, UINT64_MAX);
-	key.team_id = loom_unpack_u64(in, UINT64_MAX);
-	key.number = loom_unpack_u64(in, UINT64_MAX);
-	loom_unpack_bin_exact(in, digest.head, sizeof(digest.head));
-	digest.has_body = loom_unpack_bool(in);
-	loom_unpack_bin_exact(in, digest.body, sizeof(digest.body));
-	status = (uint16_t)loom_unpack_u64(in, UINT16_MAX);
-	head = loom_unpack_bin(in, KEPT_BYTES_MAX, &head_len);
-	body = loom_unpack_bin(in, KEPT_BYTES_MAX, &body_len);
+	key.incarnation = loom_unpack_u64(unpacker, UINT64_MAX);
+	key.team_id = loom_unpack_u64(unpacker, UINT64_MAX);
+	key.number = loom_unpack_u64(unpacker, UINT64_MAX);
+	loom_unpack_bin_exact(unpacker, digest.head, sizeof(digest.head));
+	digest.has_body = loom_unpack_bool(unpacker);
+	loom_unpack_bin_exact(unpacker, digest.body, sizeof(digest.body));
+	status = (uint16_t)loom_unpack_u64(unpacker, UINT16_MAX);
+	head = loom_unpack_bin(unpacker, ANSWER_PART_BYTES_MAX, &head_len);
+	body = loom_unpack_bin(unpacker, ANSWER_PART_BYTES_MAX, &body_len);
 	if (reader == NULL || head == NULL || body == NULL)
 		return;
 	answer = loom_answer_new(
@@ -262,24 +275,24 @@
 read_items(
     const uint8_t *state, size_t len, const struct handover_reader *reader)
 {
-	struct loom_unpacker in;
+	struct loom_unpacker unpacker;
 	uint64_t tag;
 
-	loom_unpack_init(&in, state, len);
-	if (loom_unpack_u64(&in, STATE_VERSION) != STATE_VERSION)
+	loom_unpack_init(&unpacker, state, len);
+	if (loom_unpack_u64(&unpacker, STATE_VERSION) != STATE_VERSION)
 		return false;
-	while (loom_unpack_error(&in) == LOOM_OK) {
-		tag = loom_unpack_u64(&in, HANDOVER_ITEM_KEPT);
+	while (loom_unpack_error(&unpacker) == LOOM_OK) {
+		tag = loom_unpack_u64(&unpacker, HANDOVER_ITEM_KEPT);
 		if (tag == HANDOVER_ITEM_END)
 			break;
 		if (tag == HANDOVER_ITEM_ISSUER)
-			read_issuer(&in, reader);
+			read_issuer(&unpacker, reader);
 		else if (tag == HANDOVER_ITEM_WINDOW)
-			read_window(&in, reader);
+			read_window(&unpacker, reader);
 		else
-			read_kept(&in, reader);
+			read_answer(&unpacker, reader);
 	}
-	return loom_unpack_end(&in);
+	return loom_unpack_end(&unpacker);
 }
 
 bool
--- a/src/inner/handover_codec.h
+++ b/src/inner/handover_codec.h
@@ -2,7 +2,9 @@
 #define LOOM_INNER_HANDOVER_CODEC_H
 
 /*
- * The messages of a hand-over of tickets, and the state that they carry.
+ * Messages for handing over tickets from a daemon that shuts down to its
+ * successor, and the state that they transfer. In the names here, "heir" is the
+ * successor.
  */
 
 #include "decide/ticket_book.h"
@@ -11,31 +13,35 @@
 #include "loom/control.h"
 
 enum handover_message {
-	HANDOVER_OFFER = LOOM_MESSAGE_TICKET_FIRST, /* leaver: will you? */
-	HANDOVER_ACCEPT, /* heir: yes, and this is my incarnation */
-	HANDOVER_CHUNK, /* leaver: a part of the state */
-	HANDOVER_ACK, /* heir: that part has arrived */
-	HANDOVER_HEIR, /* who runs the tickets of these incarnations */
-	HANDOVER_ASK, /* a new incarnation: whose heir are you? */
+	HANDOVER_OFFER =
+	    LOOM_MESSAGE_TICKET_FIRST, /* from the source: asks a daemon to be
+					  the successor */
+	HANDOVER_ACCEPT, /* from the successor: accepts; the envelope has its
+			    incarnation */
+	HANDOVER_CHUNK, /* from the source: one chunk of the state */
+	HANDOVER_ACK, /* from the successor: the chunk has arrived */
+	HANDOVER_HEIR, /* announces the successor for these incarnations */
+	HANDOVER_ASK, /* from a new incarnation: asks a host whose tickets it
+			 took over */
 	HANDOVER_LAST = HANDOVER_ASK,
 };
 
-/* Small enough to mix with other control messages on a link. */
+/* Small enough not to delay other control messages on the connection. */
 #define HANDOVER_CHUNK_BYTES 16384
 #define HANDOVER_STATE_MAX (UINT32_C(8) * 1024 * 1024)
 #define HANDOVER_CHUNKS_MAX (HANDOVER_STATE_MAX / HANDOVER_CHUNK_BYTES)
-/* Room for any message. */
+/* Buffer size that is enough for any message. */
 #define HANDOVER_MESSAGE_MAX (HANDOVER_CHUNK_BYTES + 256)
 #define HANDOVER_INCARNATIONS_MAX 256
 
-/* Between whom a chunk goes; a chunk opens for no other pair. */
+/* Sender and receiver of a chunk. Decryption fails for any other pair. */
 struct handover_pair {
 	uint64_t leaver_host_id;
 	uint64_t leaver_incarnation;
 	uint64_t heir_incarnation;
 };
 
-/* Seal one chunk; returns the message's length, 0 on failure. */
+/* Encrypts a chunk. Returns the length of the message, or 0 on failure. */
 size_t handover_chunk_seal(const uint8_t key[LOOM_SEAL_KEY_SIZE],
     const struct handover_pair *pair, uint32_t index, uint32_t count,
     const uint8_t *data, size_t len, uint8_t out[HANDOVER_MESSAGE_MAX]);
@@ -47,18 +53,24 @@
 	uint8_t data[HANDOVER_CHUNK_BYTES];
 };
 
-/* Read a chunk; false unless it is whole, authentic and for this pair. */
+/*
+ * Decrypts a chunk. Returns false unless it is complete, authentic and meant
+ * for this pair.
+ */
 bool handover_chunk_open(const uint8_t key[LOOM_SEAL_KEY_SIZE],
     const struct handover_pair *pair, const uint8_t *message, size_t len,
     struct handover_chunk *chunk);
 
-/* ACCEPT and ACK: the leaver's incarnation, and the chunk's index. */
+/*
+ * ACCEPT and ACK messages: the source's incarnation, to match the answer with
+ * the hand-over, and the chunk index (0 in ACCEPT).
+ */
 size_t handover_reply_pack(
     uint64_t incarnation, uint32_t index, uint8_t out[HANDOVER_MESSAGE_MAX]);
 bool handover_reply_unpack(
     const uint8_t *message, size_t len, uint64_t *incarnation, uint32_t *index);
 
-/* HEIR. */
+/* The HEIR message. */
 struct handover_heir {
 	uint64_t host_id;
 	uint32_t count;
@@ -70,7 +82,7 @@
 bool handover_heir_unpack(
     const uint8_t *message, size_t len, struct handover_heir *heir);
 
-/* The state is a run of items, each behind its tag. */
+/* The state is a sequence of items, each preceded by its type. */
 enum handover_item {
 	HANDOVER_ITEM_END = 0,
 	HANDOVER_ITEM_ISSUER = 1,
@@ -82,27 +94,27 @@
 	uint64_t host_id;
 	uint64_t incarnation;
 	uint8_t secret[LOOM_SEAL_KEY_SIZE];
-	uint64_t remaining_us; /* until its tickets are forgotten */
+	uint64_t remaining_us; /* until its tickets expire */
 };
 
-/* A state opens with its version and ends with END. */
+/* The state begins with its version and ends with HANDOVER_ITEM_END. */
 void handover_state_begin(struct loom_packer *packer);
 void handover_state_end(struct loom_packer *packer);
 void handover_issuer_pack(
     struct loom_packer *packer, const struct handover_issuer *issuer);
 void handover_window_pack(struct loom_packer *packer, uint64_t incarnation,
     uint64_t team_id, const struct ticket_window *window);
-/* What an answer takes in the state, in bytes, at most. */
+/* Returns the maximum encoded size of a stored answer, in bytes. */
 size_t handover_kept_size(const struct loom_ticket_run *run);
 void handover_kept_pack(
     struct loom_packer *packer, const struct loom_ticket_run *run);
 
-/* What a reader of the state does with each item. */
+/* Callbacks for the items of a state. */
 struct handover_reader {
 	void (*issuer)(void *arg, const struct handover_issuer *issuer);
 	void (*window)(void *arg, uint64_t incarnation, uint64_t team_id,
 	    const struct ticket_window *window);
-	/* answer is borrowed: acquire to keep */
+	/* the callback must acquire the answer to keep it */
 	void (*kept)(void *arg, const struct ticket_key *key,
 	    const struct loom_request_digest *digest,
 	    struct loom_answer *answer);
@@ -110,8 +122,8 @@
 };
 
 /*
- * Read a whole state.  It is read once for its form with no reader called,
- * and only then again, so that a malformed one installs nothing.
+ * Decodes a whole state. A first pass validates it without calling the
+ * callbacks, so that a malformed state installs nothing.
  */
 bool handover_state_read(
     const uint8_t *state, size_t len, const struct handover_reader *reader);
--- a/src/inner/quarantine_codec.c
+++ b/src/inner/quarantine_codec.c
@@ -28,23 +28,24 @@
 quarantine_records_unpack(const uint8_t *message, size_t len,
     struct quarantine_told records[QUARANTINE_RECORDS_MAX])
 {
-	struct loom_unpacker in;
+	struct loom_unpacker unpacker;
 	uint32_t i, count;
 
-	loom_unpack_init(&in, message, len);
-	count = loom_unpack_count(&in, QUARANTINE_RECORDS_MAX);
+	loom_unpack_init(&unpacker, message, len);
+	count = loom_unpack_count(&unpacker, QUARANTINE_RECORDS_MAX);
 	for (i = 0; i < count; i++) {
-		loom_unpack_bin_exact(&in, records[i].fingerprint.bytes,
+		loom_unpack_bin_exact(&unpacker, records[i].fingerprint.bytes,
 		    sizeof(records[i].fingerprint.bytes));
 		records[i].level = (enum suspect_level)loom_unpack_u64(
-		    &in, SUSPECT_QUARANTINED);
-		records[i].strikes = (uint8_t)loom_unpack_u64(&in, UINT8_MAX);
+		    &unpacker, SUSPECT_QUARANTINED);
+		records[i].strikes =
+		    (uint8_t)loom_unpack_u64(&unpacker, UINT8_MAX);
 		records[i].remaining_us =
-		    loom_unpack_u64(&in, QUARANTINE_TOLD_MAX_US);
+		    loom_unpack_u64(&unpacker, QUARANTINE_TOLD_MAX_US);
 		if (records[i].level == SUSPECT_NONE)
-			loom_unpack_reject(&in);
+			loom_unpack_reject(&unpacker);
 	}
-	return loom_unpack_end(&in) ? count : 0;
+	return loom_unpack_end(&unpacker) ? count : 0;
 }
 
 size_t
@@ -62,10 +63,10 @@
 quarantine_clear_unpack(
     const uint8_t *message, size_t len, struct loom_fingerprint *fingerprint)
 {
-	struct loom_unpacker in;
+	struct loom_unpacker unpacker;
 
-	loom_unpack_init(&in, message, len);
+	loom_unpack_init(&unpacker, message, len);
 	loom_unpack_bin_exact(
-	    &in, fingerprint->bytes, sizeof(fingerprint->bytes));
-	return loom_unpack_end(&in);
+	    &unpacker, fingerprint->bytes, sizeof(fingerprint->bytes));
+	return loom_unpack_end(&unpacker);
 }
--- a/src/inner/ticket_text.c
+++ b/src/inner/ticket_text.c
@@ -32,17 +32,17 @@
 unpack_ticket(const uint8_t *bytes, size_t len, struct loom_ticket *ticket)
 {
 	uint8_t again[TICKET_BYTES_MAX];
-	struct loom_unpacker in;
+	struct loom_unpacker unpacker;
 
-	loom_unpack_init(&in, bytes, len);
-	if (loom_unpack_u64(&in, TICKET_VERSION) != TICKET_VERSION)
+	loom_unpack_init(&unpacker, bytes, len);
+	if (loom_unpack_u64(&unpacker, TICKET_VERSION) != TICKET_VERSION)
 		return false;
-	ticket->host_id = loom_unpack_u64(&in, UINT64_MAX);
-	ticket->incarnation = loom_unpack_u64(&in, UINT64_MAX);
-	ticket->team_id = loom_unpack_u64(&in, UINT64_MAX);
-	ticket->route_id = loom_unpack_u64(&in, UINT64_MAX);
-	ticket->number = loom_unpack_u64(&in, UINT64_MAX);
-	if (!loom_unpack_end(&in))
+	ticket->host_id = loom_unpack_u64(&unpacker, UINT64_MAX);
+	ticket->incarnation = loom_unpack_u64(&unpacker, UINT64_MAX);
+	ticket->team_id = loom_unpack_u64(&unpacker, UINT64_MAX);
+	ticket->route_id = loom_unpack_u64(&unpacker, UINT64_MAX);
+	ticket->number = loom_unpack_u64(&unpacker, UINT64_MAX);
+	if (!loom_unpack_end(&unpacker))
 		return false;
 	/* One text for each ticket: a number written longer than needed is
 	 * refused. */
