--- a/src/inner/keys.c
+++ b/src/inner/keys.c
@@ -1,13 +1,16 @@
 /*
- * Who may talk to a daemon: every daemon of the fleet, and nobody else.
+ * Authentication between daemons: every daemon of the fleet is accepted, and
+ * nobody else.
  *
- * All daemons hold one secret, from their settings.  A CURVE key pair is
- * derived from it, and each daemon is server and client with that one pair.
- * A client that does not know the secret knows neither the server's public
- * key, without which the handshake's first message cannot be made, nor a
- * client key that the ZAP handler takes.  One key for the whole fleet and not
- * one a host: hosts are replaced at any time and keep nothing, and nothing
- * here may write a list of keys anywhere.
+ * All daemons have the same secret in their settings. A CURVE key pair is
+ * derived from it, and each daemon uses that pair both as server and as client.
+ * A client without the secret does not know the server's public key, which it
+ * needs for the first message of the handshake, and has no client key that the
+ * ZAP handler accepts.
+ *
+ * There is one key for the whole fleet rather than one per host because hosts
+ * are replaced at any time and keep no state, and no component is allowed to
+ * write a list of keys anywhere.
  */
 
 #include <sodium.h>
@@ -45,8 +48,10 @@
 loom_curve_derive(
     struct loom_curve *curve, const uint8_t secret[LOOM_FLEET_SECRET_SIZE])
 {
-	/* A label of its own, so that other keys made from the same secret
-	 * tell nothing of this one. */
+	/*
+	 * The label separates this key from others derived from the same
+	 * secret, so that knowing one does not help to compute another.
+	 */
 	static const char label[] = "loom control curve 1";
 	uint8_t seed[crypto_box_SEEDBYTES];
 
@@ -57,7 +62,7 @@
 }
 
 static bool
-set_pair(const struct loom_curve *curve, void *socket)
+set_key_pair(const struct loom_curve *curve, void *socket)
 {
 	return zmq_setsockopt(socket, ZMQ_CURVE_PUBLICKEY, curve->public_key,
 		   CURVE_KEY_SIZE) == 0 &&
@@ -70,7 +75,7 @@
 {
 	int on = 1;
 
-	return set_pair(curve, socket) &&
+	return set_key_pair(curve, socket) &&
 	    zmq_setsockopt(socket, ZMQ_CURVE_SERVER, &on, sizeof(on)) == 0 &&
 	    zmq_setsockopt(
 		socket, ZMQ_ZAP_DOMAIN, ZAP_DOMAIN, strlen(ZAP_DOMAIN)) == 0;
@@ -79,7 +84,7 @@
 bool
 loom_curve_client(const struct loom_curve *curve, void *socket)
 {
-	return set_pair(curve, socket) &&
+	return set_key_pair(curve, socket) &&
 	    zmq_setsockopt(socket, ZMQ_CURVE_SERVERKEY, curve->public_key,
 		CURVE_KEY_SIZE) == 0;
 }
@@ -90,16 +95,16 @@
 	struct tevent_fd *fde; /* owned */
 };
 
-/* The parts of a request that matter. */
+/* The relevant fields of a ZAP request. */
 struct zap_request {
 	char id[ZAP_FRAME_SIZE];
 	size_t id_len;
-	bool curve;
-	bool key_good;
+	bool uses_curve;
+	bool key_is_valid;
 };
 
 static void
-take_frame(const struct loom_zap *zap, struct zap_request *request, int frame,
+parse_frame(const struct loom_zap *zap, struct zap_request *request, int frame,
     const char *data, size_t len)
 {
 	switch (frame) {
@@ -108,10 +113,10 @@
 		request->id_len = len;
 		break;
 	case ZAP_MECHANISM_FRAME:
-		request->curve = len == 5 && memcmp(data, "CURVE", 5) == 0;
+		request->uses_curve = len == 5 && memcmp(data, "CURVE", 5) == 0;
 		break;
 	case ZAP_KEY_FRAME:
-		request->key_good = len == CURVE_KEY_SIZE &&
+		request->key_is_valid = len == CURVE_KEY_SIZE &&
 		    sodium_memcmp(
 			data, zap->curve->public_key, CURVE_KEY_SIZE) == 0;
 		break;
@@ -120,7 +125,7 @@
 	}
 }
 
-/* False when no request waits. */
+/* Returns false if no request is pending. */
 static bool
 read_request(const struct loom_zap *zap, struct zap_request *request)
 {
@@ -133,7 +138,7 @@
 		len = zmq_recv(zap->socket, data, sizeof(data), ZMQ_DONTWAIT);
 		if (len < 0)
 			return false;
-		take_frame(
+		parse_frame(
 		    zap, request, frame, data, MIN((size_t)len, sizeof(data)));
 		zmq_getsockopt(zap->socket, ZMQ_RCVMORE, &more, &size);
 		if (!more)
@@ -151,11 +156,11 @@
 static void
 send_reply(const struct loom_zap *zap, const struct zap_request *request)
 {
-	bool good = request->curve && request->key_good;
+	bool accepted = request->uses_curve && request->key_is_valid;
 
 	send_frame(zap, ZAP_VERSION, strlen(ZAP_VERSION), ZMQ_SNDMORE);
 	send_frame(zap, request->id, request->id_len, ZMQ_SNDMORE);
-	send_frame(zap, good ? "200" : "400", 3, ZMQ_SNDMORE);
+	send_frame(zap, accepted ? "200" : "400", 3, ZMQ_SNDMORE);
 	send_frame(zap, "", 0, ZMQ_SNDMORE); /* status text */
 	send_frame(zap, "", 0, ZMQ_SNDMORE); /* user id */
 	send_frame(zap, "", 0, 0); /* metadata */
@@ -171,7 +176,9 @@
 	(void)ev;
 	(void)fde;
 	(void)flags;
-	/* The descriptor is edge-triggered: read until nothing is left. */
+	/*
+	 * The descriptor is edge-triggered, so read until no request is left.
+	 */
 	while (read_request(zap, &request))
 		send_reply(zap, &request);
 }
@@ -179,7 +186,7 @@
 static int
 zap_destroy(struct loom_zap *zap)
 {
-	/* Before its descriptor is closed. */
+	/* Must precede zmq_close(), which closes the descriptor. */
 	TALLOC_FREE(zap->fde);
 	zmq_close(zap->socket);
 	return 0;
@@ -210,7 +217,10 @@
 	zap->fde = tevent_add_fd(ev, zap, fd, TEVENT_FD_READ, zap_ready, zap);
 	if (zap->fde == NULL)
 		goto error;
-	/* What came before the descriptor was watched raises no edge. */
+	/*
+	 * Requests that arrived before the descriptor was watched trigger no
+	 * event.
+	 */
 	zap_ready(ev, zap->fde, TEVENT_FD_READ, zap);
 	return zap;
 
--- a/src/inner/message.c
+++ b/src/inner/message.c
@@ -1,5 +1,5 @@
 /*
- * The envelope around each message, and the memory of what came before.
+ * Encodes and decodes message envelopes, and detects replayed messages.
  */
 
 #include <glib.h>
@@ -8,10 +8,16 @@
 #include "loom/clock.h"
 #include "loom/inner.h"
 
-/* Senders that are remembered: twice a fleet of 17,000, in about 3 MB. */
+/*
+ * Maximum number of senders tracked: twice a fleet of 17,000 hosts, in about 3
+ * MB.
+ */
 #define SENDERS_MAX 34000
-/* A sender that was silent so long is forgotten when room is needed.  A
- * repeat that comes later would need a captured session key. */
+/*
+ * When the table is full, senders that have sent nothing for this long are
+ * removed. A later replay of one of their messages would need a captured
+ * session key.
+ */
 #define SENDER_IDLE_US (60 * LOOM_US_PER_S)
 #define WINDOW_BITS 64
 
@@ -60,14 +66,14 @@
 }
 
 struct loom_repeats {
-	GHashTable *senders; /* struct window_sender, its own key */
+	GHashTable *senders; /* struct replay_sender, keyed by its field from */
 };
 
-struct window_sender {
+struct replay_sender {
 	struct loom_from from;
-	uint64_t newest;
-	uint64_t seen; /* bit i: newest - i came */
-	uint64_t last_us;
+	uint64_t highest_sequence;
+	uint64_t received_mask; /* bit i: highest_sequence - i was received */
+	uint64_t last_received_us;
 };
 
 static guint
@@ -88,77 +94,80 @@
 }
 
 static int
-window_destroy(struct loom_repeats *window)
+replay_window_destroy(struct loom_repeats *replay_window)
 {
-	g_hash_table_destroy(window->senders);
+	g_hash_table_destroy(replay_window->senders);
 	return 0;
 }
 
 struct loom_repeats *
 loom_repeats_new(TALLOC_CTX *mem_ctx)
 {
-	struct loom_repeats *window = talloc_zero(mem_ctx, struct loom_repeats);
+	struct loom_repeats *replay_window =
+	    talloc_zero(mem_ctx, struct loom_repeats);
 
-	if (window == NULL)
+	if (replay_window == NULL)
 		return NULL;
-	window->senders =
+	replay_window->senders =
 	    g_hash_table_new_full(from_hash, from_equal, NULL, g_free);
-	talloc_set_destructor(window, window_destroy);
-	return window;
+	talloc_set_destructor(replay_window, replay_window_destroy);
+	return replay_window;
 }
 
 static gboolean
-is_idle(gpointer key, gpointer value, gpointer arg)
+sender_is_idle(gpointer key, gpointer value, gpointer arg)
 {
-	const struct window_sender *sender = value;
+	const struct replay_sender *sender = value;
 	const uint64_t *now_us = arg;
 
 	(void)key;
-	return *now_us - sender->last_us > SENDER_IDLE_US;
+	return *now_us - sender->last_received_us > SENDER_IDLE_US;
 }
 
 static bool
-remember(struct loom_repeats *window, const struct loom_from *from,
+add_sender(struct loom_repeats *replay_window, const struct loom_from *from,
     uint64_t sequence, uint64_t now_us)
 {
-	struct window_sender *sender;
+	struct replay_sender *sender;
 
-	if (g_hash_table_size(window->senders) >= SENDERS_MAX)
-		g_hash_table_foreach_remove(window->senders, is_idle, &now_us);
-	if (g_hash_table_size(window->senders) >= SENDERS_MAX)
+	if (g_hash_table_size(replay_window->senders) >= SENDERS_MAX)
+		g_hash_table_foreach_remove(
+		    replay_window->senders, sender_is_idle, &now_us);
+	if (g_hash_table_size(replay_window->senders) >= SENDERS_MAX)
 		return false;
-	sender = g_new0(struct window_sender, 1);
+	sender = g_new0(struct replay_sender, 1);
 	sender->from = *from;
-	sender->newest = sequence;
-	sender->seen = 1;
-	sender->last_us = now_us;
-	g_hash_table_insert(window->senders, &sender->from, sender);
+	sender->highest_sequence = sequence;
+	sender->received_mask = 1;
+	sender->last_received_us = now_us;
+	g_hash_table_insert(replay_window->senders, &sender->from, sender);
 	return true;
 }
 
 bool
-loom_repeats_check(struct loom_repeats *window, const struct loom_from *from,
-    uint64_t sequence, uint64_t now_us)
+loom_repeats_check(struct loom_repeats *replay_window,
+    const struct loom_from *from, uint64_t sequence, uint64_t now_us)
 {
-	struct window_sender *sender;
-	uint64_t ahead, bit;
+	struct replay_sender *sender;
+	uint64_t shift, bit;
 
-	sender = g_hash_table_lookup(window->senders, from);
+	sender = g_hash_table_lookup(replay_window->senders, from);
 	if (sender == NULL)
-		return remember(window, from, sequence, now_us);
-	sender->last_us = now_us;
-	if (sequence > sender->newest) {
-		ahead = sequence - sender->newest;
-		sender->seen = ahead < WINDOW_BITS ? sender->seen << ahead : 0;
-		sender->seen |= 1;
-		sender->newest = sequence;
+		return add_sender(replay_window, from, sequence, now_us);
+	sender->last_received_us = now_us;
+	if (sequence > sender->highest_sequence) {
+		shift = sequence - sender->highest_sequence;
+		sender->received_mask =
+		    shift < WINDOW_BITS ? sender->received_mask << shift : 0;
+		sender->received_mask |= 1;
+		sender->highest_sequence = sequence;
 		return true;
 	}
-	if (sender->newest - sequence >= WINDOW_BITS)
+	if (sender->highest_sequence - sequence >= WINDOW_BITS)
 		return false;
-	bit = UINT64_C(1) << (sender->newest - sequence);
-	if (sender->seen & bit)
+	bit = UINT64_C(1) << (sender->highest_sequence - sequence);
+	if (sender->received_mask & bit)
 		return false;
-	sender->seen |= bit;
+	sender->received_mask |= bit;
 	return true;
 }
--- a/src/inner/peer.c
+++ b/src/inner/peer.c
@@ -1,18 +1,19 @@
 /*
- * Connections out.
+ * Outgoing connections.
  *
- * With ZMQ_IMMEDIATE ZeroMQ takes no message before a connection stands, so
- * that nothing piles up for a peer that is gone.  The first messages to a new
- * peer therefore wait here, few and for a short time: a message that comes a
- * minute late is worse than a lost one, since it tells an old view.
+ * With ZMQ_IMMEDIATE, ZeroMQ accepts no message until a connection is
+ * established, so that nothing accumulates for a peer that is gone. The first
+ * messages to a new peer are therefore queued here, in a small queue and for a
+ * short time: a message delivered a minute late is worse than a lost one,
+ * because its content is out of date.
  *
  * A peer costs a socket, a TCP connection and a handshake of about 1.5 KB, so
- * connections are kept while they are used and closed when idle; when all
- * places are taken, the one that was unused for longest gives way.
+ * connections are kept while in use and closed when idle. When the maximum
+ * number is reached, the least recently used one is closed.
  *
- * No ZeroMQ heartbeats: at one ping each five seconds fifty connections would
- * use a third of the 3 KB/s that control may spend.  ZMQ_TCP_MAXRT ends a
- * connection whose bytes are not acknowledged instead.
+ * ZeroMQ heartbeats are not used: with one ping every five seconds, fifty
+ * connections would use a third of the 3 KB/s allowed for control traffic.
+ * Instead, ZMQ_TCP_MAXRT closes a connection whose data is not acknowledged.
  */
 
 #include <string.h>
@@ -22,35 +23,39 @@
 #include "loom/clock.h"
 #include "loom/counter.h"
 
-/* Messages that wait for a new connection, and for how long. */
-#define WAITING_MAX 16
-#define WAITING_MAX_BYTES (2 * LOOM_PAYLOAD_MAX)
-#define WAITING_MAX_US (2 * LOOM_US_PER_S)
-/* Messages in ZeroMQ's own queue for one peer. */
+/*
+ * Limits on the messages queued for a new connection, and on their waiting
+ * time.
+ */
+#define PENDING_MAX 16
+#define PENDING_MAX_BYTES (2 * LOOM_PAYLOAD_MAX)
+#define PENDING_MAX_US (2 * LOOM_US_PER_S)
+/* Messages in ZeroMQ's queue for one peer. */
 #define SEND_HWM 32
 #define RECONNECT_MS 100
 #define RECONNECT_MAX_MS 1000
 #define CONNECT_TIMEOUT_MS 1000
 #define HANDSHAKE_TIMEOUT_MS 5000
 #define UNACKNOWLEDGED_MAX_MS 1000
-/* Nothing is received on these sockets but the handshake. */
+/* Only the handshake is received on these sockets. */
 #define RECEIVE_MAX_BYTES INT64_C(4096)
 /*
- * A peer that is not told this daemon's address by itself goes by the host
- * list, which lags: its answers to a newcomer would be lost.  It believes a
- * word for a minute.  The first messages tell it, as some may be lost, and
- * later ones often enough for a peer that was started anew; in all others the
- * address would be a quarter of a renewal's bytes.
+ * Which messages include this daemon's address. A peer that has not received
+ * the address looks it up in the host list, which lags, so its answers to a new
+ * daemon would be lost. It uses a received address for a minute. The first
+ * messages include the address, since some may be lost, and after that one
+ * every few seconds, for a peer that has been restarted. It is omitted from all
+ * others, because it would be a quarter of the size of a renewal of rights.
  */
-#define TELL_FIRST 8
-#define TELL_GAP_US (5 * LOOM_US_PER_S)
-/* "tcp://SOURCE:0;ADDRESS" */
+#define ADDRESS_FIRST_MESSAGES 8
+#define ADDRESS_INTERVAL_US (5 * LOOM_US_PER_S)
+/* For "tcp://SOURCE:0;ADDRESS". */
 #define ENDPOINT_SIZE (2 * LOOM_ADDRESS_SIZE + 16)
 
-struct waiting {
+struct pending_message {
 	uint8_t *data; /* owned */
 	size_t len;
-	uint64_t since_us;
+	uint64_t queued_us;
 };
 
 struct peer {
@@ -58,64 +63,65 @@
 	char address[LOOM_ADDRESS_SIZE];
 	void *socket; /* owned: DEALER */
 	struct tevent_fd *fde; /* owned */
-	struct waiting waiting[WAITING_MAX]; /* a ring */
+	struct pending_message pending[PENDING_MAX]; /* ring buffer */
 	uint32_t first;
-	uint32_t nwaiting;
-	size_t waiting_bytes;
-	uint64_t used_us;
-	uint64_t told_us;
-	uint32_t ntold; /* up to TELL_FIRST */
+	uint32_t npending;
+	size_t pending_bytes;
+	uint64_t last_used_us;
+	uint64_t address_sent_us;
+	uint32_t naddress_sent; /* stops at ADDRESS_FIRST_MESSAGES */
 };
 
 struct loom_peers {
 	struct loom_peers_options options;
-	GHashTable *table; /* address: struct peer, talloc'd */
+	GHashTable *table; /* struct peer by address; talloc */
 	struct loom_counter *dropped; /* borrowed */
 	struct loom_counter *connected; /* borrowed */
 	struct loom_counter *open; /* borrowed */
 };
 
 static void
-pop_waiting(struct peer *peer)
+pop_pending(struct peer *peer)
 {
-	struct waiting *first = &peer->waiting[peer->first];
+	struct pending_message *first = &peer->pending[peer->first];
 
-	peer->waiting_bytes -= first->len;
+	peer->pending_bytes -= first->len;
 	TALLOC_FREE(first->data);
-	peer->first = (peer->first + 1) % WAITING_MAX;
-	peer->nwaiting--;
+	peer->first = (peer->first + 1) % PENDING_MAX;
+	peer->npending--;
 }
 
 static bool
-push_waiting(struct peer *peer, const void *data, size_t len, uint64_t now_us)
+push_pending(struct peer *peer, const void *data, size_t len, uint64_t now_us)
 {
-	struct waiting *last;
+	struct pending_message *last;
 
-	if (peer->nwaiting == WAITING_MAX ||
-	    (peer->nwaiting > 0 &&
-		peer->waiting_bytes + len > WAITING_MAX_BYTES))
+	if (peer->npending == PENDING_MAX ||
+	    (peer->npending > 0 &&
+		peer->pending_bytes + len > PENDING_MAX_BYTES))
 		return false;
-	last = &peer->waiting[(peer->first + peer->nwaiting) % WAITING_MAX];
+	last = &peer->pending[(peer->first + peer->npending) % PENDING_MAX];
 	last->data = talloc_memdup(peer, data, len);
 	if (last->data == NULL)
 		return false;
 	last->len = len;
-	last->since_us = now_us;
-	peer->nwaiting++;
-	peer->waiting_bytes += len;
+	last->queued_us = now_us;
+	peer->npending++;
+	peer->pending_bytes += len;
 	return true;
 }
 
 static bool
-give_to_socket(struct peer *peer, const void *data, size_t len)
+send_to_socket(struct peer *peer, const void *data, size_t len)
 {
 	return zmq_send(peer->socket, data, len, ZMQ_DONTWAIT) >= 0;
 }
 
 /*
- * Reading the events takes in all that ZeroMQ has to tell.  Without it the
- * descriptor may stay silent for ever: zmq_send looks at the mailbox only now
- * and then, and what lies there unread raises no further edge.
+ * Reading ZMQ_EVENTS makes ZeroMQ process all its pending internal commands.
+ * Without it, the descriptor may never become readable again: zmq_send() checks
+ * the mailbox only occasionally, and commands left unread there trigger no
+ * further edge.
  */
 static bool
 is_writable(const struct peer *peer)
@@ -128,15 +134,15 @@
 }
 
 static void
-flush(struct peer *peer)
+flush_pending(struct peer *peer)
 {
-	const struct waiting *first;
+	const struct pending_message *first;
 
-	while (peer->nwaiting > 0 && is_writable(peer)) {
-		first = &peer->waiting[peer->first];
-		if (!give_to_socket(peer, first->data, first->len))
+	while (peer->npending > 0 && is_writable(peer)) {
+		first = &peer->pending[peer->first];
+		if (!send_to_socket(peer, first->data, first->len))
 			return;
-		pop_waiting(peer);
+		pop_pending(peer);
 	}
 }
 
@@ -149,14 +155,14 @@
 	(void)ev;
 	(void)fde;
 	(void)flags;
-	if (is_writable(peer)) /* clears the descriptor too */
-		flush(peer);
+	if (is_writable(peer)) /* also re-arms the edge-triggered descriptor */
+		flush_pending(peer);
 }
 
 static int
 peer_destroy(struct peer *peer)
 {
-	/* Before its descriptor is closed. */
+	/* Must precede zmq_close(), which closes the descriptor. */
 	TALLOC_FREE(peer->fde);
 	if (peer->socket != NULL)
 		zmq_close(peer->socket);
@@ -225,26 +231,26 @@
 static void
 close_peer(struct loom_peers *peers, struct peer *peer)
 {
-	loom_counter_add(peers->dropped, peer->nwaiting);
+	loom_counter_add(peers->dropped, peer->npending);
 	g_hash_table_remove(peers->table, peer->address);
 	loom_gauge_set(peers->open, g_hash_table_size(peers->table));
 }
 
 static void
-close_least_used(struct loom_peers *peers)
+close_least_recently_used(struct loom_peers *peers)
 {
-	struct peer *peer, *least = NULL;
+	struct peer *peer, *lru = NULL;
 	GHashTableIter iter;
 	gpointer value;
 
 	g_hash_table_iter_init(&iter, peers->table);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		peer = value;
-		if (least == NULL || peer->used_us < least->used_us)
-			least = peer;
+		if (lru == NULL || peer->last_used_us < lru->last_used_us)
+			lru = peer;
 	}
-	if (least != NULL)
-		close_peer(peers, least);
+	if (lru != NULL)
+		close_peer(peers, lru);
 }
 
 static struct peer *
@@ -252,8 +258,8 @@
 {
 	struct peer *peer;
 
-	if (g_hash_table_size(peers->table) >= peers->options.max)
-		close_least_used(peers);
+	if (g_hash_table_size(peers->table) >= peers->options.max_connections)
+		close_least_recently_used(peers);
 	peer = talloc_zero(peers, struct peer);
 	if (peer == NULL)
 		return NULL;
@@ -271,17 +277,17 @@
 }
 
 static bool
-hand_over(struct peer *peer, const void *data, size_t len, uint64_t now_us)
+send_or_queue(struct peer *peer, const void *data, size_t len, uint64_t now_us)
 {
-	peer->used_us = now_us;
-	if (!push_waiting(peer, data, len, now_us))
+	peer->last_used_us = now_us;
+	if (!push_pending(peer, data, len, now_us))
 		return false;
-	flush(peer);
+	flush_pending(peer);
 	return true;
 }
 
 static struct peer *
-find_peer(struct loom_peers *peers, const char *address)
+get_or_open_peer(struct loom_peers *peers, const char *address)
 {
 	struct peer *peer = g_hash_table_lookup(peers->table, address);
 
@@ -289,16 +295,18 @@
 }
 
 bool
-loom_peers_tell_address(
+loom_peers_include_address(
     struct loom_peers *peers, const char *address, uint64_t now_us)
 {
-	struct peer *peer = find_peer(peers, address);
+	struct peer *peer = get_or_open_peer(peers, address);
 
 	if (peer == NULL ||
-	    (peer->ntold >= TELL_FIRST && now_us < peer->told_us + TELL_GAP_US))
+	    (peer->naddress_sent >= ADDRESS_FIRST_MESSAGES &&
+		now_us < peer->address_sent_us + ADDRESS_INTERVAL_US))
 		return false;
-	peer->told_us = now_us;
-	peer->ntold = MIN(peer->ntold + 1, TELL_FIRST);
+	peer->address_sent_us = now_us;
+	peer->naddress_sent =
+	    MIN(peer->naddress_sent + 1, ADDRESS_FIRST_MESSAGES);
 	return true;
 }
 
@@ -306,26 +314,26 @@
 loom_peers_send(struct loom_peers *peers, const char *address, const void *data,
     size_t len, uint64_t now_us)
 {
-	struct peer *peer = find_peer(peers, address);
+	struct peer *peer = get_or_open_peer(peers, address);
 
-	if (peer != NULL && hand_over(peer, data, len, now_us))
+	if (peer != NULL && send_or_queue(peer, data, len, now_us))
 		return true;
 	loom_counter_add(peers->dropped, 1);
 	return false;
 }
 
 static void
-drop_late(struct peer *peer, uint64_t now_us)
+drop_expired(struct peer *peer, uint64_t now_us)
 {
-	while (peer->nwaiting > 0 &&
-	    now_us - peer->waiting[peer->first].since_us > WAITING_MAX_US) {
-		pop_waiting(peer);
+	while (peer->npending > 0 &&
+	    now_us - peer->pending[peer->first].queued_us > PENDING_MAX_US) {
+		pop_pending(peer);
 		loom_counter_add(peer->peers->dropped, 1);
 	}
 }
 
 void
-loom_peers_sweep(struct loom_peers *peers, uint64_t now_us)
+loom_peers_expire(struct loom_peers *peers, uint64_t now_us)
 {
 	GHashTableIter iter;
 	struct peer *peer;
@@ -334,8 +342,8 @@
 	g_hash_table_iter_init(&iter, peers->table);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		peer = value;
-		drop_late(peer, now_us);
-		if (now_us - peer->used_us > peers->options.idle_us)
+		drop_expired(peer, now_us);
+		if (now_us - peer->last_used_us > peers->options.idle_us)
 			g_hash_table_iter_remove(&iter);
 	}
 	loom_gauge_set(peers->open, g_hash_table_size(peers->table));
--- a/src/inner/peer.h
+++ b/src/inner/peer.h
@@ -1,9 +1,7 @@
 #ifndef LOOM_INNER_PEER_H
 #define LOOM_INNER_PEER_H
 
-/*
- * Connections out: one DEALER for each daemon that is sent to.
- */
+/* Outgoing connections: one DEALER socket per destination daemon. */
 
 #include "inner/keys.h"
 
@@ -13,24 +11,30 @@
 	void *zmq; /* borrowed: the ZeroMQ context */
 	struct tevent_context *ev; /* borrowed */
 	const struct loom_curve *curve; /* borrowed */
-	const char *source; /* ip of connections out, or NULL; borrowed */
-	uint32_t max;
+	const char
+	    *source; /* source IP of outgoing connections, or NULL; borrowed */
+	uint32_t max_connections;
 	uint64_t idle_us;
 };
 
-/* Owned by mem_ctx; free it before the ZeroMQ context is ended. */
+/*
+ * Allocated on mem_ctx. Must be freed before the ZeroMQ context is terminated.
+ */
 struct loom_peers *loom_peers_new(
     TALLOC_CTX *mem_ctx, const struct loom_peers_options *);
 
-/* Hand over one message; it is copied.  False when it is dropped. */
+/* Sends a message, which is copied. Returns false if it was dropped. */
 bool loom_peers_send(struct loom_peers *, const char *address, const void *data,
     size_t len, uint64_t now_us);
 
-/* Whether the next message to it is to name this daemon's address. */
-bool loom_peers_tell_address(
+/*
+ * Returns whether the next message to the peer should include this daemon's
+ * address, and if so records that it was sent.
+ */
+bool loom_peers_include_address(
     struct loom_peers *, const char *address, uint64_t now_us);
 
-/* Close idle connections and drop messages that waited too long. */
-void loom_peers_sweep(struct loom_peers *, uint64_t now_us);
+/* Closes idle connections and drops messages that have waited too long. */
+void loom_peers_expire(struct loom_peers *, uint64_t now_us);
 
 #endif
--- a/src/inner/quarantine_codec.c
+++ b/src/inner/quarantine_codec.c
@@ -1,5 +1,5 @@
 /*
- * The messages of the quarantine.
+ * Encodes and decodes the quarantine messages.
  */
 
 #include "inner/quarantine_codec.h"
--- a/src/inner/quarantine_codec.h
+++ b/src/inner/quarantine_codec.h
@@ -1,24 +1,22 @@
 #ifndef LOOM_INNER_QUARANTINE_CODEC_H
 #define LOOM_INNER_QUARANTINE_CODEC_H
 
-/*
- * The word about requests that crash upstreams.
- */
+/* Messages about requests that crash upstreams. */
 
 #include "decide/suspects.h"
 #include "loom/control.h"
 
 enum quarantine_message {
 	QUARANTINE_RECORDS = LOOM_MESSAGE_QUARANTINE_FIRST,
-	QUARANTINE_CLEAR, /* a whole answer came */
+	QUARANTINE_CLEAR, /* a complete answer was received */
 	QUARANTINE_LAST = QUARANTINE_CLEAR,
 };
 
 #define QUARANTINE_RECORDS_MAX 16
-/* 18 bytes of fingerprint and three scalars a record. */
+/* Each record has 18 bytes of fingerprint and three scalars. */
 #define QUARANTINE_MESSAGE_MAX (QUARANTINE_RECORDS_MAX * 48 + 16)
 
-/* No word keeps a request out for longer. */
+/* A message cannot quarantine a request for longer than this. */
 #define QUARANTINE_TOLD_MAX_US (UINT64_C(24) * 3600 * 1000000)
 
 struct quarantine_told {
@@ -30,7 +28,7 @@
 
 size_t quarantine_records_pack(const struct quarantine_told *records,
     uint32_t count, uint8_t out[QUARANTINE_MESSAGE_MAX]);
-/* Returns the count, 0 when malformed. */
+/* Returns the number of records, or 0 if the message is malformed. */
 uint32_t quarantine_records_unpack(const uint8_t *message, size_t len,
     struct quarantine_told records[QUARANTINE_RECORDS_MAX]);
 
--- a/src/inner/refusal.c
+++ b/src/inner/refusal.c
@@ -1,12 +1,13 @@
 /*
- * Refusals as problem documents (RFC 9457), written and read by json-c.
+ * Encodes and decodes refusals as problem documents (RFC 9457), with json-c.
  *
  * {"type":"urn:vanillaloom:result:2101","title":"shed: the service is
  *  overloaded","status":503,"code":2101,"name":"OVERLOAD",
  *  "outcome":"not-run","final":false,"retry_after_ms":250}
  *
- * Reading is strict about the outcome: a document that a daemon cannot make
- * sense of must not turn into a not-run.
+ * Decoding is strict about the outcome: a document that is not understood must
+ * not be read as "not-run", which would allow a retry of a call that may have
+ * been executed.
  */
 
 #include <inttypes.h>
@@ -21,7 +22,10 @@
 
 #define TYPE_PREFIX "urn:vanillaloom:result:"
 #define DOCUMENT_MAX 4096
-/* A host id, in hex: JSON numbers do not hold 64 bits everywhere. */
+/*
+ * A host id in hex, because not every JSON implementation supports 64-bit
+ * numbers.
+ */
 #define HEIR_DIGITS 16
 
 static void
@@ -85,7 +89,7 @@
 	return *value >= min && *value <= max;
 }
 
-/* A text that does not fit is refused, one that is missing is "". */
+/* Returns false if the text does not fit; sets out to "" if it is missing. */
 static bool
 read_text(struct json_object *object, const char *name, char *out, size_t size)
 {
@@ -107,19 +111,19 @@
 static bool
 read_outcome(struct json_object *object, enum loom_outcome *outcome)
 {
-	static const enum loom_outcome said[] = {
+	static const enum loom_outcome outcomes[] = {
 		LOOM_OUTCOME_NOT_RUN,
 		LOOM_OUTCOME_RAN,
 		LOOM_OUTCOME_UNKNOWN,
 	};
-	char word[16];
+	char name[16];
 	size_t i;
 
-	if (!read_text(object, "outcome", word, sizeof(word)))
+	if (!read_text(object, "outcome", name, sizeof(name)))
 		return false;
-	for (i = 0; i < G_N_ELEMENTS(said); i++) {
-		if (strcmp(word, loom_outcome_name(said[i])) == 0) {
-			*outcome = said[i];
+	for (i = 0; i < G_N_ELEMENTS(outcomes); i++) {
+		if (strcmp(name, loom_outcome_name(outcomes[i])) == 0) {
+			*outcome = outcomes[i];
 			return true;
 		}
 	}
@@ -176,7 +180,7 @@
 read_refusal(struct json_object *object, struct loom_refusal *refusal)
 {
 	struct json_object *unused;
-	int64_t wait_ms = 0;
+	int64_t retry_after_ms = 0;
 
 	if (!json_object_is_type(object, json_type_object))
 		return false;
@@ -185,12 +189,14 @@
 	    !read_final(object, &refusal->final))
 		return false;
 	if (json_object_object_get_ex(object, "retry_after_ms", &unused) &&
-	    !read_int(
-		object, "retry_after_ms", 0, LOOM_RETRY_AFTER_MAX_MS, &wait_ms))
-		return false;
-	refusal->retry_after_ms = (uint32_t)wait_ms;
-	/* A code that says it ran or may have cannot be weakened to not-run
-	 * on the way. */
+	    !read_int(object, "retry_after_ms", 0, LOOM_RETRY_AFTER_MAX_MS,
+		&retry_after_ms))
+		return false;
+	refusal->retry_after_ms = (uint32_t)retry_after_ms;
+	/*
+	 * A result code for a call that was executed cannot be combined with
+	 * the outcome "not-run". A code whose usual outcome is unknown can.
+	 */
 	if (refusal->outcome == LOOM_OUTCOME_NOT_RUN &&
 	    loom_result_info(refusal->code)->outcome == LOOM_OUTCOME_RAN)
 		return false;
--- a/src/inner/seal.c
+++ b/src/inner/seal.c
@@ -1,5 +1,5 @@
 /*
- * Keys by purpose and texts with a MAC, by libsodium: BLAKE2b for both.
+ * Key derivation and authenticated texts. Both use BLAKE2b from libsodium.
  */
 
 #include <glib.h>
@@ -9,9 +9,9 @@
 #include "inner/seal.h"
 #include "loom/context.h"
 
-#define DERIVE_CONTEXT "loomkeys" /* crypto_kdf_CONTEXTBYTES */
+#define KDF_CONTEXT "loomkeys" /* must be crypto_kdf_CONTEXTBYTES long */
 
-/* Base64: so many bytes are so many digits. */
+/* Base64 encodes each group of 3 bytes as 4 digits. */
 #define GROUP_BYTES 3
 #define GROUP_DIGITS 4
 #define ENCODED_MAX(bytes) \
@@ -22,7 +22,7 @@
     const uint8_t secret[LOOM_SEAL_KEY_SIZE], enum loom_key_purpose purpose)
 {
 	crypto_kdf_derive_from_key(
-	    key, LOOM_SEAL_KEY_SIZE, (uint64_t)purpose, DERIVE_CONTEXT, secret);
+	    key, LOOM_SEAL_KEY_SIZE, (uint64_t)purpose, KDF_CONTEXT, secret);
 }
 
 void
@@ -33,8 +33,8 @@
 }
 
 /*
- * Base64 for URLs without padding (RFC 4648, 5), by GLib's tables: what is
- * sealed is no secret, so that it need not take constant time as libsodium's.
+ * Encodes base64url without padding (RFC 4648, section 5) with GLib. The data
+ * is not secret, so the constant-time encoder of libsodium is not needed.
  */
 static size_t
 encode(const uint8_t *bytes, size_t len, char *out)
@@ -60,54 +60,60 @@
 loom_seal_text(uint8_t *bytes, size_t len, size_t mac_len,
     const uint8_t key[LOOM_SEAL_KEY_SIZE], char *out, size_t size)
 {
-	/* with the padding that is cut off again */
+	/* encode() needs room for the padding, which it then removes */
 	if (size <= ENCODED_MAX(len + mac_len))
 		return 0;
 	loom_mac(bytes + len, mac_len, bytes, len, key);
 	return encode(bytes, len + mac_len, out);
 }
 
-/* To the usual alphabet; GLib leaves out what does not belong to it, and a
- * ticket or context would have many texts. */
+/*
+ * Converts to the standard base64 alphabet. Rejects other characters: GLib
+ * skips them, so one ticket or context could be written as many different
+ * texts.
+ */
 static bool
-to_usual(const char *text, size_t len, char *usual)
+to_standard_alphabet(const char *text, size_t len, char *standard)
 {
 	size_t i;
 
 	for (i = 0; i < len; i++) {
 		if (g_ascii_isalnum(text[i]))
-			usual[i] = text[i];
+			standard[i] = text[i];
 		else if (text[i] == '-')
-			usual[i] = '+';
+			standard[i] = '+';
 		else if (text[i] == '_')
-			usual[i] = '/';
+			standard[i] = '/';
 		else
 			return false;
 	}
 	return true;
 }
 
-/* The bits of the last digit that belong to no byte are zero, for the same
- * reason. */
+/*
+ * Checks that the unused bits of the last digit are zero, which also ensures
+ * that each value has only one text.
+ */
 static bool
-has_one_text(const char *text, size_t len, const uint8_t *bytes, size_t n)
+is_canonical_text(const char *text, size_t len, const uint8_t *bytes, size_t n)
 {
-	char last[ENCODED_MAX(GROUP_BYTES) + 1];
-	const size_t whole = n / GROUP_BYTES * GROUP_BYTES;
+	char last_group[ENCODED_MAX(GROUP_BYTES) + 1];
+	const size_t whole_groups_len = n / GROUP_BYTES * GROUP_BYTES;
 	size_t digits;
 
-	if (whole == n)
+	if (whole_groups_len == n)
 		return len % GROUP_DIGITS == 0;
-	digits = encode(bytes + whole, n - whole, last);
+	digits =
+	    encode(bytes + whole_groups_len, n - whole_groups_len, last_group);
 	return len % GROUP_DIGITS == digits &&
-	    memcmp(text + len - digits, last, digits) == 0;
+	    memcmp(text + len - digits, last_group, digits) == 0;
 }
 
 bool
 loom_decode_text(
     const char *text, size_t len, uint8_t *out, size_t size, size_t *out_len)
 {
-	char usual[LOOM_CONTEXT_TEXT_MAX + GROUP_DIGITS];
+	char standard[LOOM_CONTEXT_TEXT_MAX + GROUP_DIGITS];
 	size_t padded = len;
 	gint state = 0;
 	guint save = 0;
@@ -115,12 +121,12 @@
 	if (len > LOOM_CONTEXT_TEXT_MAX || len % GROUP_DIGITS == 1 ||
 	    len * GROUP_BYTES / GROUP_DIGITS > size)
 		return false;
-	if (!to_usual(text, len, usual))
+	if (!to_standard_alphabet(text, len, standard))
 		return false;
 	while (padded % GROUP_DIGITS != 0)
-		usual[padded++] = '=';
-	*out_len = g_base64_decode_step(usual, padded, out, &state, &save);
-	return has_one_text(text, len, out, *out_len);
+		standard[padded++] = '=';
+	*out_len = g_base64_decode_step(standard, padded, out, &state, &save);
+	return is_canonical_text(text, len, out, *out_len);
 }
 
 bool
--- a/src/inner/ticket_text.c
+++ b/src/inner/ticket_text.c
@@ -1,7 +1,7 @@
 /*
- * The text of a ticket: msgpack scalars and a MAC in base64url.  The MAC
- * covers the scalars, and the scalars have one packed form each, so that a
- * parsed ticket can be checked without its text.
+ * Encodes and decodes tickets as text: msgpack scalars and a MAC, in base64url.
+ * The MAC covers the scalars. Each scalar has only one valid encoding, so a
+ * parsed ticket can be verified without its text.
  */
 
 #include <sodium.h>
@@ -31,7 +31,7 @@
 static bool
 unpack_ticket(const uint8_t *bytes, size_t len, struct loom_ticket *ticket)
 {
-	uint8_t again[TICKET_BYTES_MAX];
+	uint8_t repacked[TICKET_BYTES_MAX];
 	struct loom_unpacker unpacker;
 
 	loom_unpack_init(&unpacker, bytes, len);
@@ -44,10 +44,12 @@
 	ticket->number = loom_unpack_u64(&unpacker, UINT64_MAX);
 	if (!loom_unpack_end(&unpacker))
 		return false;
-	/* One text for each ticket: a number written longer than needed is
-	 * refused. */
-	return pack_ticket(ticket, again, sizeof(again)) == len &&
-	    memcmp(again, bytes, len) == 0;
+	/*
+	 * Each ticket has only one valid text, so reject numbers whose encoding
+	 * is longer than necessary.
+	 */
+	return pack_ticket(ticket, repacked, sizeof(repacked)) == len &&
+	    memcmp(repacked, bytes, len) == 0;
 }
 
 enum loom_result
--- a/src/inner/transport.c
+++ b/src/inner/transport.c
@@ -1,6 +1,6 @@
 /*
- * The transport: the ROUTER that receives, the monitor that counts strangers,
- * and the way out through peer.c.
+ * The transport between daemons: the ROUTER socket that receives, the monitor
+ * that counts failed handshakes, and outgoing messages, which peer.c sends.
  */
 
 #include <stdlib.h>
@@ -12,9 +12,12 @@
 #include "loom/counter.h"
 #include "loom/log.h"
 
-/* Messages taken in one turn, so that a flood cannot hold back timers. */
+/*
+ * Messages received per iteration of the event loop, so that a flood of
+ * messages cannot delay timers.
+ */
 #define RECEIVE_BATCH 64
-/* Messages in ZeroMQ's queue for one connection in. */
+/* Messages in ZeroMQ's queue for one incoming connection. */
 #define RECEIVE_HWM 256
 #define BACKLOG 1024
 #define HANDSHAKE_TIMEOUT_MS 5000
@@ -24,7 +27,7 @@
 #define SWEEP_MS 1000
 #define MONITOR_ENDPOINT "inproc://loom-monitor"
 #define TCP_PREFIX "tcp://"
-#define STRANGER_EVENTS                           \
+#define HANDSHAKE_FAILED_EVENTS                   \
 	(ZMQ_EVENT_HANDSHAKE_FAILED_NO_DETAIL |   \
 	    ZMQ_EVENT_HANDSHAKE_FAILED_PROTOCOL | \
 	    ZMQ_EVENT_HANDSHAKE_FAILED_AUTH)
@@ -45,12 +48,12 @@
 	void *monitor; /* owned: PAIR */
 	struct loom_zap *zap; /* owned */
 	struct loom_peers *peers; /* owned */
-	struct loom_repeats *window; /* owned */
+	struct loom_repeats *replay_window; /* owned */
 	struct tevent_fd *router_fde; /* owned */
 	struct tevent_fd *monitor_fde; /* owned */
-	struct tevent_immediate *more; /* owned */
+	struct tevent_immediate *receive_immediate; /* owned */
 	struct tevent_timer *sweep; /* owned */
-	uint8_t *buffer; /* owned: the message that is packed */
+	uint8_t *send_buffer; /* owned: the message being encoded */
 	uint64_t sequence;
 	loom_inner_receive receive;
 	void *arg; /* borrowed */
@@ -58,7 +61,7 @@
 	struct loom_counter *received_bytes;
 	struct loom_counter *sent;
 	struct loom_counter *sent_bytes;
-	struct loom_counter *strangers;
+	struct loom_counter *handshake_failures;
 	struct drop_counter drops[5];
 };
 
@@ -74,7 +77,7 @@
 }
 
 static void
-take_message(struct loom_inner *inner, const void *data, size_t len)
+handle_message(struct loom_inner *inner, const void *data, size_t len)
 {
 	struct loom_message envelope;
 	uint64_t now_us = loom_now_us();
@@ -84,8 +87,8 @@
 	loom_counter_add(inner->received_bytes, (int64_t)len);
 	result = loom_message_unpack(data, len, &envelope);
 	if (result == LOOM_OK &&
-	    !loom_repeats_check(
-		inner->window, &envelope.from, envelope.sequence, now_us))
+	    !loom_repeats_check(inner->replay_window, &envelope.from,
+		envelope.sequence, now_us))
 		result = LOOM_INNER_REPLAYED;
 	if (result != LOOM_OK) {
 		count_drop(inner, result);
@@ -94,8 +97,10 @@
 	inner->receive(inner->arg, &envelope, now_us);
 }
 
-/* The frame after the routing id is the message; more frames make it
- * malformed.  False when nothing waits. */
+/*
+ * Receives one message: the routing id followed by a single frame. Other frame
+ * counts are malformed. Returns false if no message is pending.
+ */
 static bool
 receive_one(struct loom_inner *inner)
 {
@@ -118,7 +123,7 @@
 		zmq_msg_close(&frame);
 	}
 	if (frames == 2)
-		take_message(inner, zmq_msg_data(&body), zmq_msg_size(&body));
+		handle_message(inner, zmq_msg_data(&body), zmq_msg_size(&body));
 	else
 		count_drop(inner, LOOM_INNER_MALFORMED);
 	zmq_msg_close(&body);
@@ -129,9 +134,9 @@
     struct tevent_context *, struct tevent_immediate *, void *arg);
 
 /*
- * ZeroMQ's descriptor is edge-triggered: it stays silent about messages that
- * were already there.  So either all are read until none is left, or another
- * turn is asked for.
+ * ZeroMQ's descriptor is edge-triggered and does not signal messages that were
+ * already pending. Therefore either all messages are read, or another iteration
+ * is scheduled.
  */
 static void
 receive_batch(struct loom_inner *inner)
@@ -142,7 +147,8 @@
 		if (!receive_one(inner))
 			return;
 	}
-	tevent_schedule_immediate(inner->more, inner->ev, receive_more, inner);
+	tevent_schedule_immediate(
+	    inner->receive_immediate, inner->ev, receive_more, inner);
 }
 
 static void
@@ -164,7 +170,7 @@
 	receive_batch(arg);
 }
 
-/* Every event is a handshake that failed: the monitor asks for no other. */
+/* Counts failed handshakes. The monitor subscribes to no other events. */
 static void
 read_monitor(struct loom_inner *inner)
 {
@@ -176,7 +182,7 @@
 	    zmq_recv(inner->monitor, frame, sizeof(frame), ZMQ_DONTWAIT) >= 0) {
 		zmq_getsockopt(inner->monitor, ZMQ_RCVMORE, &more, &size);
 		if (!more)
-			loom_counter_add(inner->strangers, 1);
+			loom_counter_add(inner->handshake_failures, 1);
 	}
 }
 
@@ -193,7 +199,7 @@
 static void schedule_sweep(struct loom_inner *);
 
 static void
-sweep_now(struct tevent_context *ev, struct tevent_timer *timer,
+on_sweep_timer(struct tevent_context *ev, struct tevent_timer *timer,
     struct timeval now, void *arg)
 {
 	struct loom_inner *inner = arg;
@@ -201,7 +207,7 @@
 	(void)ev;
 	(void)timer;
 	(void)now;
-	loom_peers_sweep(inner->peers, loom_now_us());
+	loom_peers_expire(inner->peers, loom_now_us());
 	schedule_sweep(inner);
 }
 
@@ -211,7 +217,7 @@
 	inner->sweep = tevent_add_timer(inner->ev, inner,
 	    tevent_timeval_current_ofs(
 		SWEEP_MS / 1000, SWEEP_MS % 1000 * LOOM_US_PER_MS),
-	    sweep_now, inner);
+	    on_sweep_timer, inner);
 }
 
 static bool
@@ -243,7 +249,7 @@
 
 	g_snprintf(
 	    endpoint, sizeof(endpoint), TCP_PREFIX "%s", inner->options.bind);
-	/* ZeroMQ takes 0 for a literal port and "*" for any. */
+	/* In ZeroMQ, "*" selects a free port; 0 is taken literally. */
 	if (g_str_has_suffix(endpoint, ":0"))
 		endpoint[strlen(endpoint) - 1] = '*';
 	if (zmq_bind(inner->router, endpoint) != 0)
@@ -272,7 +278,7 @@
 open_monitor(struct loom_inner *inner)
 {
 	if (zmq_socket_monitor(
-		inner->router, MONITOR_ENDPOINT, STRANGER_EVENTS) != 0)
+		inner->router, MONITOR_ENDPOINT, HANDSHAKE_FAILED_EVENTS) != 0)
 		return false;
 	inner->monitor = zmq_socket(inner->zmq, ZMQ_PAIR);
 	return inner->monitor != NULL &&
@@ -280,15 +286,18 @@
 	    zmq_connect(inner->monitor, MONITOR_ENDPOINT) == 0;
 }
 
-/* What came before a descriptor was watched raises no edge on it, so each
- * socket is read once at the start.
- * The ZAP handler stands before the first connection can come in. */
+/*
+ * Events that occurred before a descriptor was watched trigger no edge on it,
+ * so each socket is read once at the start. The ZAP handler is created before
+ * the router is bound, so that no connection can bypass it.
+ */
 static bool
 open_sockets(struct loom_inner *inner, GError **error)
 {
 	inner->zmq = zmq_ctx_new();
 	if (inner->zmq == NULL)
-		return loom_fail(error, LOOM_INNER_SOCKET, "no context");
+		return loom_fail(
+		    error, LOOM_INNER_SOCKET, "cannot create a ZeroMQ context");
 	inner->zap = loom_zap_new(inner, inner->ev, inner->zmq, &inner->curve);
 	inner->router = zmq_socket(inner->zmq, ZMQ_ROUTER);
 	if (inner->zap == NULL || inner->router == NULL ||
@@ -302,7 +311,8 @@
 	inner->router_fde = watch_socket(inner, inner->router, router_ready);
 	inner->monitor_fde = watch_socket(inner, inner->monitor, monitor_ready);
 	if (inner->router_fde == NULL || inner->monitor_fde == NULL)
-		return loom_fail(error, LOOM_INNER_SOCKET, "no descriptor");
+		return loom_fail(error, LOOM_INNER_SOCKET,
+		    "cannot watch the ZeroMQ descriptors");
 	read_monitor(inner);
 	return true;
 }
@@ -331,7 +341,7 @@
 }
 
 static void
-set_counters(struct loom_inner *inner)
+register_counters(struct loom_inner *inner)
 {
 	static const struct drop_counter drops[] = {
 		{ LOOM_INNER_TRUNCATED, "reason=\"truncated\"", NULL },
@@ -356,12 +366,12 @@
 	    "loom_inner_sent_total", NULL, "Messages given to be sent.");
 	inner->sent_bytes = loom_counter("loom_inner_sent_bytes_total", NULL,
 	    "Bytes of messages sent, without the wire's own.");
-	inner->strangers = loom_counter("loom_inner_strangers_total", NULL,
-	    "Connections that failed to prove the fleet's key.");
+	inner->handshake_failures = loom_counter("loom_inner_strangers_total",
+	    NULL, "Connections that failed to prove the fleet's key.");
 }
 
 static bool
-make_parts(struct loom_inner *inner)
+create_components(struct loom_inner *inner)
 {
 	const struct loom_inner_options *options = &inner->options;
 	struct loom_peers_options peers = {
@@ -369,19 +379,19 @@
 		.ev = inner->ev,
 		.curve = &inner->curve,
 		.source = options->source,
-		.max =
+		.max_connections =
 		    options->peers_max > 0 ? options->peers_max : PEERS_DEFAULT,
 		.idle_us = LOOM_US_PER_MS *
 		    (options->idle_ms > 0 ? options->idle_ms : IDLE_DEFAULT_MS),
 	};
 
 	inner->peers = loom_peers_new(inner, &peers);
-	inner->window = loom_repeats_new(inner);
-	inner->more = tevent_create_immediate(inner);
-	inner->buffer =
+	inner->replay_window = loom_repeats_new(inner);
+	inner->receive_immediate = tevent_create_immediate(inner);
+	inner->send_buffer =
 	    talloc_size(inner, LOOM_PAYLOAD_MAX + LOOM_MESSAGE_HEAD_MAX);
-	return inner->peers != NULL && inner->window != NULL &&
-	    inner->more != NULL && inner->buffer != NULL;
+	return inner->peers != NULL && inner->replay_window != NULL &&
+	    inner->receive_immediate != NULL && inner->send_buffer != NULL;
 }
 
 struct loom_inner *
@@ -402,15 +412,16 @@
 	inner->arg = arg;
 	talloc_set_destructor(inner, inner_destroy);
 	loom_curve_derive(&inner->curve, options->secret);
-	set_counters(inner);
+	register_counters(inner);
 	if (!open_sockets(inner, error))
 		goto error;
-	if (!make_parts(inner)) {
+	if (!create_components(inner)) {
 		loom_fail(error, LOOM_NO_MEMORY, "transport");
 		goto error;
 	}
 	schedule_sweep(inner);
-	tevent_schedule_immediate(inner->more, inner->ev, receive_more, inner);
+	tevent_schedule_immediate(
+	    inner->receive_immediate, inner->ev, receive_more, inner);
 	return inner;
 
 error:
@@ -442,16 +453,16 @@
 
 	if (len > LOOM_PAYLOAD_MAX)
 		return false;
-	if (loom_peers_tell_address(inner->peers, address, now_us))
+	if (loom_peers_include_address(inner->peers, address, now_us))
 		g_strlcpy(envelope.control,
 		    control != NULL ? control : inner->address,
 		    sizeof(envelope.control));
-	size = loom_message_pack(
-	    &envelope, inner->buffer, LOOM_PAYLOAD_MAX + LOOM_MESSAGE_HEAD_MAX);
+	size = loom_message_pack(&envelope, inner->send_buffer,
+	    LOOM_PAYLOAD_MAX + LOOM_MESSAGE_HEAD_MAX);
 	if (size == 0)
 		return false;
 	loom_counter_add(inner->sent, 1);
 	loom_counter_add(inner->sent_bytes, (int64_t)size);
 	return loom_peers_send(
-	    inner->peers, address, inner->buffer, size, now_us);
+	    inner->peers, address, inner->send_buffer, size, now_us);
 }
