--- a/tests/inner/test_codec.c
+++ b/tests/inner/test_codec.c
@@ -1,6 +1,7 @@
 /*
- * Payloads and envelopes: what is written comes back, and no bytes that a
- * peer may send make the readers crash, allocate or accept too much.
+ * Payloads and envelopes: encoded values are decoded unchanged, and no input
+ * from a peer makes the decoders crash, allocate memory or accept values out of
+ * bounds.
  */
 
 #include <math.h>
@@ -69,7 +70,7 @@
 	CU_ASSERT(p.len <= sizeof(buf));
 }
 
-enum reads {
+enum value_type {
 	READ_U64,
 	READ_I64,
 	READ_BOOL,
@@ -77,16 +78,16 @@
 	READ_BIN,
 	READ_STR,
 	READ_COUNT,
-	READS,
+	READ_TYPE_COUNT,
 };
 
 static void
-read_one(struct loom_unpacker *u, enum reads what)
+read_one(struct loom_unpacker *u, enum value_type type)
 {
 	char text[8];
 	size_t len;
 
-	switch (what) {
+	switch (type) {
 	case READ_U64:
 		loom_unpack_u64(u, 1000);
 		break;
@@ -118,7 +119,7 @@
 {
 	static const struct {
 		const char *name;
-		enum reads what;
+		enum value_type type;
 		enum loom_result error;
 		const uint8_t *data;
 		size_t len;
@@ -166,7 +167,7 @@
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
 		loom_unpack_init(&u, cases[i].data, cases[i].len);
-		read_one(&u, cases[i].what);
+		read_one(&u, cases[i].type);
 		TEST_CHECK(!loom_unpack_end(&u), "%s", cases[i].name);
 		TEST_CHECK(loom_unpack_error(&u) == cases[i].error, "%s: %d",
 		    cases[i].name, (int)loom_unpack_error(&u));
@@ -174,7 +175,7 @@
 }
 
 static struct loom_message
-sample(void)
+sample_message(void)
 {
 	return (struct loom_message){
 		.from = { .host_id = 7, .incarnation = UINT64_MAX },
@@ -189,7 +190,7 @@
 static void
 test_envelope(void)
 {
-	struct loom_message in = sample(), out;
+	struct loom_message in = sample_message(), out;
 	uint8_t buf[256], broken[256];
 	enum loom_result result;
 	size_t i, len;
@@ -224,12 +225,15 @@
 	CU_ASSERT_EQUAL(loom_message_pack(&in, buf, 20), 0);
 }
 
-/* Random bytes, and good messages with a few bytes changed. */
+/*
+ * Random bytes, and valid messages with a few bytes changed. The decoders must
+ * not read out of bounds or return pointers outside the message.
+ */
 static void
 test_random_bytes(void)
 {
 	struct loom_random random = test_random_new(42);
-	struct loom_message good = sample(), out;
+	struct loom_message good = sample_message(), out;
 	struct loom_unpacker u;
 	uint8_t buf[128];
 	size_t i, j, len;
@@ -248,16 +252,18 @@
 		}
 		loom_unpack_init(&u, buf, len);
 		while (loom_unpack_error(&u) == LOOM_OK)
-			read_one(
-			    &u, (enum reads)loom_random_below(&random, READS));
+			read_one(&u,
+			    (enum value_type)loom_random_below(
+				&random, READ_TYPE_COUNT));
 		CU_ASSERT_FATAL(u.offset <= u.len);
 	}
 	test_random_free(&random);
 }
 
 /*
- * A captured message is played again, at once or later.  Without the window
- * a part would see it twice; a message that is only late still counts once.
+ * An attacker resends a captured message, immediately or later. Without the
+ * replay window, a component would process it twice. A message that is merely
+ * late must still be accepted once.
  */
 static void
 test_replay(void)
@@ -284,35 +290,39 @@
 		{ 1, UINT64_MAX, false },
 		{ 2, 12, true },
 	};
-	struct loom_repeats *window = loom_repeats_new(NULL);
+	struct loom_repeats *replay_window = loom_repeats_new(NULL);
 	struct loom_from from = { .host_id = 5 };
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(steps); i++) {
 		from.incarnation = steps[i].incarnation;
-		TEST_CHECK(loom_repeats_check(window, &from, steps[i].sequence,
-			       i) == steps[i].is_new,
+		TEST_CHECK(loom_repeats_check(replay_window, &from,
+			       steps[i].sequence, i) == steps[i].is_new,
 		    "step %zu", i);
 	}
-	talloc_free(window);
+	talloc_free(replay_window);
 }
 
-/* Senders come and go for ever; the memory of them is bounded. */
+/*
+ * New incarnations of senders keep appearing. The memory used to track them
+ * must stay bounded.
+ */
 static void
 test_replay_bounded(void)
 {
-	struct loom_repeats *window = loom_repeats_new(NULL);
+	struct loom_repeats *replay_window = loom_repeats_new(NULL);
 	struct loom_from from = { .host_id = 5 };
 	bool refused = false;
 	uint64_t i;
 
 	for (i = 0; i < 40000; i++) {
 		from.incarnation = i;
-		refused |= !loom_repeats_check(window, &from, 1, 1);
+		refused |= !loom_repeats_check(replay_window, &from, 1, 1);
 	}
 	CU_ASSERT(refused);
-	CU_ASSERT(loom_repeats_check(window, &from, 1, 61 * LOOM_US_PER_S));
-	talloc_free(window);
+	CU_ASSERT(
+	    loom_repeats_check(replay_window, &from, 1, 61 * LOOM_US_PER_S));
+	talloc_free(replay_window);
 }
 
 static const struct test_case tests[] = {
--- a/tests/inner/test_context.c
+++ b/tests/inner/test_context.c
@@ -1,5 +1,6 @@
 /*
- * Contexts: what is refused, and that a recorded one stays refused.
+ * Contexts: which ones are rejected, and that a recorded context is never
+ * accepted again.
  */
 
 #include <string.h>
@@ -16,7 +17,7 @@
 static const uint8_t secret[LOOM_FLEET_SECRET_SIZE] = { 1, 2, 3 };
 
 static struct loom_context
-sample(void)
+sample_context(void)
 {
 	return (struct loom_context){
 		.kind = LOOM_CONTEXT_PEER,
@@ -75,7 +76,7 @@
 static void
 test_round_trip(void)
 {
-	struct loom_context context = sample(), out;
+	struct loom_context context = sample_context(), out;
 	char text[LOOM_CONTEXT_TEXT_MAX];
 	size_t len = encode(&context, text);
 
@@ -96,7 +97,10 @@
 	CU_ASSERT_TRUE(out.wants_ticket);
 }
 
-/* The longest values still fit, so that no call is lost to its own header. */
+/*
+ * The largest values must fit, so that no call fails because of the size of its
+ * own header.
+ */
 static void
 test_largest(void)
 {
@@ -109,17 +113,17 @@
 }
 
 /*
- * An upstream, or a host on the way, sends a context that is not its own to
- * use: for another daemon, of another kind, of a dead incarnation, or one
- * that it kept until the set of ids has forgotten it.  Each would run work in
- * another team's name.
+ * An upstream or an intermediate host sends a context that it may not use: for
+ * another daemon, of another kind, for an earlier incarnation, or one that it
+ * kept until its call id was dropped from the replay set. If accepted, each
+ * would execute work on behalf of another team.
  */
 static void
 test_refused(void)
 {
 	static const struct {
 		const char *name;
-		size_t offset; /* of a field to set */
+		size_t offset; /* of the field to change */
 		size_t size;
 		uint64_t value;
 		uint64_t now_us;
@@ -159,7 +163,7 @@
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
-		context = sample();
+		context = sample_context();
 		memcpy((char *)&context + cases[i].offset, &cases[i].value,
 		    cases[i].size);
 		code = round_trip(&context, cases[i].now_us);
@@ -168,11 +172,14 @@
 	}
 }
 
-/* Every single changed character, cut and added byte is refused. */
+/*
+ * Each change of a single character, each truncation and an appended character
+ * must be rejected.
+ */
 static void
 test_forged(void)
 {
-	struct loom_context context = sample(), out;
+	struct loom_context context = sample_context(), out;
 	char text[LOOM_CONTEXT_TEXT_MAX], copy[LOOM_CONTEXT_TEXT_MAX + 1];
 	size_t i, len = encode(&context, text);
 
@@ -193,12 +200,15 @@
 	    LOOM_CONTEXT_INVALID);
 }
 
-/* Seeded random bytes, with and without a right MAC, never crash or pass. */
+/*
+ * Contexts with a few random characters, from a fixed seed: none may crash the
+ * decoder, and none that differs from the original may be accepted.
+ */
 static void
 test_random_bytes(void)
 {
 	struct loom_random random = test_random_new(11);
-	struct loom_context context = sample(), out;
+	struct loom_context context = sample_context(), out;
 	char text[LOOM_CONTEXT_TEXT_MAX];
 	size_t i, len, at;
 	unsigned passed = 0;
@@ -218,20 +228,20 @@
 }
 
 /*
- * A peer context arrives twice, the second time at the last moment at which
- * its age would still pass: the set must still know it then.
+ * A peer context is received twice, the second time at the last moment at which
+ * the age check accepts it. Its call id must still be in the replay set.
  */
 static void
 test_replay(void)
 {
 	struct loom_replay *replay = loom_replay_new(65536);
-	struct loom_context context = sample();
+	struct loom_context context = sample_context();
 	uint64_t last_us = NOW + 5 * SECOND + LOOM_CLOCK_SKEW_US;
 	uint32_t i;
 
 	CU_ASSERT_EQUAL(loom_replay_admit(replay, &context, NOW), LOOM_OK);
 	for (i = 0; i < 5000; i++) {
-		struct loom_context other = sample();
+		struct loom_context other = sample_context();
 
 		memcpy(other.call.bytes, &i, sizeof(i));
 		other.call.bytes[15] = (uint8_t)i;
@@ -243,13 +253,15 @@
 	loom_replay_free(replay);
 }
 
-/* A flood of ids fills the set: new calls are refused, no id is forgotten,
- * and room comes back when the ids expire. */
+/*
+ * Many call ids fill the replay set. New calls must be rejected rather than ids
+ * dropped early, and space must become free when ids expire.
+ */
 static void
 test_replay_full(void)
 {
 	struct loom_replay *replay = loom_replay_new(16);
-	struct loom_context context = sample();
+	struct loom_context context = sample_context();
 	uint64_t later_us = NOW + 8 * SECOND;
 
 	CU_ASSERT_EQUAL(loom_replay_admit(replay, &context, NOW), LOOM_OK);
@@ -293,15 +305,17 @@
 	CU_ASSERT_EQUAL(context.audience_stamp_us, 1030);
 }
 
-/* An upstream uses its context after the call has ended, or for another
- * team. */
+/*
+ * An upstream uses its context after the call has ended, or for another team.
+ * Both must be rejected.
+ */
 static void
 test_live_calls(void)
 {
 	struct loom_calls *calls = loom_calls_new();
-	struct loom_live_call call = { .context = sample(),
+	struct loom_live_call call = { .context = sample_context(),
 		.deadline_us = NOW + 10 };
-	struct loom_context wrong = sample();
+	struct loom_context wrong = sample_context();
 
 	wrong.team_id++;
 	CU_ASSERT_EQUAL(loom_calls_find(calls, &call.context, NOW, NULL),
--- a/tests/inner/test_handover_codec.c
+++ b/tests/inner/test_handover_codec.c
@@ -1,7 +1,7 @@
 /*
- * The messages of a hand-over: what a heir must not take, and seeded random
- * changes of the state, which arrives sealed but from another version or a
- * failing memory all the same.
+ * Messages that hand over tickets: what the successor must reject, and random
+ * changes of the state from a fixed seed. The state is encrypted and
+ * authenticated, but the sender may run another version or have faulty memory.
  */
 
 #include <string.h>
@@ -52,49 +52,52 @@
 	CU_ASSERT_EQUAL(chunk.count, 7);
 	CU_ASSERT_EQUAL(chunk.len, 5);
 	CU_ASSERT_EQUAL(memcmp(chunk.data, "state", 5), 0);
-	/* The first byte is the index: a chunk is no other one. */
+	/*
+	 * The first byte is the chunk index: a chunk must not be accepted under
+	 * another index.
+	 */
 	message[0] = 4;
 	CU_ASSERT_FALSE(handover_chunk_open(key, &pair, message, len, &chunk));
 }
 
-struct seen {
+struct item_counts {
 	unsigned issuers;
 	unsigned windows;
 	unsigned kept;
-	unsigned unused_again; /* used numbers that were read as unused */
+	unsigned used_as_unused; /* used numbers that were decoded as unused */
 };
 
 static void
-see_issuer(void *arg, const struct handover_issuer *issuer)
+count_issuer(void *arg, const struct handover_issuer *issuer)
 {
-	struct seen *seen = arg;
+	struct item_counts *counts = arg;
 
 	(void)issuer;
-	seen->issuers++;
+	counts->issuers++;
 }
 
 static void
-see_window(void *arg, uint64_t incarnation, uint64_t team_id,
+count_window(void *arg, uint64_t incarnation, uint64_t team_id,
     const struct ticket_window *window)
 {
-	struct seen *seen = arg;
+	struct item_counts *counts = arg;
 
 	(void)incarnation;
 	(void)team_id;
-	seen->windows++;
-	seen->unused_again +=
+	counts->windows++;
+	counts->used_as_unused +=
 	    ticket_window_get(window, 4) == TICKET_STATE_UNUSED;
 }
 
 static void
-see_kept(void *arg, const struct ticket_key *ticket,
+count_answer(void *arg, const struct ticket_key *ticket,
     const struct loom_request_digest *digest, struct loom_answer *answer)
 {
-	struct seen *seen = arg;
+	struct item_counts *counts = arg;
 
 	(void)ticket;
 	(void)digest;
-	seen->kept += answer->body_bytes == 4;
+	counts->kept += answer->body_bytes == 4;
 }
 
 static size_t
@@ -120,51 +123,55 @@
 }
 
 static bool
-read_state(const uint8_t *state, size_t len, struct seen *seen)
+read_state(const uint8_t *state, size_t len, struct item_counts *counts)
 {
 	const struct handover_reader reader = {
-		.issuer = see_issuer,
-		.window = see_window,
-		.kept = see_kept,
-		.arg = seen,
+		.issuer = count_issuer,
+		.window = count_window,
+		.kept = count_answer,
+		.arg = counts,
 	};
 
-	memset(seen, 0, sizeof(*seen));
+	memset(counts, 0, sizeof(*counts));
 	return handover_state_read(state, len, &reader);
 }
 
-/* A state that ends too early, anywhere, installs nothing at all: half of it
- * would be windows without some of their numbers. */
+/*
+ * A state that is truncated anywhere must install nothing at all. A partial
+ * state would have windows that lack some of their used numbers.
+ */
 static void
 test_state(void)
 {
 	uint8_t state[1024], *copy;
-	struct seen seen;
+	struct item_counts counts;
 	size_t len = pack_sample(state, sizeof(state)), cut;
 
-	CU_ASSERT_TRUE(read_state(state, len, &seen));
-	CU_ASSERT_EQUAL(seen.issuers, 1);
-	CU_ASSERT_EQUAL(seen.windows, 1);
-	CU_ASSERT_EQUAL(seen.kept, 1);
-	CU_ASSERT_EQUAL(seen.unused_again, 0);
+	CU_ASSERT_TRUE(read_state(state, len, &counts));
+	CU_ASSERT_EQUAL(counts.issuers, 1);
+	CU_ASSERT_EQUAL(counts.windows, 1);
+	CU_ASSERT_EQUAL(counts.kept, 1);
+	CU_ASSERT_EQUAL(counts.used_as_unused, 0);
 	for (cut = 0; cut < len; cut++) {
 		copy = g_memdup2(state, cut);
-		TEST_CHECK(!read_state(copy, cut, &seen), "cut at %zu", cut);
-		TEST_CHECK(seen.issuers + seen.windows + seen.kept == 0,
+		TEST_CHECK(!read_state(copy, cut, &counts), "cut at %zu", cut);
+		TEST_CHECK(counts.issuers + counts.windows + counts.kept == 0,
 		    "cut at %zu", cut);
 		g_free(copy);
 	}
 }
 
-/* Nine numbers take three bytes; were two taken, number 8 would read as
- * unused. */
+/*
+ * Nine ticket numbers take three bytes. If two bytes were accepted, number 8
+ * would be decoded as unused.
+ */
 static void
 test_short_window(void)
 {
 	static const uint8_t bits[4] = { 0xff, 0xff, 0xff, 0xff };
 	struct loom_packer packer;
 	uint8_t state[128];
-	struct seen seen;
+	struct item_counts counts;
 	size_t len;
 
 	for (len = 0; len <= sizeof(bits); len++) {
@@ -176,7 +183,7 @@
 		loom_pack_u64(&packer, 9);
 		loom_pack_bin(&packer, bits, len);
 		handover_state_end(&packer);
-		TEST_CHECK(read_state(state, packer.len, &seen) == (len == 3),
+		TEST_CHECK(read_state(state, packer.len, &counts) == (len == 3),
 		    "%zu bytes", len);
 	}
 }
@@ -188,8 +195,8 @@
 	static struct handover_heir heir;
 	uint8_t state[1024], message[HANDOVER_MESSAGE_MAX], *copy;
 	size_t len = pack_sample(state, sizeof(state)), heir_len;
-	unsigned i, half = 0;
-	struct seen seen;
+	unsigned i, partial_reads = 0;
+	struct item_counts counts;
 
 	heir.count = 3;
 	heir_len = handover_heir_pack(&heir, message);
@@ -197,8 +204,8 @@
 		copy = g_memdup2(state, len);
 		copy[loom_random_below(&random, len)] =
 		    (uint8_t)random.next(random.arg);
-		half += !read_state(copy, len, &seen) &&
-		    seen.issuers + seen.windows + seen.kept != 0;
+		partial_reads += !read_state(copy, len, &counts) &&
+		    counts.issuers + counts.windows + counts.kept != 0;
 		g_free(copy);
 		copy = g_memdup2(message, heir_len);
 		copy[loom_random_below(&random, heir_len)] =
@@ -207,7 +214,7 @@
 		CU_ASSERT_TRUE(heir.count <= HANDOVER_INCARNATIONS_MAX);
 		g_free(copy);
 	}
-	CU_ASSERT_EQUAL(half, 0);
+	CU_ASSERT_EQUAL(partial_reads, 0);
 	test_random_free(&random);
 }
 
--- a/tests/inner/test_transport.c
+++ b/tests/inner/test_transport.c
@@ -1,6 +1,6 @@
 /*
- * The transport over real sockets: messages both ways, strangers, bytes that
- * are no messages, peers that are gone.
+ * The transport over real sockets: messages in both directions, peers that fail
+ * authentication, input that is not a message, and peers that are gone.
  */
 
 #include <arpa/inet.h>
@@ -22,8 +22,8 @@
 	uint32_t received;
 	size_t last_len;
 	uint64_t last_from;
-	char last_control[LOOM_ADDRESS_SIZE]; /* that was not empty */
-	uint32_t named; /* messages with an address */
+	char last_control[LOOM_ADDRESS_SIZE]; /* the last that was not empty */
+	uint32_t with_address; /* messages that included the sender's address */
 };
 
 struct fixture {
@@ -44,7 +44,7 @@
 	node->last_from = envelope->from.host_id;
 	if (envelope->control[0] == '\0')
 		return;
-	node->named++;
+	node->with_address++;
 	g_strlcpy(
 	    node->last_control, envelope->control, sizeof(node->last_control));
 }
@@ -84,7 +84,7 @@
 }
 
 static int64_t
-count(const char *name, const char *labels)
+counter_value(const char *name, const char *labels)
 {
 	return loom_counter_value(loom_counter(name, labels, ""));
 }
@@ -107,8 +107,10 @@
 	teardown(&f);
 }
 
-/* The time-out of unacknowledged bytes on this process's connection to an
- * address, in milliseconds; 0 when there is none. */
+/*
+ * Returns the timeout for unacknowledged data of this process's connection to
+ * an address, in milliseconds, or 0 if none is set.
+ */
 static unsigned
 unacknowledged_max_ms(const char *address)
 {
@@ -130,8 +132,10 @@
 	return 0;
 }
 
-/* Guards against peers that go on sending into a connection that is dead:
- * rates that are lent over it stay away for as long. */
+/*
+ * Guards against a daemon that keeps sending on a dead connection. Rate that
+ * was lent over such a connection would be unavailable for as long.
+ */
 static void
 test_dead_connection(void)
 {
@@ -147,8 +151,11 @@
 	teardown(&f);
 }
 
-/* Each message with the sender's address would cost a quarter more; a peer
- * that missed the first one must still learn where to answer. */
+/*
+ * Including the sender's address in every message would make messages a quarter
+ * larger. A peer that missed the first message must still learn the address to
+ * answer to.
+ */
 static void
 test_address_is_told(void)
 {
@@ -160,17 +167,17 @@
 		loom_inner_send(
 		    f.a.inner, loom_inner_address(f.b.inner), 20, "x", 1);
 		WAIT(&f, f.b.received == i);
-		CU_ASSERT_EQUAL(f.b.named >= MIN(i, 8), true);
+		CU_ASSERT_EQUAL(f.b.with_address >= MIN(i, 8), true);
 	}
-	/* one more if five seconds passed meanwhile */
-	TEST_CHECK(f.b.named <= 10, "%u of 30", f.b.named);
+	/* allows for more if the test takes longer than five seconds */
+	TEST_CHECK(f.b.with_address <= 10, "%u of 30", f.b.with_address);
 	CU_ASSERT_STRING_EQUAL(f.b.last_control, loom_inner_address(f.a.inner));
 	teardown(&f);
 }
 
 /*
- * A thousand messages are in ZeroMQ's queue before the loop turns: its
- * descriptor tells of them once.  A reader that takes one for each event
+ * A thousand messages are in ZeroMQ's queue before the event loop runs, and the
+ * descriptor signals them only once. A reader that takes one message per event
  * would stop after the first.
  */
 static void
@@ -209,32 +216,33 @@
 }
 
 /*
- * A peer is gone.  Sending to it must not block, and what waits for it must
- * stay bounded; others are still reached over the few connections allowed.
+ * A peer is gone. Sending to it must not block, and the number of messages
+ * queued for it must stay bounded. Other peers must still be reachable within
+ * the limit on open connections.
  */
 static void
 test_peer_gone(void)
 {
 	struct fixture f;
 	char gone[LOOM_ADDRESS_SIZE];
-	uint32_t i, taken = 0;
+	uint32_t i, accepted = 0;
 
 	setup(&f);
 	g_strlcpy(gone, loom_inner_address(f.b.inner), sizeof(gone));
 	TALLOC_FREE(f.b.inner);
 	for (i = 0; i < 1000; i++)
-		taken += loom_inner_send(f.a.inner, gone, 20, "x", 1);
-	TEST_CHECK(taken <= 64, "%u taken", taken);
+		accepted += loom_inner_send(f.a.inner, gone, 20, "x", 1);
+	TEST_CHECK(accepted <= 64, "%u accepted", accepted);
 	CU_ASSERT(loom_inner_send(f.a.inner, "127.0.0.1:1", 20, "x", 1));
 	start_node(&f, &f.b, 2, 1, "127.0.0.1:0");
 	CU_ASSERT(loom_inner_send(
 	    f.a.inner, loom_inner_address(f.b.inner), 20, "x", 1));
 	WAIT(&f, f.b.received == 1);
-	CU_ASSERT_EQUAL(count("loom_inner_connections_open", NULL), 2);
+	CU_ASSERT_EQUAL(counter_value("loom_inner_connections_open", NULL), 2);
 	teardown(&f);
 }
 
-/* The peer comes back at its address: the next messages reach it. */
+/* A peer restarts at the same address. Later messages must reach it. */
 static void
 test_peer_restarts(void)
 {
@@ -256,9 +264,9 @@
 }
 
 /*
- * A process that does not know the fleet's secret sends to the control port.
- * Whether it comes with another secret, with the fleet's public key but a key
- * pair of its own, or without any, nothing of it may reach a part.
+ * A process without the fleet's secret sends to the control port: with another
+ * secret, with the fleet's public key but its own key pair, or without CURVE.
+ * No component may receive any of its messages.
  */
 static void
 test_strangers(void)
@@ -273,10 +281,10 @@
 	int linger = 0;
 
 	setup(&f);
-	before = count("loom_inner_strangers_total", NULL);
+	before = counter_value("loom_inner_strangers_total", NULL);
 	start_node(&f, &other, 9, 2, "127.0.0.1:0");
 	loom_inner_send(other.inner, loom_inner_address(f.b.inner), 20, "x", 1);
-	WAIT(&f, count("loom_inner_strangers_total", NULL) > before);
+	WAIT(&f, counter_value("loom_inner_strangers_total", NULL) > before);
 	TALLOC_FREE(other.inner);
 
 	memset(secret, 1, sizeof(secret));
@@ -293,18 +301,18 @@
 	zmq_setsockopt(dealer, ZMQ_CURVE_SERVERKEY, fleet_pk, 41);
 	zmq_setsockopt(dealer, ZMQ_CURVE_PUBLICKEY, own_pk, 41);
 	zmq_setsockopt(dealer, ZMQ_CURVE_SECRETKEY, own_sk, 41);
-	before = count("loom_inner_strangers_total", NULL);
+	before = counter_value("loom_inner_strangers_total", NULL);
 	zmq_connect(dealer, endpoint);
 	zmq_send(dealer, "x", 1, ZMQ_DONTWAIT);
-	WAIT(&f, count("loom_inner_strangers_total", NULL) > before);
+	WAIT(&f, counter_value("loom_inner_strangers_total", NULL) > before);
 	zmq_close(dealer);
 
 	dealer = zmq_socket(zmq, ZMQ_DEALER);
 	zmq_setsockopt(dealer, ZMQ_LINGER, &linger, sizeof(linger));
-	before = count("loom_inner_strangers_total", NULL);
+	before = counter_value("loom_inner_strangers_total", NULL);
 	zmq_connect(dealer, endpoint);
 	zmq_send(dealer, "x", 1, ZMQ_DONTWAIT);
-	WAIT(&f, count("loom_inner_strangers_total", NULL) > before);
+	WAIT(&f, counter_value("loom_inner_strangers_total", NULL) > before);
 	zmq_close(dealer);
 	zmq_ctx_term(zmq);
 	CU_ASSERT_EQUAL(f.b.received, 0);
@@ -313,8 +321,10 @@
 	teardown(&f);
 }
 
-/* A process of the fleet, but of another version or broken: it has the key
- * and sends what is no message. */
+/*
+ * A process that has the fleet's key but runs another version or is faulty
+ * sends input that is not a valid message.
+ */
 static void
 test_bad_messages(void)
 {
@@ -353,10 +363,11 @@
 	    loom_inner_address(f.b.inner));
 	zmq_connect(dealer, endpoint);
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
-		before = count("loom_inner_dropped_total", cases[i].reason);
+		before =
+		    counter_value("loom_inner_dropped_total", cases[i].reason);
 		zmq_send(dealer, cases[i].data, cases[i].len, ZMQ_DONTWAIT);
 		WAIT(&f,
-		    count("loom_inner_dropped_total", cases[i].reason) >
+		    counter_value("loom_inner_dropped_total", cases[i].reason) >
 			before);
 	}
 	CU_ASSERT_EQUAL(f.b.received, 0);
@@ -408,8 +419,10 @@
 	teardown(&f);
 }
 
-/* A host with several addresses is known to others by the one that its
- * operator set. */
+/*
+ * A host has several addresses. Its outgoing connections must come from the
+ * address that its operator configured, by which other hosts identify it.
+ */
 static void
 test_source(void)
 {
