--- a/include/loom/context.h
+++ b/include/loom/context.h
@@ -28,13 +28,9 @@
 #define LOOM_FLEET_SECRET_SIZE 32
 #define LOOM_CONTEXT_KEY_SIZE 32
 #define LOOM_KEY_PREFIX_SIZE 16
-/*
- * Buffer size that is enough for any encoded context, with the terminating NUL.
- */
+/* Enough for any encoded context, with the terminating NUL. */
 #define LOOM_CONTEXT_TEXT_MAX 320
-/*
- * Call chains are up to 28 deep; the margin allows for test and operator calls.
- */
+/* Call chains are up to 28 deep; the margin is for test and operator calls. */
 #define LOOM_HOPS_MAX 32
 /* Tolerated error of an issuer's estimate of the audience's clock. */
 #define LOOM_CLOCK_SKEW_US UINT64_C(2000000)
@@ -53,21 +49,17 @@
 struct loom_context {
 	enum loom_context_kind kind;
 	struct loom_id128 root; /* the first request of the chain */
-	struct loom_id128
-	    call; /* this call; different for each hop and attempt */
+	struct loom_id128 call; /* differs for each hop and attempt */
 	uint64_t team_id;
-	uint8_t key_prefix[LOOM_KEY_PREFIX_SIZE]; /* prefix of the API key's
-						     digest */
+	uint8_t key_prefix[LOOM_KEY_PREFIX_SIZE]; /* of the API key's digest */
 	enum loom_importance importance;
 	uint64_t remaining_us; /* until the deadline */
 	uint8_t hops; /* 1 for the root request itself */
-	uint64_t
-	    home_host_id; /* the daemon that holds the root's retry budget */
+	uint64_t home_host_id; /* has the root's retry budget */
 	uint64_t home_incarnation;
 	uint64_t audience_host_id; /* the only host that accepts the context */
 	uint64_t audience_incarnation;
-	uint64_t
-	    audience_stamp_us; /* estimate of the audience's clock at issue */
+	uint64_t audience_stamp_us; /* estimate of its clock at issue */
 	uint64_t issuer_host_id;
 	uint64_t issuer_incarnation;
 	bool wants_ticket; /* if the ticket is missing, answer with a new one */
--- a/include/loom/inner.h
+++ b/include/loom/inner.h
@@ -38,8 +38,7 @@
 struct loom_message {
 	struct loom_from from;
 	uint64_t sequence; /* increases with each message of an incarnation */
-	char control[LOOM_ADDRESS_SIZE]; /* the sender's control address, or ""
-					  */
+	char control[LOOM_ADDRESS_SIZE]; /* the sender's, or "" */
 	uint8_t type; /* less than LOOM_MESSAGE_TYPES */
 	const uint8_t *payload; /* borrowed */
 	size_t len;
@@ -86,16 +85,15 @@
 
 struct loom_inner_options {
 	const char *bind; /* "ip:port"; port 0 selects a free port; copied */
-	const char *source; /* source IP of outgoing connections, or NULL for
-			       any; borrowed */
-	struct loom_self
-	    self; /* the strings must live as long as the process; if control is
-		     NULL, the bound address is used */
+	const char *source; /* IP of connections out, or NULL; borrowed */
+	/*
+	 * The strings must live as long as the process. If control is NULL, the
+	 * bound address is used.
+	 */
+	struct loom_self self;
 	uint8_t secret[LOOM_FLEET_SECRET_SIZE];
-	uint32_t peers_max; /* maximum number of outgoing connections; 0 for the
-			       default */
-	uint32_t
-	    idle_ms; /* idle time before one is closed; 0 for the default */
+	uint32_t peers_max; /* outgoing connections; 0 for the default */
+	uint32_t idle_ms; /* before one is closed; 0 for the default */
 };
 
 /* Called for each valid message. The envelope is valid only during the call. */
--- a/src/inner/codec_rights.c
+++ b/src/inner/codec_rights.c
@@ -18,11 +18,13 @@
 #define UP_FIELDS 8
 #define DOWN_FIELDS 6
 
+/* An optional field of an entry and its maximum value. */
 struct field_codec {
 	uint64_t *value;
 	uint64_t max;
 };
 
+/* Writes the bit mask of the fields that are not zero, then those fields. */
 static void
 pack_fields(
     struct loom_packer *packer, const struct field_codec *fields, unsigned n)
@@ -56,6 +58,7 @@
 	}
 }
 
+/* Lists the optional fields in the order in which they are encoded. */
 static void
 up_entry_fields(
     struct loom_rights_up_entry *entry, struct field_codec fields[UP_FIELDS])
@@ -72,6 +75,7 @@
 	fields[i++] = (struct field_codec){ &entry->give_utok, UTOK_MAX };
 }
 
+/* Lists the optional fields in the order in which they are encoded. */
 static void
 down_entry_fields(struct loom_rights_down_entry *entry,
     struct field_codec fields[DOWN_FIELDS])
--- a/src/inner/codec_rights.h
+++ b/src/inner/codec_rights.h
@@ -22,16 +22,13 @@
 struct loom_rights_up_entry {
 	uint64_t team_id;
 	uint64_t got_seq; /* of the last grant received */
-	struct loom_share
-	    keep; /* the part of its loan from this pool that the child keeps */
-	uint64_t held_utok; /* tokens held here, and capacity lent to its own
-			       children */
+	struct loom_share keep; /* part of this pool's loan that it keeps */
+	uint64_t held_utok; /* its tokens, and capacity it has lent */
 	uint64_t need_utok; /* needed by waiting calls */
 	uint64_t first_utok; /* still missing for the first waiting call */
 	uint64_t ahead_utok; /* requested in advance for expected calls */
 	uint64_t give_utok; /* returned by this message */
-	uint64_t demand_mhz; /* calls per 1000 s, of this daemon and those below
-				it */
+	uint64_t demand_mhz; /* calls per 1000 s, including below it */
 };
 
 struct loom_rights_up {
@@ -63,11 +60,9 @@
 	uint32_t flags;
 	struct loom_share share;
 	uint64_t tokens_utok;
-	uint64_t
-	    flash_utok; /* the part of these that only waiting calls may use */
+	uint64_t flash_utok; /* of these, only for waiting calls */
 	uint64_t duration_us;
-	uint64_t retry_us; /* if not 0, no tokens are available until this time
-			      has passed */
+	uint64_t retry_us; /* if not 0, no tokens until it has passed */
 };
 
 struct loom_rights_down {
--- a/src/inner/handover_codec.c
+++ b/src/inner/handover_codec.c
@@ -25,6 +25,7 @@
  */
 #define ANSWER_PART_BYTES_MAX (1024 * 1024)
 
+/* Encodes the additional data that is authenticated with a chunk. */
 static size_t
 pack_aad(const struct handover_pair *pair, uint32_t index, uint32_t count,
     uint8_t out[AAD_BYTES_MAX])
@@ -271,6 +272,7 @@
 	loom_answer_release(answer);
 }
 
+/* Decodes the items of a state. If reader is NULL, only validates them. */
 static bool
 read_items(
     const uint8_t *state, size_t len, const struct handover_reader *reader)
--- a/src/inner/handover_codec.h
+++ b/src/inner/handover_codec.h
@@ -2,9 +2,8 @@
 #define LOOM_INNER_HANDOVER_CODEC_H
 
 /*
- * Messages for handing over tickets from a daemon that shuts down to its
- * successor, and the state that they transfer. In the names here, "heir" is the
- * successor.
+ * Messages for handing over tickets from a daemon that shuts down, the source,
+ * to its successor, and the state that they transfer.
  */
 
 #include "decide/ticket_book.h"
@@ -14,15 +13,12 @@
 
 enum handover_message {
 	HANDOVER_OFFER =
-	    LOOM_MESSAGE_TICKET_FIRST, /* from the source: asks a daemon to be
-					  the successor */
-	HANDOVER_ACCEPT, /* from the successor: accepts; the envelope has its
-			    incarnation */
-	HANDOVER_CHUNK, /* from the source: one chunk of the state */
-	HANDOVER_ACK, /* from the successor: the chunk has arrived */
-	HANDOVER_HEIR, /* announces the successor for these incarnations */
-	HANDOVER_ASK, /* from a new incarnation: asks a host whose tickets it
-			 took over */
+	    LOOM_MESSAGE_TICKET_FIRST, /* source: will you be the successor? */
+	HANDOVER_ACCEPT, /* successor: yes; envelope has its incarnation */
+	HANDOVER_CHUNK, /* source: one chunk of the state */
+	HANDOVER_ACK, /* successor: the chunk has arrived */
+	HANDOVER_HEIR, /* the successor for these incarnations */
+	HANDOVER_ASK, /* new incarnation: whose tickets do you run? */
 	HANDOVER_LAST = HANDOVER_ASK,
 };
 
--- a/src/inner/message.c
+++ b/src/inner/message.c
@@ -124,6 +124,10 @@
 	return *now_us - sender->last_received_us > SENDER_IDLE_US;
 }
 
+/*
+ * Starts tracking a sender. Returns false if the maximum number of senders is
+ * reached and none of them is idle.
+ */
 static bool
 add_sender(struct loom_repeats *replay_window, const struct loom_from *from,
     uint64_t sequence, uint64_t now_us)
--- a/src/inner/peer.c
+++ b/src/inner/peer.c
@@ -64,7 +64,7 @@
 	void *socket; /* owned: DEALER */
 	struct tevent_fd *fde; /* owned */
 	struct pending_message pending[PENDING_MAX]; /* ring buffer */
-	uint32_t first;
+	uint32_t first; /* index of the oldest pending message */
 	uint32_t npending;
 	size_t pending_bytes;
 	uint64_t last_used_us;
@@ -91,6 +91,10 @@
 	peer->npending--;
 }
 
+/*
+ * Queues a message. Returns false if the queue is full. A single message may be
+ * larger than PENDING_MAX_BYTES.
+ */
 static bool
 push_pending(struct peer *peer, const void *data, size_t len, uint64_t now_us)
 {
@@ -276,6 +280,10 @@
 	return peer;
 }
 
+/*
+ * Queues a message after those already pending, to keep their order, and sends
+ * as many as ZeroMQ accepts.
+ */
 static bool
 send_or_queue(struct peer *peer, const void *data, size_t len, uint64_t now_us)
 {
--- a/src/inner/transport.c
+++ b/src/inner/transport.c
@@ -76,6 +76,7 @@
 	}
 }
 
+/* Checks a message, and passes it on if it is valid and not a replay. */
 static void
 handle_message(struct loom_inner *inner, const void *data, size_t len)
 {
--- a/tests/inner/test_codec.c
+++ b/tests/inner/test_codec.c
@@ -136,7 +136,7 @@
 		{ "over signed", READ_I64, LOOM_INNER_MALFORMED,
 		    BYTES("\xcf\xff\xff\xff\xff\xff\xff\xff\xff") },
 		{ "nil", READ_BOOL, LOOM_INNER_MALFORMED, BYTES("\xc0") },
-		{ "never used", READ_BOOL, LOOM_INNER_MALFORMED,
+		{ "unassigned type", READ_BOOL, LOOM_INNER_MALFORMED,
 		    BYTES("\xc1") },
 		{ "nan", READ_DOUBLE, LOOM_INNER_MALFORMED,
 		    BYTES("\xcb\x7f\xf8\x00\x00\x00\x00\x00\x00") },
@@ -158,9 +158,10 @@
 		    BYTES("\xa8\x31\x32\x33\x34\x35\x36\x37\x38") },
 		{ "str with NUL", READ_STR, LOOM_INNER_MALFORMED,
 		    BYTES("\xa2\x78\x00") },
-		{ "count over the rest", READ_COUNT, LOOM_INNER_TRUNCATED,
+		{ "count over bytes left", READ_COUNT, LOOM_INNER_TRUNCATED,
 		    BYTES("\x05\x01\x01\x01") },
-		{ "rest", READ_U64, LOOM_INNER_MALFORMED, BYTES("\x01\x01") },
+		{ "trailing byte", READ_U64, LOOM_INNER_MALFORMED,
+		    BYTES("\x01\x01") },
 	};
 	struct loom_unpacker u;
 	size_t i;
@@ -191,7 +192,7 @@
 test_envelope(void)
 {
 	struct loom_message in = sample_message(), out;
-	uint8_t buf[256], broken[256];
+	uint8_t buf[256], modified[256];
 	enum loom_result result;
 	size_t i, len;
 
@@ -208,13 +209,13 @@
 		TEST_CHECK(result == LOOM_INNER_TRUNCATED, "cut at %zu: %d", i,
 		    (int)result);
 	}
-	memcpy(broken, buf, len);
-	broken[len] = 0;
+	memcpy(modified, buf, len);
+	modified[len] = 0;
 	CU_ASSERT_EQUAL(
-	    loom_message_unpack(broken, len + 1, &out), LOOM_INNER_MALFORMED);
-	broken[0] = 2;
+	    loom_message_unpack(modified, len + 1, &out), LOOM_INNER_MALFORMED);
+	modified[0] = 2;
 	CU_ASSERT_EQUAL(
-	    loom_message_unpack(broken, len, &out), LOOM_INNER_VERSION);
+	    loom_message_unpack(modified, len, &out), LOOM_INNER_VERSION);
 	CU_ASSERT_EQUAL(loom_message_unpack(buf,
 			    LOOM_PAYLOAD_MAX + LOOM_MESSAGE_HEAD_MAX + 1, &out),
 	    LOOM_INNER_OVERSIZED);
@@ -233,7 +234,7 @@
 test_random_bytes(void)
 {
 	struct loom_random random = test_random_new(42);
-	struct loom_message good = sample_message(), out;
+	struct loom_message valid = sample_message(), out;
 	struct loom_unpacker u;
 	uint8_t buf[128];
 	size_t i, j, len;
@@ -241,7 +242,7 @@
 	for (i = 0; i < 200000; i++) {
 		len = loom_random_below(&random, sizeof(buf));
 		if (i % 2 == 0)
-			len = loom_message_pack(&good, buf, sizeof(buf));
+			len = loom_message_pack(&valid, buf, sizeof(buf));
 		for (j = 0; j < (i % 2 == 0 ? 3 : len); j++)
 			buf[loom_random_below(&random, sizeof(buf))] =
 			    (uint8_t)random.next(random.arg);
--- a/tests/inner/test_context.c
+++ b/tests/inner/test_context.c
@@ -149,7 +149,7 @@
 		    LOOM_CONTEXT_INVALID },
 		{ "late within skew", FIELD(hops), 1,
 		    NOW + 5 * SECOND + LOOM_CLOCK_SKEW_US, LOOM_OK },
-		{ "kept past its time", FIELD(hops), 1,
+		{ "kept past its deadline", FIELD(hops), 1,
 		    NOW + 5 * SECOND + LOOM_CLOCK_SKEW_US + 1,
 		    LOOM_CONTEXT_STALE },
 		{ "kept for an hour", FIELD(hops), 1, NOW + 3600 * SECOND,
@@ -315,17 +315,17 @@
 	struct loom_calls *calls = loom_calls_new();
 	struct loom_live_call call = { .context = sample_context(),
 		.deadline_us = NOW + 10 };
-	struct loom_context wrong = sample_context();
+	struct loom_context other_team = sample_context();
 
-	wrong.team_id++;
+	other_team.team_id++;
 	CU_ASSERT_EQUAL(loom_calls_find(calls, &call.context, NOW, NULL),
 	    LOOM_CONTEXT_INVALID);
 	CU_ASSERT_EQUAL(loom_calls_begin(calls, &call), LOOM_OK);
 	CU_ASSERT_EQUAL(loom_calls_begin(calls, &call), LOOM_CONTEXT_REPLAYED);
 	CU_ASSERT_EQUAL(
 	    loom_calls_find(calls, &call.context, NOW, NULL), LOOM_OK);
-	CU_ASSERT_EQUAL(
-	    loom_calls_find(calls, &wrong, NOW, NULL), LOOM_CONTEXT_INVALID);
+	CU_ASSERT_EQUAL(loom_calls_find(calls, &other_team, NOW, NULL),
+	    LOOM_CONTEXT_INVALID);
 	CU_ASSERT_EQUAL(loom_calls_find(calls, &call.context, NOW + 10, NULL),
 	    LOOM_CONTEXT_EXPIRED);
 	loom_calls_end(calls, &call.context.call);
--- a/tests/inner/test_handover_codec.c
+++ b/tests/inner/test_handover_codec.c
@@ -26,10 +26,10 @@
 		uint8_t key_byte;
 		bool ok;
 	} cases[] = {
-		{ "right", { 1, 2, 3 }, 0, 9, true },
-		{ "other leaver", { 4, 2, 3 }, 0, 9, false },
-		{ "leaver's other incarnation", { 1, 4, 3 }, 0, 9, false },
-		{ "heir restarted", { 1, 2, 4 }, 0, 9, false },
+		{ "valid", { 1, 2, 3 }, 0, 9, true },
+		{ "other source", { 4, 2, 3 }, 0, 9, false },
+		{ "source's other incarnation", { 1, 4, 3 }, 0, 9, false },
+		{ "successor restarted", { 1, 2, 4 }, 0, 9, false },
 		{ "other fleet", { 1, 2, 3 }, 0, 8, false },
 		{ "cut", { 1, 2, 3 }, 1, 9, false },
 	};
--- a/tests/inner/test_transport.c
+++ b/tests/inner/test_transport.c
@@ -275,17 +275,18 @@
 	uint8_t secret[LOOM_FLEET_SECRET_SIZE], seed[32], pk[32], sk[32];
 	char fleet_pk[41], own_pk[41], own_sk[41], endpoint[80];
 	struct fixture f;
-	struct node other = { .received = 0 };
+	struct node stranger = { .received = 0 };
 	void *zmq, *dealer;
 	int64_t before;
 	int linger = 0;
 
 	setup(&f);
 	before = counter_value("loom_inner_strangers_total", NULL);
-	start_node(&f, &other, 9, 2, "127.0.0.1:0");
-	loom_inner_send(other.inner, loom_inner_address(f.b.inner), 20, "x", 1);
+	start_node(&f, &stranger, 9, 2, "127.0.0.1:0");
+	loom_inner_send(
+	    stranger.inner, loom_inner_address(f.b.inner), 20, "x", 1);
 	WAIT(&f, counter_value("loom_inner_strangers_total", NULL) > before);
-	TALLOC_FREE(other.inner);
+	TALLOC_FREE(stranger.inner);
 
 	memset(secret, 1, sizeof(secret));
 	crypto_generichash(seed, sizeof(seed), (const uint8_t *)label,
