--- a/tests/inner/test_context.c
+++ b/tests/inner/test_context.c
@@ -202,7 +202,7 @@
 
 /*
  * Contexts with a few random characters, from a fixed seed: none may crash the
- * decoder, and none that differs from the original may be accepted.
+ * decoder, and none with another call id may be accepted.
  */
 static void
 test_random_bytes(void)
