--- a/include/loom/fetch.h
+++ b/include/loom/fetch.h
@@ -2,12 +2,12 @@
 #define LOOM_FETCH_H
 
 /*
- * The HTTP side that calls: one request to an upstream or to another daemon,
- * on one worker thread.
+ * HTTP client: asynchronous requests to an upstream or to another daemon.  Each
+ * worker thread has its own client.
  *
- * The request is given to one connection.  Once that has taken a byte of it, it
- * goes to no other, also when the connection turns out to be dead before any
- * answer came: the other side may have run it all the same.
+ * A request is assigned to one connection.  Once that has accepted a byte of
+ * the request, the request is never sent on another one, even if the connection
+ * fails before any response arrives: the server may have processed the request.
  */
 
 #include <stdbool.h>
@@ -19,84 +19,86 @@
 #include "loom/server.h"
 #include "loom/sockets.h"
 
-struct loom_fetcher; /* one for each worker thread */
+struct loom_fetcher; /* the client of a worker thread */
 struct loom_fetch; /* one request */
 
 enum loom_fetch_result {
-	LOOM_FETCH_WHOLE, /* the answer is complete */
-	LOOM_FETCH_CONNECT, /* no connection: nothing was sent */
-	LOOM_FETCH_CUT, /* failed after it may have been sent */
-	LOOM_FETCH_TIMEOUT, /* the time was up */
+	LOOM_FETCH_WHOLE, /* the response is complete */
+	LOOM_FETCH_CONNECT, /* failed before anything was sent */
+	LOOM_FETCH_CUT, /* failed after the request may have been sent */
+	LOOM_FETCH_TIMEOUT, /* timeout_us has passed */
 };
 
-/* How a fetch ended. */
+/* The outcome of a fetch. */
 struct loom_fetch_end {
 	enum loom_fetch_result result;
-	bool sent; /* a byte of the request may have left */
-	bool answered; /* the headers of an answer came */
+	bool sent; /* a byte of the request may have been sent */
+	bool answered; /* the response headers were received */
 	const char *reason; /* borrowed, for logs */
 };
 
 struct loom_fetch_ops {
-	/* Up to max bytes of the body into buf.  0 with *end false pauses
-	 * until loom_fetch_more_body(); *end true means that was all. */
+	/* Write up to max bytes of the request body to buf.  Returning 0
+	 * without *end pauses until loom_fetch_more_body(); *end is set with
+	 * the last bytes of the body. */
 	size_t (*read_body)(void *arg, uint8_t *buf, size_t max, bool *end);
-	/* The status and the headers are complete.  May be NULL. */
+	/* The status and headers of the response are complete.  May be NULL. */
 	void (*headers)(void *arg, struct loom_fetch *);
-	/* Some of the answer.  false pauses it until loom_fetch_resume();
-	 * the bytes were taken all the same. */
+	/* A part of the response body.  Returning false pauses the response
+	 * until loom_fetch_resume(); the bytes count as processed anyway. */
 	bool (*data)(void *arg, const uint8_t *data, size_t len);
-	/* The fetch is over and freed after this. */
+	/* The fetch has ended and is freed after this call. */
 	void (*done)(void *arg, const struct loom_fetch_end *);
 };
 
 struct loom_fetch_request {
 	const char *method;
 	const char *address; /* "ip:port" */
-	const char *target; /* path and query, as they are to be sent */
-	const struct loom_header *headers; /* borrowed for the start */
+	const char *target; /* path and query, sent unchanged */
+	const struct loom_header *headers; /* only used during the start */
 	size_t nheaders;
 	bool has_body;
-	int64_t body_length; /* -1: in chunks */
-	bool expect; /* send the body only when told to go on */
+	int64_t body_length; /* -1: chunked */
+	bool expect; /* send the body only after 100 Continue */
 	uint64_t timeout_us;
-	uint32_t idle_ms; /* a kept connection must be younger; 0: default */
-	const char *source; /* ip to connect from, or NULL for any */
+	uint32_t idle_ms; /* use no connection idle for longer; 0: default */
+	const char *source; /* IP to connect from; NULL: any */
 	const struct loom_fetch_ops *ops;
 	void *arg; /* borrowed */
 };
 
-/* Owned by the caller (talloc); the sockets are borrowed.  NULL when out of
+/* Owned by the caller (talloc); the sockets are borrowed.  NULL if out of
  * memory. */
 struct loom_fetcher *loom_fetcher_new(
     TALLOC_CTX *, struct tevent_context *, struct loom_sockets *);
 
-/* Start; NULL when out of memory (nothing was sent, done is not called).
- * The fetch owns itself. */
+/* Start a request.  The fetch is freed after done or a cancel.  NULL if out of
+ * memory: nothing was sent, and done is not called. */
 struct loom_fetch *loom_fetch_start(
     struct loom_fetcher *, const struct loom_fetch_request *);
 
-/* More of the body can be read. */
+/* Continue a request that read_body paused: more of the body is available. */
 void loom_fetch_more_body(struct loom_fetch *);
 
-/* The answer can flow again. */
+/* Continue a response that was paused by ops->data. */
 void loom_fetch_resume(struct loom_fetch *);
 
-/* From ops->headers: the answer is not taken, and the fetch ends as cut. */
+/* Call from ops->headers: the response is discarded, and the fetch ends with
+ * LOOM_FETCH_CUT. */
 void loom_fetch_reject(struct loom_fetch *);
 
-/* Give up: the connection is closed, done is not called, the pointer is no
+/* Cancel: the connection is closed, done is not called, and the pointer is no
  * longer valid. */
 void loom_fetch_cancel(struct loom_fetch *);
 
-/* The answer so far; borrowed. */
+/* The response so far; borrowed. */
 uint16_t loom_fetch_status(const struct loom_fetch *);
 const struct loom_header *loom_fetch_headers(
     const struct loom_fetch *, size_t *n);
 const char *loom_fetch_header(const struct loom_fetch *, const char *name);
-/* -1 when the answer comes in chunks. */
+/* The Content-Length of the response; -1 if it has none or is chunked. */
 int64_t loom_fetch_length(const struct loom_fetch *);
-/* Whether a byte of the request may have left. */
+/* Whether a byte of the request may have been sent. */
 bool loom_fetch_sent(const struct loom_fetch *);
 
 #endif
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -2,13 +2,13 @@
 #define LOOM_HTTP_CLIENT_H
 
 /*
- * What the files of the HTTP client share:
+ * Internal declarations shared by the files of the HTTP client:
  *
- *   fetch.c              one request, from its start to its end
- *   client_request.c     the request as bytes
+ *   fetch.c              the life cycle of a request
+ *   client_request.c     serializes the request
  *   client_connection.c  a socket: connecting, sending, receiving
- *   client_answer.c      the answer, by http_parser
- *   client_pool.c        connections that are kept for the next request
+ *   client_answer.c      parses the response with http_parser
+ *   client_pool.c        idle keep-alive connections
  */
 
 #include <glib.h>
@@ -20,147 +20,151 @@
 #include "loom/buffer.h"
 #include "loom/fetch.h"
 
-/* Whom a connection goes to, and from where; in network order. */
-struct client_key {
+/* Destination and source address of a connection, in network byte order. */
+struct client_endpoint {
 	uint32_t ip;
-	uint32_t source_ip; /* 0 for any */
+	uint32_t source_ip; /* 0: any */
 	uint16_t port;
-	uint16_t zero; /* keys are hashed and compared as bytes */
+	uint16_t zero; /* padding: endpoints are compared with memcmp() */
 };
 
-/* The kept connections to one key; in loom_fetcher.hosts. */
-struct client_host {
-	struct client_key key;
-	uint32_t connections; /* open ones; forgotten without any */
-	GQueue kept; /* of client_connection.in_host, newest first */
+/* The connections to one endpoint; stored in loom_fetcher.pools. */
+struct client_endpoint_pool {
+	struct client_endpoint endpoint;
+	uint32_t connections; /* open, idle or in use; freed at 0 */
+	GQueue idle; /* of client_connection.pool_link, newest first */
 };
 
 struct loom_fetcher {
 	struct loom_sockets *sockets; /* borrowed */
 	struct tevent_context *ev; /* borrowed */
-	GHashTable *hosts; /* owned: struct client_host by their keys */
-	GQueue kept; /* of client_connection.in_all, newest first */
+	GHashTable *pools; /* owned: client_endpoint_pool by endpoint */
+	GQueue idle; /* of client_connection.fetcher_link, newest first */
 };
 
 struct client_connection {
 	struct watched_socket socket; /* the first member */
 	struct loom_fetcher *fetcher; /* borrowed */
-	struct client_host *host; /* borrowed */
-	struct loom_fetch *fetch; /* borrowed; NULL while it is kept */
-	GList in_host, in_all; /* while it is kept */
-	uint64_t kept_us; /* since when it is kept */
-	uint32_t idle_max_ms; /* the other side's word; 0 for none */
+	struct client_endpoint_pool *pool; /* borrowed */
+	struct loom_fetch *fetch; /* borrowed; NULL while idle */
+	GList pool_link, fetcher_link; /* in the lists of idle connections */
+	uint64_t idle_since_us;
+	uint32_t server_idle_max_ms; /* from Keep-Alive; 0: not given */
 	bool connected;
-	bool waits_writable;
-	bool may_keep; /* the answer's end allows another request */
+	bool waiting_writable;
+	bool reusable; /* can be kept for another request */
 	http_parser parser;
-	struct http_head head; /* of the answer */
+	struct http_head head; /* response headers */
 };
 
 struct loom_fetch {
 	struct loom_fetcher *fetcher; /* borrowed */
-	struct client_connection *connection; /* owned; NULL before and after */
+	struct client_connection *connection; /* owned; NULL if unassigned */
 	const struct loom_fetch_ops *ops;
 	void *arg;
-	struct tevent_immediate *later; /* owned; NULL until needed */
-	struct timed time;
-	struct loom_buffer out; /* not yet taken by the socket */
-	uint64_t until_us; /* when the time is up */
-	uint32_t idle_ms; /* a kept connection must be younger */
-	const char *failure; /* of a start, told soon; borrowed */
+	struct tevent_immediate *immediate; /* owned; created on first use */
+	struct timed timer;
+	struct loom_buffer send_buffer; /* not yet written to the socket */
+	uint64_t deadline_us;
+	uint32_t idle_max_ms; /* use no connection idle for longer */
+	const char *start_error; /* reported from the event loop; borrowed */
 	uint16_t status;
 	bool is_head;
-	bool in_chunks; /* how the body is sent */
-	bool body_all; /* the request is in out, whole */
+	bool chunked; /* the request body */
+	bool body_complete; /* the whole request was buffered */
 	bool body_paused; /* until loom_fetch_more_body() */
-	bool held_back; /* until the other side says to go on */
-	bool headers_done;
-	bool complete; /* the answer is whole */
-	bool sent; /* a byte of the request was taken */
-	bool data_paused; /* until loom_fetch_resume() */
-	bool send_failed; /* nothing more can be sent */
-	bool in_callback; /* a cancel waits until the callback is over */
+	bool awaiting_continue; /* body is held until 100 Continue */
+	bool headers_complete;
+	bool response_complete;
+	bool sent; /* the socket accepted a byte of the request */
+	bool response_paused; /* until loom_fetch_resume() */
+	bool send_failed; /* nothing more is sent */
+	bool in_callback; /* defers loom_fetch_cancel() */
 	bool cancelled;
 	bool rejected;
 };
 
 /* client_pool.c */
 
-/* Read "ip:port" and the source's ip, which may be NULL. */
-bool client_key_parse(
-    struct client_key *, const char *address, const char *source);
+/* Parse "ip:port" and the source IP; source may be NULL. */
+bool client_endpoint_parse(
+    struct client_endpoint *, const char *address, const char *source);
 
-/* A kept connection that is open and younger than idle_ms; NULL for none. */
-struct client_connection *client_pool_take(
-    struct loom_fetcher *, const struct client_key *, uint32_t idle_ms);
+/*
+ * Take an open connection that has been idle for less than idle_max_ms (0: the
+ * default limit); NULL if there is none.
+ */
+struct client_connection *client_pool_acquire(struct loom_fetcher *,
+    const struct client_endpoint *, uint32_t idle_max_ms);
 
-/* Keep a connection whose request is over. */
-void client_pool_keep(struct client_connection *);
+/* Keep a connection for another request. */
+void client_pool_release(struct client_connection *);
 
-/* Where the connections to a key are kept; borrowed. */
-struct client_host *client_pool_host(
-    struct loom_fetcher *, const struct client_key *);
+/* The pool of an endpoint, created if necessary; borrowed. */
+struct client_endpoint_pool *client_pool_get(
+    struct loom_fetcher *, const struct client_endpoint *);
 
-/* Close; its memory stays until the turn of the event loop is over. */
+/* Close; while events are dispatched, the memory is freed after the batch. */
 void client_pool_close(struct client_connection *);
 
 /* client_connection.c */
 
-enum client_sending {
-	CLIENT_SENDING_ON, /* all is sent, or the rest will be */
-	CLIENT_SENDING_REFUSED, /* no byte was taken, nor will be */
+enum client_send_result {
+	CLIENT_SEND_OK, /* all is sent, or the rest is sent later */
+	CLIENT_SEND_REFUSED, /* failed before the first byte */
 };
 
-/* Begin to connect; NULL when that fails at once. */
+/* Start to connect; NULL with errno set if that fails immediately. */
 struct client_connection *client_connection_new(
-    struct loom_fetcher *, const struct client_key *);
+    struct loom_fetcher *, const struct client_endpoint *);
 
-/* Whether the other side has neither closed nor sent anything. */
-bool client_connection_is_quiet(const struct client_connection *);
+/* Whether the server has neither closed the connection nor sent anything. */
+bool client_connection_is_reusable(const struct client_connection *);
 
-/* The connection is the fetch's from now on. */
+/* Assign the connection to a fetch. */
 void client_connection_attach(struct client_connection *, struct loom_fetch *);
 
-/* Wait for the socket to be readable, unless its fetch has paused that, and
- * to be writable if that is asked for.  False when the kernel refuses. */
+/*
+ * Watch the socket for reading, unless the response is paused, and for writing
+ * if writable is set.  False if epoll fails.
+ */
 bool client_connection_watch(struct client_connection *, bool writable);
 
-/* Send what the fetch has. */
-enum client_sending client_connection_send(struct client_connection *);
+/* Send as much of the request as is available and the socket accepts. */
+enum client_send_result client_connection_send(struct client_connection *);
 
 /* client_answer.c */
 
-/* A new answer is expected. */
-void client_answer_begin(struct client_connection *);
-/* What was wrong with the bytes that came; borrowed. */
-const char *client_answer_problem(const struct client_connection *);
+/* Prepare to parse a new response. */
+void client_response_begin(struct client_connection *);
+/* The reason for CLIENT_PARSE_FAILED; borrowed. */
+const char *client_response_error(const struct client_connection *);
 
-enum client_reading {
-	CLIENT_READING_ON,
-	CLIENT_READING_COMPLETE,
-	CLIENT_READING_BROKEN, /* no answer, or one that was cut or rejected */
+enum client_parse_result {
+	CLIENT_PARSE_MORE,
+	CLIENT_PARSE_COMPLETE,
+	CLIENT_PARSE_FAILED, /* malformed, truncated, rejected or cancelled */
 };
 
-/* Some bytes of the answer; len 0: the connection has ended. */
-enum client_reading client_answer_take(
+/* Parse a part of the response; len 0 is the end of the connection. */
+enum client_parse_result client_response_parse(
     struct client_connection *, const uint8_t *data, size_t len);
 
 /* client_request.c */
 
-/* Put the request's line and headers into fetch->out. */
+/* Append the request line and headers to fetch->send_buffer. */
 bool client_request_begin(
     struct loom_fetch *, const struct loom_fetch_request *);
-/* Ask for more of the body; false when there is none now. */
-bool client_request_more(struct loom_fetch *);
+/* Append the next part of the body; false if none is available now. */
+bool client_request_read_body(struct loom_fetch *);
 
 /* fetch.c */
 
-/* Its answer is whole: the owner is told, and fetch and connection are done
- * with. */
-void client_fetch_whole(struct loom_fetch *);
-/* Given up by its owner, who is not told. */
-void client_fetch_drop(struct loom_fetch *);
-/* Its connection is of no use any more. */
-void client_fetch_broken(struct loom_fetch *, const char *reason);
+/* The response is complete: end the fetch and release its connection. */
+void client_fetch_complete(struct loom_fetch *);
+/* Close the connection and free the fetch without calling done. */
+void client_fetch_discard(struct loom_fetch *);
+/* The connection failed: close it and end the fetch with this reason. */
+void client_fetch_fail(struct loom_fetch *, const char *reason);
 
 #endif
--- a/src/http/client_answer.c
+++ b/src/http/client_answer.c
@@ -1,6 +1,6 @@
 /*
- * An answer by http_parser: its headers into the connection's own memory, its
- * body to the request's owner as it comes.
+ * Parses a response with http_parser.  The headers are stored in the
+ * connection; the body is passed on to the owner of the request as it arrives.
  */
 
 #include <string.h>
@@ -11,7 +11,7 @@
 #define STATUS_MIN 100
 #define STATUS_FINAL_MIN 200
 
-/* What on_headers_complete() tells the parser. */
+/* Return value of on_headers_complete(): the response has no body. */
 #define SKIP_BODY 1
 
 static struct client_connection *
@@ -28,30 +28,30 @@
 }
 
 static int
-on_name(http_parser *parser, const char *at, size_t len)
+append_header_name(http_parser *parser, const char *at, size_t len)
 {
 	struct client_connection *connection = connection_of(parser);
 
-	/* trailers are dropped */
-	if (!connection->fetch->headers_done)
+	/* trailers are ignored */
+	if (!connection->fetch->headers_complete)
 		http_head_name(&connection->head, at, len);
 	return 0;
 }
 
 static int
-on_value(http_parser *parser, const char *at, size_t len)
+append_header_value(http_parser *parser, const char *at, size_t len)
 {
 	struct client_connection *connection = connection_of(parser);
 
-	if (!connection->fetch->headers_done)
+	if (!connection->fetch->headers_complete)
 		http_head_value(&connection->head, at, len);
 	return 0;
 }
 
 /*
- * For how long the other side keeps the connection, in whole seconds.  Half of
- * it is made use of, since it counts from earlier than we do.  False for no
- * time at all.
+ * Reads the idle timeout of the server, in whole seconds, from the Keep-Alive
+ * header.  Only half of it is used, because the server's timeout starts earlier
+ * than ours.  False if the timeout is 0.
  */
 static bool
 read_keep_alive(struct client_connection *connection)
@@ -61,26 +61,29 @@
 	const char *timeout = text == NULL ? NULL : strstr(text, name);
 	uint64_t timeout_s;
 
-	connection->idle_max_ms = 0;
+	connection->server_idle_max_ms = 0;
 	if (timeout == NULL)
 		return true;
 	timeout_s = g_ascii_strtoull(timeout + sizeof(name) - 1, NULL, 10);
-	connection->idle_max_ms =
+	connection->server_idle_max_ms =
 	    (uint32_t)(MIN(timeout_s, UINT16_MAX) * 1000 / 2);
 	return timeout_s > 0;
 }
 
-/* What its headers tell is the length that a GET would get. */
+/* The Content-Length of such a response is that of the response to a GET. */
 static bool
 has_no_body(const struct loom_fetch *fetch)
 {
 	return fetch->is_head || http_status_has_no_body(fetch->status);
 }
 
-/* Codings but chunked are only sent to who asks for them, which we do not: what
- * is left of the body behind the chunks would go on as if it were plain. */
+/*
+ * The client never requests a transfer coding other than chunked.  After the
+ * chunks are decoded, the still encoded body would be passed on as if it were
+ * plain.
+ */
 static bool
-has_unasked_coding(const struct http_head *head)
+has_unsupported_coding(const struct http_head *head)
 {
 	const char *codings = http_head_find(head, "Transfer-Encoding");
 
@@ -99,10 +102,10 @@
 	if (parser->status_code < STATUS_FINAL_MIN)
 		return 0;
 	if (!http_head_end(&connection->head) ||
-	    has_unasked_coding(&connection->head))
+	    has_unsupported_coding(&connection->head))
 		return -1;
 	fetch->status = (uint16_t)parser->status_code;
-	fetch->headers_done = true;
+	fetch->headers_complete = true;
 	if (fetch->ops->headers != NULL) {
 		fetch->in_callback = true;
 		fetch->ops->headers(fetch->arg, fetch);
@@ -120,7 +123,7 @@
 
 	fetch->in_callback = true;
 	if (!fetch->ops->data(fetch->arg, (const uint8_t *)at, len))
-		fetch->data_paused = true;
+		fetch->response_paused = true;
 	fetch->in_callback = false;
 	return fetch->cancelled ? -1 : 0;
 }
@@ -131,13 +134,13 @@
 	struct client_connection *connection = connection_of(parser);
 	struct loom_fetch *fetch = connection->fetch;
 
-	if (!fetch->headers_done) {
+	if (!fetch->headers_complete) {
 		if (parser->status_code == HTTP_STATUS_CONTINUE)
-			fetch->held_back = false;
+			fetch->awaiting_continue = false;
 		return 0;
 	}
-	fetch->complete = true;
-	connection->may_keep =
+	fetch->response_complete = true;
+	connection->reusable =
 	    http_should_keep_alive(parser) != 0 && read_keep_alive(connection);
 	http_parser_pause(parser, 1);
 	return 0;
@@ -145,47 +148,47 @@
 
 static const http_parser_settings parser_settings = {
 	.on_message_begin = on_message_begin,
-	.on_header_field = on_name,
-	.on_header_value = on_value,
+	.on_header_field = append_header_name,
+	.on_header_value = append_header_value,
 	.on_headers_complete = on_headers_complete,
 	.on_body = on_body,
 	.on_message_complete = on_message_complete,
 };
 
 void
-client_answer_begin(struct client_connection *connection)
+client_response_begin(struct client_connection *connection)
 {
 	http_head_clear(&connection->head);
-	connection->may_keep = false;
+	connection->reusable = false;
 	http_parser_init(&connection->parser, HTTP_RESPONSE);
 	connection->parser.data = connection;
 }
 
 const char *
-client_answer_problem(const struct client_connection *connection)
+client_response_error(const struct client_connection *connection)
 {
 	if (connection->fetch->rejected)
-		return "the answer is not this request's";
+		return "the response does not belong to this request";
 	return http_errno_description(HTTP_PARSER_ERRNO(&connection->parser));
 }
 
-enum client_reading
-client_answer_take(
+enum client_parse_result
+client_response_parse(
     struct client_connection *connection, const uint8_t *data, size_t len)
 {
 	http_parser *parser = &connection->parser;
-	size_t read;
+	size_t consumed;
 
-	read = http_parser_execute(
+	consumed = http_parser_execute(
 	    parser, &parser_settings, (const char *)data, len);
-	if (connection->fetch->complete) {
-		/* Bytes too many belong to no request: what follows them on
-		 * this connection can't be told apart from them. */
-		if (read < len)
-			connection->may_keep = false;
-		return CLIENT_READING_COMPLETE;
+	if (connection->fetch->response_complete) {
+		/* Surplus bytes belong to no request and could be mistaken for
+		 * the start of the next response. */
+		if (consumed < len)
+			connection->reusable = false;
+		return CLIENT_PARSE_COMPLETE;
 	}
 	if (len == 0 || HTTP_PARSER_ERRNO(parser) != HPE_OK)
-		return CLIENT_READING_BROKEN;
-	return CLIENT_READING_ON;
+		return CLIENT_PARSE_FAILED;
+	return CLIENT_PARSE_MORE;
 }
--- a/src/http/client_connection.c
+++ b/src/http/client_connection.c
@@ -1,5 +1,5 @@
 /*
- * One socket of the HTTP client: it carries one request at a time.
+ * A connection of the HTTP client.  It carries one request at a time.
  */
 
 #include <errno.h>
@@ -11,11 +11,11 @@
 
 #include "http/client.h"
 
-/* Asked of the request's owner before a send, so that headers and a short body
- * are one segment. */
-#define SEND_AT_ONCE (16 * 1024)
+/* The body is read until this much is buffered, so that the headers and a short
+ * body are sent in one segment. */
+#define SEND_FILL_TARGET (16 * 1024)
 
-static void ready(struct watched_socket *, uint32_t events);
+static void on_ready(struct watched_socket *, uint32_t events);
 
 static int
 connection_destructor(struct client_connection *connection)
@@ -30,30 +30,30 @@
 client_connection_watch(struct client_connection *connection, bool writable)
 {
 	const struct loom_fetch *fetch = connection->fetch;
-	const bool readable = fetch == NULL || !fetch->data_paused;
+	const bool readable = fetch == NULL || !fetch->response_paused;
 
-	connection->waits_writable = writable;
+	connection->waiting_writable = writable;
 	return sockets_watch(&connection->socket,
 	    (readable ? EPOLLIN : 0) | (writable ? EPOLLOUT : 0));
 }
 
-/* A connect that is not decided at once is waited for. */
+/* While the connection is in progress, waits for the socket to be writable. */
 static bool
-begin_connect(
-    struct client_connection *connection, const struct client_key *key)
+begin_connect(struct client_connection *connection,
+    const struct client_endpoint *endpoint)
 {
 	const struct sockaddr_in to = {
 		.sin_family = AF_INET,
-		.sin_addr.s_addr = key->ip,
-		.sin_port = key->port,
+		.sin_addr.s_addr = endpoint->ip,
+		.sin_port = endpoint->port,
 	};
 	const struct sockaddr_in from = {
 		.sin_family = AF_INET,
-		.sin_addr.s_addr = key->source_ip,
+		.sin_addr.s_addr = endpoint->source_ip,
 	};
 	const int on = 1;
 
-	if (key->source_ip != 0 &&
+	if (endpoint->source_ip != 0 &&
 	    bind(connection->socket.fd, (const struct sockaddr *)&from,
 		sizeof(from)) != 0)
 		return false;
@@ -69,11 +69,11 @@
 
 struct client_connection *
 client_connection_new(
-    struct loom_fetcher *fetcher, const struct client_key *key)
+    struct loom_fetcher *fetcher, const struct client_endpoint *endpoint)
 {
 	struct client_connection *connection =
 	    talloc_zero(fetcher, struct client_connection);
-	int cause;
+	int saved_errno;
 
 	if (connection == NULL) {
 		errno = ENOMEM;
@@ -81,26 +81,26 @@
 	}
 	connection->fetcher = fetcher;
 	connection->socket.sockets = fetcher->sockets;
-	connection->socket.ready = ready;
+	connection->socket.ready = on_ready;
 	http_head_init(&connection->head);
 	connection->socket.fd =
 	    socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	talloc_set_destructor(connection, connection_destructor);
-	if (connection->socket.fd < 0 || !begin_connect(connection, key))
+	if (connection->socket.fd < 0 || !begin_connect(connection, endpoint))
 		goto error;
-	connection->host = client_pool_host(fetcher, key);
-	connection->host->connections++;
+	connection->pool = client_pool_get(fetcher, endpoint);
+	connection->pool->connections++;
 	return connection;
 
 error:
-	cause = errno;
+	saved_errno = errno;
 	talloc_free(connection);
-	errno = cause;
+	errno = saved_errno;
 	return NULL;
 }
 
 bool
-client_connection_is_quiet(const struct client_connection *connection)
+client_connection_is_reusable(const struct client_connection *connection)
 {
 	char byte;
 
@@ -115,102 +115,108 @@
 {
 	connection->fetch = fetch;
 	fetch->connection = connection;
-	client_answer_begin(connection);
+	client_response_begin(connection);
 }
 
 static void
-fill(struct loom_fetch *fetch)
+fill_send_buffer(struct loom_fetch *fetch)
 {
-	while (loom_buffer_length(&fetch->out) < SEND_AT_ONCE &&
-	    client_request_more(fetch))
+	while (loom_buffer_length(&fetch->send_buffer) < SEND_FILL_TARGET &&
+	    client_request_read_body(fetch))
 		;
 }
 
-enum client_sending
+enum client_send_result
 client_connection_send(struct client_connection *connection)
 {
 	struct loom_fetch *fetch = connection->fetch;
-	ssize_t taken;
+	ssize_t nsent;
 
 	if (!connection->connected || fetch->send_failed)
-		return CLIENT_SENDING_ON;
+		return CLIENT_SEND_OK;
 	for (;;) {
-		fill(fetch);
-		if (loom_buffer_length(&fetch->out) == 0)
+		fill_send_buffer(fetch);
+		if (loom_buffer_length(&fetch->send_buffer) == 0)
 			break;
-		taken =
-		    send(connection->socket.fd, loom_buffer_peek(&fetch->out),
-			loom_buffer_length(&fetch->out), MSG_NOSIGNAL);
-		if (taken < 0 && errno == EAGAIN) {
+		nsent = send(connection->socket.fd,
+		    loom_buffer_peek(&fetch->send_buffer),
+		    loom_buffer_length(&fetch->send_buffer), MSG_NOSIGNAL);
+		if (nsent < 0 && errno == EAGAIN) {
 			client_connection_watch(connection, true);
-			return CLIENT_SENDING_ON;
+			return CLIENT_SEND_OK;
 		}
-		if (taken < 0) {
-			/* An answer may have come before: reading tells. */
+		if (nsent < 0) {
+			/* The server may have sent a response before it closed
+			 * the connection; receive() determines the outcome. */
 			fetch->send_failed = true;
-			return fetch->sent ? CLIENT_SENDING_ON
-					   : CLIENT_SENDING_REFUSED;
+			return fetch->sent ? CLIENT_SEND_OK
+					   : CLIENT_SEND_REFUSED;
 		}
 		fetch->sent = true;
-		loom_buffer_consume(&fetch->out, (size_t)taken);
+		loom_buffer_consume(&fetch->send_buffer, (size_t)nsent);
 	}
-	if (connection->waits_writable)
+	if (connection->waiting_writable)
 		client_connection_watch(connection, false);
-	return CLIENT_SENDING_ON;
+	return CLIENT_SEND_OK;
 }
 
 static bool
 finish_connect(struct client_connection *connection)
 {
 	socklen_t size = sizeof(int);
-	int cause = 0;
+	int so_error = 0;
 
-	if (getsockopt(connection->socket.fd, SOL_SOCKET, SO_ERROR, &cause,
+	if (getsockopt(connection->socket.fd, SOL_SOCKET, SO_ERROR, &so_error,
 		&size) != 0)
-		cause = errno;
-	connection->connected = cause == 0;
-	errno = cause;
+		so_error = errno;
+	connection->connected = so_error == 0;
+	errno = so_error;
 	return connection->connected;
 }
 
-/* An answer's end.  What is left of a request that was answered before it was
- * whole is not sent: the connection is closed. */
+/*
+ * If the response is complete before the whole request was sent, the rest is
+ * not sent and the connection is closed.
+ */
 static void
-complete(struct client_connection *connection)
+finish_response(struct client_connection *connection)
 {
 	struct loom_fetch *fetch = connection->fetch;
 
-	if (!fetch->body_all || loom_buffer_length(&fetch->out) > 0)
-		connection->may_keep = false;
-	client_fetch_whole(fetch);
+	if (!fetch->body_complete ||
+	    loom_buffer_length(&fetch->send_buffer) > 0)
+		connection->reusable = false;
+	client_fetch_complete(fetch);
 }
 
-/* False when the request has ended, and the connection may be gone. */
+/* Returns false if the fetch has ended; the connection may be freed then. */
 static bool
-take(struct client_connection *connection, const uint8_t *data, size_t len)
+parse_received(
+    struct client_connection *connection, const uint8_t *data, size_t len)
 {
 	struct loom_fetch *fetch = connection->fetch;
-	enum client_reading reading;
+	enum client_parse_result result;
 
-	reading = client_answer_take(connection, data, len);
+	result = client_response_parse(connection, data, len);
 	if (fetch->cancelled) {
-		client_fetch_drop(fetch);
+		client_fetch_discard(fetch);
 		return false;
 	}
-	switch (reading) {
-	case CLIENT_READING_COMPLETE:
-		complete(connection);
+	switch (result) {
+	case CLIENT_PARSE_COMPLETE:
+		finish_response(connection);
 		return false;
-	case CLIENT_READING_BROKEN:
-		client_fetch_broken(fetch,
-		    len == 0 ? "closed by the other side"
-			     : client_answer_problem(connection));
+	case CLIENT_PARSE_FAILED:
+		client_fetch_fail(fetch,
+		    len == 0 ? "connection closed by the server"
+			     : client_response_error(connection));
 		return false;
-	case CLIENT_READING_ON:
+	case CLIENT_PARSE_MORE:
 		break;
 	}
-	if (fetch->data_paused)
-		client_connection_watch(connection, connection->waits_writable);
+	if (fetch->response_paused)
+		client_connection_watch(
+		    connection, connection->waiting_writable);
 	return true;
 }
 
@@ -218,26 +224,25 @@
 receive(struct client_connection *connection)
 {
 	uint8_t *block = sockets_block(connection->socket.sockets);
-	ssize_t got;
+	ssize_t nread;
 
 	do {
-		got = recv(connection->socket.fd, block, SOCKETS_BLOCK, 0);
-		if (got < 0 && errno == EAGAIN)
+		nread = recv(connection->socket.fd, block, SOCKETS_BLOCK, 0);
+		if (nread < 0 && errno == EAGAIN)
 			return;
-		if (got < 0) {
-			client_fetch_broken(
-			    connection->fetch, g_strerror(errno));
+		if (nread < 0) {
+			client_fetch_fail(connection->fetch, g_strerror(errno));
 			return;
 		}
-		if (!take(connection, block, (size_t)got))
+		if (!parse_received(connection, block, (size_t)nread))
 			return;
-	} while (got == SOCKETS_BLOCK && !connection->fetch->data_paused);
-	/* the other side may have said to go on */
+	} while (nread == SOCKETS_BLOCK && !connection->fetch->response_paused);
+	/* the body can be sent if a 100 Continue was received */
 	client_connection_send(connection);
 }
 
 static void
-ready(struct watched_socket *socket, uint32_t events)
+on_ready(struct watched_socket *socket, uint32_t events)
 {
 	struct client_connection *connection =
 	    (struct client_connection *)(void *)socket;
@@ -248,12 +253,12 @@
 		return;
 	}
 	if (!connection->connected && !finish_connect(connection)) {
-		client_fetch_broken(fetch, g_strerror(errno));
+		client_fetch_fail(fetch, g_strerror(errno));
 		return;
 	}
 	if ((events & EPOLLOUT) != 0 &&
-	    client_connection_send(connection) == CLIENT_SENDING_REFUSED) {
-		client_fetch_broken(fetch, g_strerror(errno));
+	    client_connection_send(connection) == CLIENT_SEND_REFUSED) {
+		client_fetch_fail(fetch, g_strerror(errno));
 		return;
 	}
 	if ((events & (EPOLLIN | EPOLLERR | EPOLLHUP)) != 0)
--- a/src/http/client_pool.c
+++ b/src/http/client_pool.c
@@ -1,7 +1,7 @@
 /*
- * The connections of one thread's HTTP client that are kept for the next
- * request.  They stay in the epoll set: whatever comes on one is its end, or
- * bytes that belong to no request.
+ * Keeps idle connections of one thread's HTTP client for later requests.  They
+ * stay in the epoll set: an event on an idle connection means that the server
+ * closed it or sent unsolicited bytes, and the connection is closed.
  */
 
 #include <arpa/inet.h>
@@ -10,21 +10,22 @@
 #include "http/client.h"
 #include "loom/clock.h"
 
-/* Kept connections of a thread.  An upstream of the users' largest kind has
- * 200 slots; peers of all called services come on top. */
-#define CONNECTIONS_KEPT 512
+/* Limit of idle connections of a thread.  The users' largest upstreams serve
+ * 200 requests at a time; connections to the daemons of all called services
+ * come on top. */
+#define IDLE_CONNECTIONS_MAX 512
 
-/* Less than the idle timeout of a daemon's server and of common upstreams, so
- * that a kept connection is closed from this side first and a request does
- * not race with its closing. */
+/* Shorter than the idle timeout of a daemon's server and of common upstreams,
+ * so that the client closes an idle connection first and a request does not
+ * race with the server's close. */
 #define IDLE_MAX_MS 15000
 
-/* Closed for their age each time that another one is kept. */
-#define CLOSED_AT_ONCE 2
+/* Expired or surplus connections closed whenever a connection becomes idle. */
+#define CLOSE_BATCH_MAX 2
 
 bool
-client_key_parse(
-    struct client_key *key, const char *address, const char *source)
+client_endpoint_parse(
+    struct client_endpoint *endpoint, const char *address, const char *source)
 {
 	struct sockaddr_in to;
 	struct in_addr from = { .s_addr = INADDR_ANY };
@@ -33,7 +34,7 @@
 		return false;
 	if (source != NULL && inet_pton(AF_INET, source, &from) != 1)
 		return false;
-	*key = (struct client_key){
+	*endpoint = (struct client_endpoint){
 		.ip = to.sin_addr.s_addr,
 		.source_ip = from.s_addr,
 		.port = to.sin_port,
@@ -42,140 +43,144 @@
 }
 
 static guint
-key_hash(gconstpointer pointer)
+endpoint_hash(gconstpointer pointer)
 {
-	const struct client_key *key = pointer;
+	const struct client_endpoint *endpoint = pointer;
 
-	return key->ip * 31 + key->port + key->source_ip * 17;
+	return endpoint->ip * 31 + endpoint->port + endpoint->source_ip * 17;
 }
 
 static gboolean
-key_equal(gconstpointer a, gconstpointer b)
+endpoint_equal(gconstpointer a, gconstpointer b)
 {
-	return memcmp(a, b, sizeof(struct client_key)) == 0;
+	return memcmp(a, b, sizeof(struct client_endpoint)) == 0;
 }
 
-struct client_host *
-client_pool_host(struct loom_fetcher *fetcher, const struct client_key *key)
+struct client_endpoint_pool *
+client_pool_get(
+    struct loom_fetcher *fetcher, const struct client_endpoint *endpoint)
 {
-	struct client_host *host = g_hash_table_lookup(fetcher->hosts, key);
-
-	if (host != NULL)
-		return host;
-	host = g_new0(struct client_host, 1);
-	host->key = *key;
-	g_queue_init(&host->kept);
-	g_hash_table_insert(fetcher->hosts, &host->key, host);
-	return host;
+	struct client_endpoint_pool *pool =
+	    g_hash_table_lookup(fetcher->pools, endpoint);
+
+	if (pool != NULL)
+		return pool;
+	pool = g_new0(struct client_endpoint_pool, 1);
+	pool->endpoint = *endpoint;
+	g_queue_init(&pool->idle);
+	g_hash_table_insert(fetcher->pools, &pool->endpoint, pool);
+	return pool;
 }
 
 static bool
-is_kept(const struct client_connection *connection)
+is_idle(const struct client_connection *connection)
 {
-	return connection->in_all.data != NULL;
+	return connection->fetcher_link.data != NULL;
 }
 
 static void
-take_out(struct client_connection *connection)
+unlink_idle(struct client_connection *connection)
 {
-	if (!is_kept(connection))
+	if (!is_idle(connection))
 		return;
-	g_queue_unlink(&connection->host->kept, &connection->in_host);
-	g_queue_unlink(&connection->fetcher->kept, &connection->in_all);
-	connection->in_host.data = NULL;
-	connection->in_all.data = NULL;
+	g_queue_unlink(&connection->pool->idle, &connection->pool_link);
+	g_queue_unlink(&connection->fetcher->idle, &connection->fetcher_link);
+	connection->pool_link.data = NULL;
+	connection->fetcher_link.data = NULL;
 }
 
-/* Services come and go: a host without a connection is forgotten. */
+/* Frees the pool with its last connection, since services come and go. */
 static void
-leave_host(struct client_connection *connection)
+leave_pool(struct client_connection *connection)
 {
-	struct client_host *host = connection->host;
+	struct client_endpoint_pool *pool = connection->pool;
 
-	if (host == NULL)
+	if (pool == NULL)
 		return;
-	connection->host = NULL;
-	host->connections--;
-	if (host->connections == 0)
-		g_hash_table_remove(connection->fetcher->hosts, &host->key);
+	connection->pool = NULL;
+	pool->connections--;
+	if (pool->connections == 0)
+		g_hash_table_remove(
+		    connection->fetcher->pools, &pool->endpoint);
 }
 
 void
 client_pool_close(struct client_connection *connection)
 {
-	take_out(connection);
-	leave_host(connection);
+	unlink_idle(connection);
+	leave_pool(connection);
 	connection->fetch = NULL;
 	sockets_close(&connection->socket);
 }
 
 static bool
-is_too_old(const struct client_connection *connection, uint32_t idle_ms,
+is_expired(const struct client_connection *connection, uint32_t idle_max_ms,
     uint64_t now_us)
 {
-	uint64_t max_ms = idle_ms == 0 ? IDLE_MAX_MS : idle_ms;
+	uint64_t max_ms = idle_max_ms == 0 ? IDLE_MAX_MS : idle_max_ms;
 
-	if (connection->idle_max_ms != 0)
-		max_ms = MIN(max_ms, connection->idle_max_ms);
-	return now_us - connection->kept_us >= max_ms * LOOM_US_PER_MS;
+	if (connection->server_idle_max_ms != 0)
+		max_ms = MIN(max_ms, connection->server_idle_max_ms);
+	return now_us - connection->idle_since_us >= max_ms * LOOM_US_PER_MS;
 }
 
 struct client_connection *
-client_pool_take(struct loom_fetcher *fetcher, const struct client_key *key,
-    uint32_t idle_ms)
+client_pool_acquire(struct loom_fetcher *fetcher,
+    const struct client_endpoint *endpoint, uint32_t idle_max_ms)
 {
-	struct client_host *host = g_hash_table_lookup(fetcher->hosts, key);
+	struct client_endpoint_pool *pool =
+	    g_hash_table_lookup(fetcher->pools, endpoint);
 	struct client_connection *connection;
 	const uint64_t now_us = loom_now_us();
 
-	while (host != NULL && host->kept.head != NULL) {
-		connection = host->kept.head->data;
-		if (!is_too_old(connection, idle_ms, now_us) &&
-		    client_connection_is_quiet(connection)) {
-			take_out(connection);
+	while (pool != NULL && pool->idle.head != NULL) {
+		connection = pool->idle.head->data;
+		if (!is_expired(connection, idle_max_ms, now_us) &&
+		    client_connection_is_reusable(connection)) {
+			unlink_idle(connection);
 			return connection;
 		}
-		if (host->connections == 1)
-			host = NULL; /* gone with its last connection */
+		if (pool->connections == 1)
+			pool = NULL; /* freed with its last connection */
 		client_pool_close(connection);
 	}
 	return NULL;
 }
 
 static void
-close_old(struct loom_fetcher *fetcher, uint64_t now_us)
+close_expired(struct loom_fetcher *fetcher, uint64_t now_us)
 {
 	struct client_connection *oldest;
 	uint32_t i;
 
-	for (i = 0; i < CLOSED_AT_ONCE && fetcher->kept.tail != NULL; i++) {
-		oldest = fetcher->kept.tail->data;
-		if (fetcher->kept.length <= CONNECTIONS_KEPT &&
-		    !is_too_old(oldest, 0, now_us))
+	for (i = 0; i < CLOSE_BATCH_MAX && fetcher->idle.tail != NULL; i++) {
+		oldest = fetcher->idle.tail->data;
+		if (fetcher->idle.length <= IDLE_CONNECTIONS_MAX &&
+		    !is_expired(oldest, 0, now_us))
 			return;
 		client_pool_close(oldest);
 	}
 }
 
 void
-client_pool_keep(struct client_connection *connection)
+client_pool_release(struct client_connection *connection)
 {
 	struct loom_fetcher *fetcher = connection->fetcher;
 
 	connection->fetch = NULL;
-	connection->kept_us = loom_now_us();
-	connection->in_host.data = connection;
-	connection->in_all.data = connection;
-	g_queue_push_head_link(&connection->host->kept, &connection->in_host);
-	g_queue_push_head_link(&fetcher->kept, &connection->in_all);
-	close_old(fetcher, connection->kept_us);
+	connection->idle_since_us = loom_now_us();
+	connection->pool_link.data = connection;
+	connection->fetcher_link.data = connection;
+	g_queue_push_head_link(&connection->pool->idle, &connection->pool_link);
+	g_queue_push_head_link(&fetcher->idle, &connection->fetcher_link);
+	close_expired(fetcher, connection->idle_since_us);
 }
 
 static int
 fetcher_destructor(struct loom_fetcher *fetcher)
 {
-	/* talloc frees connections and requests under way after this. */
-	g_hash_table_unref(fetcher->hosts);
+	/* talloc frees the connections and running requests after this. */
+	g_hash_table_unref(fetcher->pools);
 	return 0;
 }
 
@@ -189,9 +194,9 @@
 		return NULL;
 	fetcher->ev = ev;
 	fetcher->sockets = sockets;
-	g_queue_init(&fetcher->kept);
-	fetcher->hosts =
-	    g_hash_table_new_full(key_hash, key_equal, NULL, g_free);
+	g_queue_init(&fetcher->idle);
+	fetcher->pools =
+	    g_hash_table_new_full(endpoint_hash, endpoint_equal, NULL, g_free);
 	talloc_set_destructor(fetcher, fetcher_destructor);
 	return fetcher;
 }
--- a/src/http/client_request.c
+++ b/src/http/client_request.c
@@ -1,6 +1,6 @@
 /*
- * A request as bytes: its headers, then its body as its owner has it, with a
- * length or in chunks.
+ * Serializes a request: the headers, then the body as its owner provides it,
+ * with a Content-Length or in chunks.
  */
 
 #include <string.h>
@@ -8,23 +8,23 @@
 #include "http/client.h"
 #include "http/text.h"
 
-/* Of the body, asked for at once. */
-#define PIECE_SIZE (16 * 1024)
+/* Maximum that is read from the owner's body in one call. */
+#define BODY_READ_SIZE (16 * 1024)
 
 static bool
-put(struct loom_fetch *fetch, const char *text)
+append(struct loom_fetch *fetch, const char *text)
 {
-	return http_put(&fetch->out, fetch, text);
+	return http_put(&fetch->send_buffer, fetch, text);
 }
 
 static bool
-put_header(struct loom_fetch *fetch, const char *name, const char *value)
+append_header(struct loom_fetch *fetch, const char *name, const char *value)
 {
-	return http_put_header(&fetch->out, fetch, name, value);
+	return http_put_header(&fetch->send_buffer, fetch, name, value);
 }
 
 static bool
-put_headers(struct loom_fetch *fetch, const struct loom_fetch_request *req)
+append_headers(struct loom_fetch *fetch, const struct loom_fetch_request *req)
 {
 	bool has_host = false;
 	size_t i;
@@ -32,16 +32,17 @@
 	for (i = 0; i < req->nheaders; i++) {
 		if (g_ascii_strcasecmp(req->headers[i].name, "Host") == 0)
 			has_host = true;
-		if (!put_header(
+		if (!append_header(
 			fetch, req->headers[i].name, req->headers[i].value))
 			return false;
 	}
-	return has_host || put_header(fetch, "Host", req->address);
+	return has_host || append_header(fetch, "Host", req->address);
 }
 
-/* Methods whose requests usually have a body say that this one has none. */
+/* Methods whose requests usually have a body: a request without one needs an
+ * explicit Content-Length of 0. */
 static bool
-expects_body(const char *method)
+requires_content_length(const char *method)
 {
 	static const char *const methods[] = { "POST", "PUT", "PATCH" };
 	size_t i;
@@ -54,16 +55,17 @@
 }
 
 static bool
-put_framing(struct loom_fetch *fetch, const struct loom_fetch_request *req)
+append_framing(struct loom_fetch *fetch, const struct loom_fetch_request *req)
 {
 	if (!req->has_body)
-		return !expects_body(req->method) ||
-		    http_put_length(&fetch->out, fetch, 0);
-	if (req->expect && !put_header(fetch, "Expect", "100-continue"))
+		return !requires_content_length(req->method) ||
+		    http_put_length(&fetch->send_buffer, fetch, 0);
+	if (req->expect && !append_header(fetch, "Expect", "100-continue"))
 		return false;
-	if (fetch->in_chunks)
-		return put_header(fetch, "Transfer-Encoding", "chunked");
-	return http_put_length(&fetch->out, fetch, (uint64_t)req->body_length);
+	if (fetch->chunked)
+		return append_header(fetch, "Transfer-Encoding", "chunked");
+	return http_put_length(
+	    &fetch->send_buffer, fetch, (uint64_t)req->body_length);
 }
 
 bool
@@ -71,32 +73,34 @@
     struct loom_fetch *fetch, const struct loom_fetch_request *req)
 {
 	fetch->is_head = strcmp(req->method, "HEAD") == 0;
-	fetch->in_chunks = req->has_body && req->body_length < 0;
-	fetch->body_all = !req->has_body;
-	fetch->held_back = req->has_body && req->expect;
-	return put(fetch, req->method) && put(fetch, " ") &&
-	    put(fetch, req->target) && put(fetch, " HTTP/1.1\r\n") &&
-	    put_headers(fetch, req) && put_framing(fetch, req) &&
-	    put(fetch, "\r\n");
+	fetch->chunked = req->has_body && req->body_length < 0;
+	fetch->body_complete = !req->has_body;
+	fetch->awaiting_continue = req->has_body && req->expect;
+	return append(fetch, req->method) && append(fetch, " ") &&
+	    append(fetch, req->target) && append(fetch, " HTTP/1.1\r\n") &&
+	    append_headers(fetch, req) && append_framing(fetch, req) &&
+	    append(fetch, "\r\n");
 }
 
 bool
-client_request_more(struct loom_fetch *fetch)
+client_request_read_body(struct loom_fetch *fetch)
 {
-	uint8_t piece[PIECE_SIZE];
+	uint8_t buf[BODY_READ_SIZE];
 	bool end = false;
 	size_t len;
 
-	if (fetch->body_all || fetch->held_back || fetch->cancelled)
+	if (fetch->body_complete || fetch->awaiting_continue ||
+	    fetch->cancelled)
 		return false;
 	fetch->in_callback = true;
-	len = fetch->ops->read_body(fetch->arg, piece, sizeof(piece), &end);
+	len = fetch->ops->read_body(fetch->arg, buf, sizeof(buf), &end);
 	fetch->in_callback = false;
 	fetch->body_paused = len == 0 && !end;
-	fetch->body_all = end;
-	if (!http_put_piece(&fetch->out, fetch, piece, len, fetch->in_chunks) ||
-	    (end && fetch->in_chunks &&
-		!http_put_last_chunk(&fetch->out, fetch))) {
+	fetch->body_complete = end;
+	if (!http_put_piece(
+		&fetch->send_buffer, fetch, buf, len, fetch->chunked) ||
+	    (end && fetch->chunked &&
+		!http_put_last_chunk(&fetch->send_buffer, fetch))) {
 		fetch->send_failed = true;
 		return false;
 	}
--- a/src/http/fetch.c
+++ b/src/http/fetch.c
@@ -1,9 +1,9 @@
 /*
- * One HTTP request by a connection of the pool.
+ * The life cycle of an HTTP request.
  *
- * A request is given to one connection.  Only when that has taken no byte of it
- * may it be given to another: a kept connection whose other side has closed it
- * meanwhile refuses the first send.
+ * A request is assigned to one connection.  It is retried on another one only
+ * if the first accepted no byte of it: sending on an idle connection fails at
+ * once if the server has closed it meanwhile.
  */
 
 #include <errno.h>
@@ -13,24 +13,24 @@
 #include "http/client.h"
 #include "loom/clock.h"
 
-/* A connection takes about 1 ms.  Within this time a full accept queue drops
- * one SYN (1 s until it is sent again) and still succeeds. */
+/* Connecting usually takes about 1 ms.  If a full accept queue drops one SYN,
+ * which is retransmitted after 1 s, connecting still succeeds in time. */
 #define CONNECT_TIMEOUT_US (1500 * LOOM_US_PER_MS)
 
-#define TIMEOUT_MIN_US (1 * LOOM_US_PER_MS)
+#define FETCH_TIMEOUT_MIN_US (1 * LOOM_US_PER_MS)
 
 static int
 fetch_destructor(struct loom_fetch *fetch)
 {
-	sockets_clear_time(fetch->fetcher->sockets, &fetch->time);
+	sockets_clear_time(fetch->fetcher->sockets, &fetch->timer);
 	return 0;
 }
 
 static struct loom_fetch *
-fetch_of(struct timed *timed)
+fetch_of(struct timed *timer)
 {
-	return (struct loom_fetch *)(void *)((char *)timed -
-	    offsetof(struct loom_fetch, time));
+	return (struct loom_fetch *)(void *)((char *)timer -
+	    offsetof(struct loom_fetch, timer));
 }
 
 static void
@@ -41,132 +41,141 @@
 	fetch->connection = NULL;
 	if (connection == NULL)
 		return;
-	if (connection->may_keep)
-		client_pool_keep(connection);
+	if (connection->reusable)
+		client_pool_release(connection);
 	else
 		client_pool_close(connection);
 }
 
 static void
-end(struct loom_fetch *fetch, enum loom_fetch_result result, const char *reason)
+finish(
+    struct loom_fetch *fetch, enum loom_fetch_result result, const char *reason)
 {
-	const struct loom_fetch_end how = {
+	const struct loom_fetch_end outcome = {
 		.result = result,
 		.sent = fetch->sent,
-		.answered = fetch->headers_done,
+		.answered = fetch->headers_complete,
 		.reason = reason,
 	};
 
 	fetch->in_callback = true;
 	if (!fetch->cancelled)
-		fetch->ops->done(fetch->arg, &how);
+		fetch->ops->done(fetch->arg, &outcome);
 	release_connection(fetch);
 	talloc_free(fetch);
 }
 
 void
-client_fetch_whole(struct loom_fetch *fetch)
+client_fetch_complete(struct loom_fetch *fetch)
 {
-	end(fetch, LOOM_FETCH_WHOLE, "");
+	finish(fetch, LOOM_FETCH_WHOLE, "");
 }
 
 static void
-close_connection(struct loom_fetch *fetch)
+mark_not_reusable(struct loom_fetch *fetch)
 {
 	if (fetch->connection != NULL)
-		fetch->connection->may_keep = false;
+		fetch->connection->reusable = false;
 }
 
 void
-client_fetch_broken(struct loom_fetch *fetch, const char *reason)
+client_fetch_fail(struct loom_fetch *fetch, const char *reason)
 {
-	close_connection(fetch);
-	end(fetch, fetch->sent ? LOOM_FETCH_CUT : LOOM_FETCH_CONNECT, reason);
+	mark_not_reusable(fetch);
+	finish(
+	    fetch, fetch->sent ? LOOM_FETCH_CUT : LOOM_FETCH_CONNECT, reason);
 }
 
 void
-client_fetch_drop(struct loom_fetch *fetch)
+client_fetch_discard(struct loom_fetch *fetch)
 {
-	close_connection(fetch);
+	mark_not_reusable(fetch);
 	release_connection(fetch);
 	talloc_free(fetch);
 }
 
 /*
- * A host that is cut off drops what it is sent: connecting takes
- * CONNECT_TIMEOUT_US and fails with most of the call's time left.  Taken for
- * the call's end, the caller would be refused by its deadline long before it,
- * and nobody would try another host.
+ * The timer is set to the connect timeout first, and to the deadline once the
+ * connection is established.
+ *
+ * Packets to a host behind a network partition are dropped, so that connecting
+ * runs into CONNECT_TIMEOUT_US, with most of the call's time left.  This must
+ * not end the fetch with LOOM_FETCH_TIMEOUT: the caller would get a deadline
+ * error long before its deadline, and no other host would be tried.
  */
 static void
-expired(struct timed *timed)
+on_timer(struct timed *timer)
 {
-	struct loom_fetch *fetch = fetch_of(timed);
+	struct loom_fetch *fetch = fetch_of(timer);
 	const uint64_t now_us = loom_now_us();
 
-	if (now_us >= fetch->until_us) {
-		close_connection(fetch);
-		end(fetch, LOOM_FETCH_TIMEOUT, "its time is up");
+	if (now_us >= fetch->deadline_us) {
+		mark_not_reusable(fetch);
+		finish(fetch, LOOM_FETCH_TIMEOUT, "deadline exceeded");
 	} else if (fetch->connection != NULL && fetch->connection->connected) {
 		sockets_set_time(
-		    fetch->fetcher->sockets, timed, fetch->until_us);
+		    fetch->fetcher->sockets, timer, fetch->deadline_us);
 	} else {
-		client_fetch_broken(fetch, "no connection in time");
+		client_fetch_fail(fetch, "connect timeout");
 	}
 }
 
 static void
-failed_to_start(
-    struct tevent_context *ev, struct tevent_immediate *later, void *arg)
+report_start_error(
+    struct tevent_context *ev, struct tevent_immediate *immediate, void *arg)
 {
 	struct loom_fetch *fetch = arg;
 
 	(void)ev;
-	(void)later;
-	client_fetch_broken(fetch, fetch->failure);
+	(void)immediate;
+	client_fetch_fail(fetch, fetch->start_error);
 }
 
 static bool
-call_later(struct loom_fetch *fetch, tevent_immediate_handler_t handler)
+schedule(struct loom_fetch *fetch, tevent_immediate_handler_t handler)
 {
-	if (fetch->later == NULL)
-		fetch->later = tevent_create_immediate(fetch);
-	if (fetch->later == NULL)
+	if (fetch->immediate == NULL)
+		fetch->immediate = tevent_create_immediate(fetch);
+	if (fetch->immediate == NULL)
 		return false;
 	tevent_schedule_immediate(
-	    fetch->later, fetch->fetcher->ev, handler, fetch);
+	    fetch->immediate, fetch->fetcher->ev, handler, fetch);
 	return true;
 }
 
-/* The owner isn't told before its start has returned. */
+/* Calls done with the error only after loom_fetch_start() has returned. */
 static bool
-fail_later(struct loom_fetch *fetch, const char *reason)
+fail_deferred(struct loom_fetch *fetch, const char *reason)
 {
-	fetch->failure = reason;
-	return call_later(fetch, failed_to_start);
+	fetch->start_error = reason;
+	return schedule(fetch, report_start_error);
 }
 
-/* False when out of memory. */
+/*
+ * Sends on an idle connection, or on a new one if all idle ones fail.  False if
+ * out of memory.
+ */
 static bool
-send_on_some(struct loom_fetch *fetch, const struct client_key *key)
+acquire_and_send(
+    struct loom_fetch *fetch, const struct client_endpoint *endpoint)
 {
 	struct client_connection *connection;
 
-	while ((connection = client_pool_take(
-		    fetch->fetcher, key, fetch->idle_ms)) != NULL) {
+	while ((connection = client_pool_acquire(
+		    fetch->fetcher, endpoint, fetch->idle_max_ms)) != NULL) {
 		client_connection_attach(connection, fetch);
-		if (client_connection_send(connection) == CLIENT_SENDING_ON)
+		if (client_connection_send(connection) == CLIENT_SEND_OK)
 			return true;
 		client_pool_close(connection);
 		fetch->connection = NULL;
 		fetch->send_failed = false;
 	}
-	connection = client_connection_new(fetch->fetcher, key);
+	connection = client_connection_new(fetch->fetcher, endpoint);
 	if (connection == NULL)
-		return fail_later(fetch, g_strerror(errno));
+		return fail_deferred(fetch, g_strerror(errno));
 	client_connection_attach(connection, fetch);
-	if (client_connection_send(connection) == CLIENT_SENDING_REFUSED)
-		return fail_later(fetch, g_strerror(errno));
+	if (client_connection_send(connection) == CLIENT_SEND_REFUSED)
+		return fail_deferred(fetch, g_strerror(errno));
 	return true;
 }
 
@@ -174,14 +183,14 @@
 set_deadlines(struct loom_fetch *fetch, uint64_t timeout_us)
 {
 	const uint64_t now_us = loom_now_us();
-	uint64_t first_us;
+	uint64_t timer_us;
 
-	fetch->until_us = now_us + MAX(timeout_us, TIMEOUT_MIN_US);
-	first_us = fetch->until_us;
+	fetch->deadline_us = now_us + MAX(timeout_us, FETCH_TIMEOUT_MIN_US);
+	timer_us = fetch->deadline_us;
 	if (fetch->connection == NULL || !fetch->connection->connected)
-		first_us = MIN(first_us, now_us + CONNECT_TIMEOUT_US);
-	fetch->time.expired = expired;
-	sockets_set_time(fetch->fetcher->sockets, &fetch->time, first_us);
+		timer_us = MIN(timer_us, now_us + CONNECT_TIMEOUT_US);
+	fetch->timer.expired = on_timer;
+	sockets_set_time(fetch->fetcher->sockets, &fetch->timer, timer_us);
 }
 
 struct loom_fetch *
@@ -189,44 +198,47 @@
     struct loom_fetcher *fetcher, const struct loom_fetch_request *req)
 {
 	struct loom_fetch *fetch = talloc_zero(fetcher, struct loom_fetch);
-	struct client_key key;
+	struct client_endpoint endpoint;
 
 	if (fetch == NULL)
 		return NULL;
 	fetch->fetcher = fetcher;
 	fetch->ops = req->ops;
 	fetch->arg = req->arg;
-	fetch->idle_ms = req->idle_ms;
+	fetch->idle_max_ms = req->idle_ms;
 	talloc_set_destructor(fetch, fetch_destructor);
 	if (!client_request_begin(fetch, req))
 		goto error;
-	if (client_key_parse(&key, req->address, req->source)) {
-		if (!send_on_some(fetch, &key))
+	if (client_endpoint_parse(&endpoint, req->address, req->source)) {
+		if (!acquire_and_send(fetch, &endpoint))
 			goto error;
-	} else if (!fail_later(fetch, "no address")) {
+	} else if (!fail_deferred(fetch, "invalid address")) {
 		goto error;
 	}
 	set_deadlines(fetch, req->timeout_us);
 	return fetch;
 
 error:
-	client_fetch_drop(fetch);
+	client_fetch_discard(fetch);
 	return NULL;
 }
 
 static void
-send_more(struct tevent_context *ev, struct tevent_immediate *later, void *arg)
+on_body_resumed(
+    struct tevent_context *ev, struct tevent_immediate *immediate, void *arg)
 {
 	struct loom_fetch *fetch = arg;
 
 	(void)ev;
-	(void)later;
+	(void)immediate;
 	client_connection_send(fetch->connection);
 }
 
 /*
- * Not at once: the owner is in the middle of taking a piece, and would be asked
- * for it, and make room for the next, before it has said how much it took.
+ * Deferred to the event loop.  The owner calls this while it is still accepting
+ * a part of the body.  An immediate send would call its read_body from inside,
+ * and the room that this makes would be lost, since the owner has not yet
+ * reported how much it accepted.
  */
 void
 loom_fetch_more_body(struct loom_fetch *fetch)
@@ -234,19 +246,19 @@
 	if (!fetch->body_paused || fetch->connection == NULL)
 		return;
 	fetch->body_paused = false;
-	if (!call_later(fetch, send_more))
+	if (!schedule(fetch, on_body_resumed))
 		client_connection_send(fetch->connection);
 }
 
 void
 loom_fetch_resume(struct loom_fetch *fetch)
 {
-	if (!fetch->data_paused)
+	if (!fetch->response_paused)
 		return;
-	fetch->data_paused = false;
+	fetch->response_paused = false;
 	if (fetch->connection != NULL)
 		client_connection_watch(
-		    fetch->connection, fetch->connection->waits_writable);
+		    fetch->connection, fetch->connection->waiting_writable);
 }
 
 void
@@ -261,7 +273,7 @@
 	if (fetch->in_callback)
 		fetch->cancelled = true;
 	else
-		client_fetch_drop(fetch);
+		client_fetch_discard(fetch);
 }
 
 uint16_t
@@ -274,7 +286,7 @@
 loom_fetch_headers(const struct loom_fetch *fetch, size_t *n)
 {
 	*n = 0;
-	if (fetch->connection == NULL || !fetch->headers_done)
+	if (fetch->connection == NULL || !fetch->headers_complete)
 		return NULL;
 	return http_head_items(&fetch->connection->head, n);
 }
@@ -282,7 +294,7 @@
 const char *
 loom_fetch_header(const struct loom_fetch *fetch, const char *name)
 {
-	if (fetch->connection == NULL || !fetch->headers_done)
+	if (fetch->connection == NULL || !fetch->headers_complete)
 		return NULL;
 	return http_head_find(&fetch->connection->head, name);
 }
--- a/tests/http/test_mutations.c
+++ b/tests/http/test_mutations.c
@@ -122,30 +122,30 @@
 static void
 read_answer(const struct message *message, GRand *rand)
 {
-	struct client_connection connection = { .may_keep = false };
+	struct client_connection connection = { .reusable = false };
 	struct loom_fetch fetch = {
 		.ops = &fetch_ops,
 		.connection = &connection,
 	};
-	enum client_reading reading = CLIENT_READING_ON;
+	enum client_parse_result result = CLIENT_PARSE_MORE;
 	size_t at, len;
 
 	connection.fetch = &fetch;
 	http_head_init(&connection.head);
-	client_answer_begin(&connection);
-	for (at = 0; at < message->len && reading == CLIENT_READING_ON;
+	client_response_begin(&connection);
+	for (at = 0; at < message->len && result == CLIENT_PARSE_MORE;
 	     at += len) {
 		len = piece_of(message, at, rand);
-		reading = client_answer_take(
+		result = client_response_parse(
 		    &connection, (const uint8_t *)message->bytes + at, len);
 	}
-	if (reading == CLIENT_READING_ON)
-		reading = client_answer_take(
+	if (result == CLIENT_PARSE_MORE)
+		result = client_response_parse(
 		    &connection, (const uint8_t *)message->bytes, 0);
-	g_string_append_printf(record, "|%d", reading);
-	TEST_CHECK(reading != CLIENT_READING_ON, "neither whole nor broken");
-	TEST_CHECK(reading != CLIENT_READING_COMPLETE ||
-		(fetch.headers_done && fetch.status >= 200),
+	g_string_append_printf(record, "|%d", result);
+	TEST_CHECK(result != CLIENT_PARSE_MORE, "neither whole nor broken");
+	TEST_CHECK(result != CLIENT_PARSE_COMPLETE ||
+		(fetch.headers_complete && fetch.status >= 200),
 	    "whole without a status");
 	http_head_free(&connection.head);
 }
