--- a/include/loom/sockets.h
+++ b/include/loom/sockets.h
@@ -3,7 +3,7 @@
 
 /*
  * The sockets of one thread's HTTP client and servers, in one epoll set that
- * its event loop watches as one descriptor.
+ * the event loop of the thread watches as a single descriptor.
  */
 
 #include <talloc.h>
@@ -11,8 +11,8 @@
 
 struct loom_sockets;
 
-/* Owned by the caller (talloc), and to be freed after whoever uses it; NULL
- * when out of memory or descriptors. */
+/* Owned by the caller (talloc); must outlive the client and the servers that
+ * use it.  NULL if out of memory or descriptors. */
 struct loom_sockets *loom_sockets_new(TALLOC_CTX *, struct tevent_context *);
 
 #endif
--- a/src/http/deadlines.c
+++ b/src/http/deadlines.c
@@ -1,6 +1,6 @@
 /*
- * A binary heap of deadlines; each knows its place, so that one that is no
- * longer waited for is taken out without a search.
+ * A binary heap of deadlines.  Each deadline stores its index, so that it can
+ * be removed without a search.
  */
 
 #include <glib.h>
@@ -10,44 +10,45 @@
 #define CAPACITY_MIN 64
 
 static void
-put(struct deadlines *deadlines, struct deadline *deadline, size_t place)
+heap_set(struct deadlines *deadlines, struct deadline *deadline, size_t index)
 {
-	deadlines->heap[place - 1] = deadline;
-	deadline->place = place;
+	deadlines->heap[index - 1] = deadline;
+	deadline->index = index;
 }
 
 static struct deadline *
-at(const struct deadlines *deadlines, size_t place)
+heap_get(const struct deadlines *deadlines, size_t index)
 {
-	return deadlines->heap[place - 1];
+	return deadlines->heap[index - 1];
 }
 
 static void
-move_up(struct deadlines *deadlines, struct deadline *deadline, size_t place)
+sift_up(struct deadlines *deadlines, struct deadline *deadline, size_t index)
 {
-	while (place > 1 && at(deadlines, place / 2)->at_us > deadline->at_us) {
-		put(deadlines, at(deadlines, place / 2), place);
-		place /= 2;
+	while (index > 1 &&
+	    heap_get(deadlines, index / 2)->at_us > deadline->at_us) {
+		heap_set(deadlines, heap_get(deadlines, index / 2), index);
+		index /= 2;
 	}
-	put(deadlines, deadline, place);
+	heap_set(deadlines, deadline, index);
 }
 
 static void
-move_down(struct deadlines *deadlines, struct deadline *deadline, size_t place)
+sift_down(struct deadlines *deadlines, struct deadline *deadline, size_t index)
 {
 	size_t child;
 
-	while ((child = 2 * place) <= deadlines->n) {
+	while ((child = 2 * index) <= deadlines->n) {
 		if (child < deadlines->n &&
-		    at(deadlines, child + 1)->at_us <
-			at(deadlines, child)->at_us)
+		    heap_get(deadlines, child + 1)->at_us <
+			heap_get(deadlines, child)->at_us)
 			child++;
-		if (at(deadlines, child)->at_us >= deadline->at_us)
+		if (heap_get(deadlines, child)->at_us >= deadline->at_us)
 			break;
-		put(deadlines, at(deadlines, child), place);
-		place = child;
+		heap_set(deadlines, heap_get(deadlines, child), index);
+		index = child;
 	}
-	put(deadlines, deadline, place);
+	heap_set(deadlines, deadline, index);
 }
 
 void
@@ -69,30 +70,30 @@
 	}
 	deadline->at_us = at_us;
 	deadlines->n++;
-	move_up(deadlines, deadline, deadlines->n);
+	sift_up(deadlines, deadline, deadlines->n);
 }
 
 void
 deadlines_remove(struct deadlines *deadlines, struct deadline *deadline)
 {
-	const size_t place = deadline->place;
+	const size_t index = deadline->index;
 	struct deadline *last;
 
-	if (place == 0)
+	if (index == 0)
 		return;
-	deadline->place = 0;
-	last = at(deadlines, deadlines->n);
+	deadline->index = 0;
+	last = heap_get(deadlines, deadlines->n);
 	deadlines->n--;
 	if (last == deadline)
 		return;
-	if (place > 1 && at(deadlines, place / 2)->at_us > last->at_us)
-		move_up(deadlines, last, place);
+	if (index > 1 && heap_get(deadlines, index / 2)->at_us > last->at_us)
+		sift_up(deadlines, last, index);
 	else
-		move_down(deadlines, last, place);
+		sift_down(deadlines, last, index);
 }
 
 struct deadline *
 deadlines_first(const struct deadlines *deadlines)
 {
-	return deadlines->n == 0 ? NULL : at(deadlines, 1);
+	return deadlines->n == 0 ? NULL : heap_get(deadlines, 1);
 }
--- a/src/http/deadlines.h
+++ b/src/http/deadlines.h
@@ -2,38 +2,40 @@
 #define LOOM_HTTP_DEADLINES_H
 
 /*
- * Moments at which something has to happen unless it is taken out before, the
- * soonest first: a binary heap.  tevent keeps its timers in a sorted list,
- * whose insertion walks past all later ones; of a thousand requests that run
- * side by side with different deadlines each would pay for the others.
+ * A priority queue of deadlines, earliest first, as a binary heap.
+ *
+ * tevent keeps its timers in a sorted list and walks past all later ones at
+ * each insertion.  With a thousand concurrent requests that have different
+ * deadlines, each insertion would cost time proportional to their number.
  */
 
 #include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
 
-/* One moment; embedded in whatever waits for it. */
+/* A deadline; embedded in its owner. */
 struct deadline {
 	uint64_t at_us;
-	size_t place; /* in the heap, from 1; 0: not in it */
+	size_t index; /* in the heap, from 1; 0: not in the heap */
 };
 
-/* All zeroes is an empty heap. */
+/* A zero-initialized struct is an empty heap. */
 struct deadlines {
-	struct deadline **heap; /* owned: pointers are borrowed */
+	struct deadline **heap; /* owned; the deadlines are borrowed */
 	size_t n;
 	size_t capacity;
 };
 
+/* Free the heap; it is empty afterwards. */
 void deadlines_clear(struct deadlines *);
 
-/* deadline is not in the heap. */
+/* Add a deadline that is not in the heap. */
 void deadlines_add(struct deadlines *, struct deadline *, uint64_t at_us);
 
-/* Nothing happens when it is not in the heap. */
+/* Remove a deadline; no effect if it is not in the heap. */
 void deadlines_remove(struct deadlines *, struct deadline *);
 
-/* The soonest, borrowed; NULL for none. */
+/* The earliest deadline, borrowed; NULL if the heap is empty. */
 struct deadline *deadlines_first(const struct deadlines *);
 
 #endif
--- a/src/http/sockets.c
+++ b/src/http/sockets.c
@@ -1,9 +1,9 @@
 /*
- * An epoll set, and one timer for all deadlines.
+ * An epoll set for sockets, and one tevent timer for all deadlines.
  *
- * tevent takes one event a system call, and a daemon that is short of processor
- * time saves most by taking all that are there.  A socket stays in the set from
- * its beginning to its end.
+ * tevent fetches one event per system call.  Fetching all pending events at
+ * once saves the most processor time in a daemon that is short of it.  A socket
+ * stays in the epoll set as long as it is open and watched for any event.
  */
 
 #include <stddef.h>
@@ -14,24 +14,23 @@
 #include "loom/clock.h"
 #include "loom/log.h"
 
-/* Taken at once; what is left is there at the next turn. */
+/* Events fetched at once; the rest is left to the next loop iteration. */
 #define EVENTS_MAX 64
 
 struct loom_sockets {
 	struct tevent_context *ev; /* borrowed */
 	int epoll_fd; /* owned */
 	struct tevent_fd *fde; /* owned: of epoll_fd */
-	struct watched_socket
-	    *closed; /* their owners are freed after the turn */
-	bool in_turn;
+	struct watched_socket *closed_sockets; /* freed after dispatching */
+	bool dispatching;
 	struct deadlines deadlines;
-	struct tevent_timer *timer; /* owned: at timer_us, or NULL */
+	struct tevent_timer *timer; /* owned: expires at timer_us; or NULL */
 	uint64_t timer_us;
-	uint8_t block[SOCKETS_BLOCK];
+	uint8_t read_buffer[SOCKETS_BLOCK];
 };
 
 static bool
-tell_epoll(struct watched_socket *socket, int operation, uint32_t events)
+update_epoll(struct watched_socket *socket, int operation, uint32_t events)
 {
 	struct epoll_event event = {
 		.events = events,
@@ -53,7 +52,7 @@
 		operation = EPOLL_CTL_DEL;
 	else if (socket->events == 0)
 		operation = EPOLL_CTL_ADD;
-	if (!tell_epoll(socket, operation, events))
+	if (!update_epoll(socket, operation, events))
 		return false;
 	socket->events = events;
 	return true;
@@ -66,12 +65,12 @@
 
 	if (socket->fd < 0)
 		return;
-	/* It leaves the epoll set by being closed. */
+	/* Closing the descriptor removes it from the epoll set. */
 	close(socket->fd);
 	socket->fd = -1;
-	if (sockets->in_turn) {
-		socket->next_closed = sockets->closed;
-		sockets->closed = socket;
+	if (sockets->dispatching) {
+		socket->next_closed = sockets->closed_sockets;
+		sockets->closed_sockets = socket;
 	} else {
 		talloc_free(socket);
 	}
@@ -80,7 +79,7 @@
 void
 sockets_begin_turn(struct loom_sockets *sockets)
 {
-	sockets->in_turn = true;
+	sockets->dispatching = true;
 }
 
 void
@@ -88,15 +87,15 @@
 {
 	struct watched_socket *socket;
 
-	sockets->in_turn = false;
-	while ((socket = sockets->closed) != NULL) {
-		sockets->closed = socket->next_closed;
+	sockets->dispatching = false;
+	while ((socket = sockets->closed_sockets) != NULL) {
+		sockets->closed_sockets = socket->next_closed;
 		talloc_free(socket);
 	}
 }
 
 static struct timed *
-timed_of(struct deadline *deadline)
+timer_of_deadline(struct deadline *deadline)
 {
 	return (struct timed *)(void *)((char *)deadline -
 	    offsetof(struct timed, deadline));
@@ -105,7 +104,7 @@
 static void arm_timer(struct loom_sockets *);
 
 static void
-expire(struct loom_sockets *sockets)
+run_expired(struct loom_sockets *sockets)
 {
 	const uint64_t now_us = loom_now_us();
 	struct deadline *first;
@@ -113,7 +112,7 @@
 	while ((first = deadlines_first(&sockets->deadlines)) != NULL &&
 	    first->at_us <= now_us) {
 		deadlines_remove(&sockets->deadlines, first);
-		timed_of(first)->expired(timed_of(first));
+		timer_of_deadline(first)->expired(timer_of_deadline(first));
 	}
 	arm_timer(sockets);
 }
@@ -129,60 +128,62 @@
 	(void)now;
 	sockets->timer = NULL; /* tevent frees it after this call */
 	sockets_begin_turn(sockets);
-	expire(sockets);
+	run_expired(sockets);
 	sockets_end_turn(sockets);
 }
 
-/* It is not moved back when the soonest is cleared before: it then finds
- * nothing to do. */
+/*
+ * Sets the timer to the earliest deadline.  It is not postponed if that
+ * deadline is cleared: it then fires without effect and is set to the next one.
+ */
 static void
 arm_timer(struct loom_sockets *sockets)
 {
 	const struct deadline *first = deadlines_first(&sockets->deadlines);
-	uint64_t wait_us;
+	uint64_t delay_us;
 
 	if (first == NULL ||
 	    (sockets->timer != NULL && sockets->timer_us <= first->at_us))
 		return;
 	TALLOC_FREE(sockets->timer);
-	wait_us = first->at_us - MIN(first->at_us, loom_now_us());
+	delay_us = first->at_us - MIN(first->at_us, loom_now_us());
 	sockets->timer_us = first->at_us;
 	sockets->timer = tevent_add_timer(sockets->ev, sockets,
-	    tevent_timeval_current_ofs((uint32_t)(wait_us / LOOM_US_PER_S),
-		(uint32_t)(wait_us % LOOM_US_PER_S)),
+	    tevent_timeval_current_ofs((uint32_t)(delay_us / LOOM_US_PER_S),
+		(uint32_t)(delay_us % LOOM_US_PER_S)),
 	    on_timer, sockets);
 	if (sockets->timer == NULL)
 		loom_log(LOOM_LOG_ERROR, "http", LOOM_NO_MEMORY,
-		    "requests end late: no timer");
+		    "cannot set a timer: requests may time out late");
 }
 
 void
 sockets_set_time(
-    struct loom_sockets *sockets, struct timed *timed, uint64_t at_us)
+    struct loom_sockets *sockets, struct timed *timer, uint64_t at_us)
 {
-	deadlines_remove(&sockets->deadlines, &timed->deadline);
-	deadlines_add(&sockets->deadlines, &timed->deadline, at_us);
+	deadlines_remove(&sockets->deadlines, &timer->deadline);
+	deadlines_add(&sockets->deadlines, &timer->deadline, at_us);
 	arm_timer(sockets);
 }
 
 void
-sockets_clear_time(struct loom_sockets *sockets, struct timed *timed)
+sockets_clear_time(struct loom_sockets *sockets, struct timed *timer)
 {
-	deadlines_remove(&sockets->deadlines, &timed->deadline);
+	deadlines_remove(&sockets->deadlines, &timer->deadline);
 }
 
 uint8_t *
 sockets_block(struct loom_sockets *sockets)
 {
-	return sockets->block;
+	return sockets->read_buffer;
 }
 
 /*
- * Deadlines are looked at here too: tevent's timers go by the time of day, and
- * are late by as much as that is set back.
+ * Deadlines are checked here too: tevent's timers use the wall clock and fire
+ * late if the clock is set back.
  */
 static void
-take_events(
+on_epoll_ready(
     struct tevent_context *ev, struct tevent_fd *fde, uint16_t flags, void *arg)
 {
 	struct loom_sockets *sockets = arg;
@@ -200,7 +201,7 @@
 		if (socket->fd >= 0)
 			socket->ready(socket, events[i].events);
 	}
-	expire(sockets);
+	run_expired(sockets);
 	sockets_end_turn(sockets);
 }
 
@@ -228,7 +229,7 @@
 	}
 	talloc_set_destructor(sockets, sockets_destructor);
 	sockets->fde = tevent_add_fd(ev, sockets, sockets->epoll_fd,
-	    TEVENT_FD_READ, take_events, sockets);
+	    TEVENT_FD_READ, on_epoll_ready, sockets);
 	if (sockets->fde == NULL) {
 		talloc_free(sockets);
 		return NULL;
--- a/src/http/sockets.h
+++ b/src/http/sockets.h
@@ -2,8 +2,8 @@
 #define LOOM_HTTP_SOCKETS_H
 
 /*
- * What client and server need of loom/sockets.h: to wait for a socket, to close
- * one while events are taken, and to be called at a time.
+ * Internal interface of loom/sockets.h for the HTTP client and server: watching
+ * sockets, closing them while events are dispatched, and timers.
  */
 
 #include <stdbool.h>
@@ -12,43 +12,53 @@
 #include "http/deadlines.h"
 #include "loom/sockets.h"
 
-/* Read at once from a socket. */
+/* Size of the read buffer. */
 #define SOCKETS_BLOCK (32 * 1024)
 
-/* A socket and whose it is; embedded in its owner, which is a talloc'd block
- * with this as its first member. */
+/*
+ * A socket in the epoll set.  It is the first member of its owner, which is
+ * allocated by talloc and freed by sockets_close().
+ */
 struct watched_socket {
 	struct loom_sockets *sockets; /* borrowed */
 	int fd; /* owned; -1 when closed */
-	uint32_t events; /* as epoll was told; 0: not in its set */
+	uint32_t events; /* set with epoll_ctl(); 0: not in the epoll set */
 	void (*ready)(struct watched_socket *, uint32_t events);
 	struct watched_socket *next_closed;
 };
 
-/* A time to be called at; embedded like a socket. */
+/* A one-shot timer; embedded in its owner. */
 struct timed {
 	struct deadline deadline;
 	void (*expired)(struct timed *);
 };
 
-/* Wait for these events (EPOLLIN and its like); 0: for none, errors neither,
- * since they would be told again and again.  False when the kernel refuses. */
+/*
+ * Watch a socket for events (EPOLLIN etc.).  0 removes it from the epoll set:
+ * otherwise epoll would report errors and hangups over and over.  False if
+ * epoll_ctl() fails.
+ */
 bool sockets_watch(struct watched_socket *, uint32_t events);
 
-/* Close the socket, and free its owner once no event can name it any more, and
- * no turn is under way. */
+/*
+ * Close the socket and free its owner.  While events are dispatched, the owner
+ * is freed only after the batch, since a later event may still refer to it.
+ */
 void sockets_close(struct watched_socket *);
 
-/* A turn in which owners are not freed: events, and whatever else works on an
- * owner that may be closed by it. */
+/*
+ * Between these two calls, closed sockets' owners are not freed.  Used while
+ * events are dispatched, and around other code that works on an owner and may
+ * close its socket.
+ */
 void sockets_begin_turn(struct loom_sockets *);
 void sockets_end_turn(struct loom_sockets *);
 
-/* Call timed->expired at that time, unless it is set anew or cleared. */
+/* Call timer->expired at at_us, unless the timer is set again or cleared. */
 void sockets_set_time(struct loom_sockets *, struct timed *, uint64_t at_us);
 void sockets_clear_time(struct loom_sockets *, struct timed *);
 
-/* For whatever is read; each read overwrites the one before. */
+/* Read buffer of SOCKETS_BLOCK bytes, shared by all sockets of the thread. */
 uint8_t *sockets_block(struct loom_sockets *);
 
 #endif
--- a/src/http/text.c
+++ b/src/http/text.c
@@ -1,5 +1,5 @@
 /*
- * Headers and chunks as text.
+ * Serialization of headers and body chunks.
  */
 
 #include <glib.h>
@@ -34,16 +34,16 @@
 }
 
 bool
-http_put_piece(struct loom_buffer *buffer, void *owner, const void *piece,
-    size_t len, bool in_chunks)
+http_put_piece(struct loom_buffer *buffer, void *owner, const void *buf,
+    size_t len, bool chunked)
 {
 	char size[NUMBER_SIZE];
 
-	if (!in_chunks || len == 0)
-		return loom_buffer_append(buffer, owner, piece, len);
+	if (!chunked || len == 0)
+		return loom_buffer_append(buffer, owner, buf, len);
 	g_snprintf(size, sizeof(size), "%zx\r\n", len);
 	return http_put(buffer, owner, size) &&
-	    loom_buffer_append(buffer, owner, piece, len) &&
+	    loom_buffer_append(buffer, owner, buf, len) &&
 	    http_put(buffer, owner, "\r\n");
 }
 
--- a/src/http/text.h
+++ b/src/http/text.h
@@ -2,8 +2,9 @@
 #define LOOM_HTTP_TEXT_H
 
 /*
- * Messages as bytes, for both sides.  Each function appends to a buffer whose
- * bytes belong to owner (talloc), and returns false when out of memory.
+ * Serialization of HTTP messages, for client and server.  The functions that
+ * append to a buffer return false if out of memory; the buffer's memory is
+ * owned by owner (talloc).
  */
 
 #include <stdbool.h>
@@ -17,13 +18,17 @@
     struct loom_buffer *, void *owner, const char *name, const char *value);
 bool http_put_length(struct loom_buffer *, void *owner, uint64_t length);
 
-/* A piece of a body, as a chunk if that is asked for; len 0 is no chunk. */
-bool http_put_piece(struct loom_buffer *, void *owner, const void *piece,
-    size_t len, bool in_chunks);
-/* What ends a body in chunks. */
+/*
+ * Append a part of a body, as a chunk if chunked is set.  With len 0 no chunk
+ * is written, since an empty chunk would end the body.
+ */
+bool http_put_piece(struct loom_buffer *, void *owner, const void *buf,
+    size_t len, bool chunked);
+/* Append the last chunk, which ends a chunked body. */
 bool http_put_last_chunk(struct loom_buffer *, void *owner);
 
-/* No answer of this status has a body, whatever length its headers tell. */
+/* Whether a response with this status never has a body, even if it has a
+ * Content-Length. */
 bool http_status_has_no_body(uint16_t status);
 
 #endif
--- a/tests/http/test_deadlines.c
+++ b/tests/http/test_deadlines.c
@@ -18,7 +18,7 @@
 	size_t i;
 
 	for (i = 0; i < DEADLINES; i++) {
-		if (all[i].place != 0)
+		if (all[i].index != 0)
 			at_us = MIN(at_us, all[i].at_us);
 	}
 	return at_us;
@@ -39,7 +39,7 @@
 		memset(all, 0, sizeof(all));
 		for (step = 0; step < STEPS; step++) {
 			one = &all[g_rand_int_range(rand, 0, DEADLINES)];
-			if (one->place != 0)
+			if (one->index != 0)
 				deadlines_remove(&deadlines, one);
 			else
 				deadlines_add(&deadlines, one,
