--- a/include/loom/http_get.h
+++ b/include/loom/http_get.h
@@ -2,15 +2,15 @@
 #define LOOM_HTTP_GET_H
 
 /*
- * One blocking GET, for the command-line tools.
+ * A blocking HTTP GET for the command-line tools.
  */
 
 #include <glib.h>
 
 #include "loom/result.h"
 
-/* The whole body of a 200 answer, owned by the caller (g_free); NULL with
- * LOOM_HTTP_GET.  url is "http://ip:port/path". */
+/* Returns the body of a 200 response, owned by the caller (g_free); NULL with
+ * error LOOM_HTTP_GET otherwise.  url is "http://ip:port/path". */
 char *loom_http_get(const char *url, long timeout_ms, GError **error);
 
 #endif
--- a/src/http/get.c
+++ b/src/http/get.c
@@ -1,6 +1,6 @@
 /*
- * A blocking GET by libcurl's easy interface.  Only for programs that do
- * nothing else meanwhile.
+ * A blocking GET with libcurl's easy interface, for programs without an event
+ * loop.
  */
 
 #include <curl/curl.h>
--- a/src/http/multi.c
+++ b/src/http/multi.c
@@ -1,12 +1,13 @@
 /*
- * libcurl multi on tevent.
+ * Drives libcurl's multi interface with tevent.
  *
- * libcurl tells which sockets it waits on (socket_changed) and when it wants
- * to be called at the latest (timer_changed).  Every event leads to one call
- * of curl_multi_socket_action and then to a look at finished transfers.
+ * libcurl reports the sockets to watch (socket_changed) and the next timeout
+ * (timer_changed).  Each event results in one call of curl_multi_socket_action,
+ * followed by a check for finished transfers.
  *
- * A done callback may add and remove handles; so finished transfers are taken
- * one at a time, and each is out of the multi before its callback runs.
+ * A done callback may add and remove handles.  Finished transfers are therefore
+ * handled one at a time, and each is removed from the multi handle before its
+ * callback is called.
  */
 
 #include <glib.h>
@@ -69,7 +70,7 @@
 }
 
 static void
-forget_transfer(struct loom_multi *multi, struct multi_transfer *transfer)
+remove_transfer(struct loom_multi *multi, struct multi_transfer *transfer)
 {
 	curl_multi_remove_handle(multi->curl, transfer->easy);
 	curl_easy_setopt(transfer->easy, CURLOPT_PRIVATE, NULL);
@@ -87,25 +88,26 @@
 	CURL *easy;
 	void *arg;
 	char *private;
-	int left;
+	int remaining;
 
-	while ((message = curl_multi_info_read(multi->curl, &left)) != NULL) {
+	while (
+	    (message = curl_multi_info_read(multi->curl, &remaining)) != NULL) {
 		if (message->msg != CURLMSG_DONE)
 			continue;
-		/* The message dies with the removal of its handle. */
+		/* Removing the handle invalidates the message. */
 		easy = message->easy_handle;
 		result = message->data.result;
 		curl_easy_getinfo(easy, CURLINFO_PRIVATE, &private);
 		transfer = (struct multi_transfer *)(void *)private;
 		done = transfer->done;
 		arg = transfer->arg;
-		forget_transfer(multi, transfer);
+		remove_transfer(multi, transfer);
 		done(arg, easy, result);
 	}
 }
 
 static void
-act(struct loom_multi *multi, curl_socket_t fd, int mask)
+socket_action(struct loom_multi *multi, curl_socket_t fd, int mask)
 {
 	int running;
 
@@ -126,7 +128,7 @@
 		mask |= CURL_CSELECT_IN;
 	if (flags & TEVENT_FD_WRITE)
 		mask |= CURL_CSELECT_OUT;
-	act(sock->multi, sock->fd, mask);
+	socket_action(sock->multi, sock->fd, mask);
 }
 
 static struct multi_socket *
@@ -149,7 +151,7 @@
 }
 
 static void
-drop_socket(struct loom_multi *multi, struct multi_socket *sock)
+remove_socket(struct loom_multi *multi, struct multi_socket *sock)
 {
 	if (sock == NULL)
 		return;
@@ -159,15 +161,16 @@
 }
 
 static int
-socket_changed(CURL *easy, curl_socket_t fd, int what, void *arg, void *known)
+socket_changed(
+    CURL *easy, curl_socket_t fd, int what, void *arg, void *socket_data)
 {
 	struct loom_multi *multi = arg;
-	struct multi_socket *sock = known;
+	struct multi_socket *sock = socket_data;
 	uint16_t flags = 0;
 
 	(void)easy;
 	if (what == CURL_POLL_REMOVE) {
-		drop_socket(multi, sock);
+		remove_socket(multi, sock);
 		return 0;
 	}
 	if (sock == NULL)
@@ -192,7 +195,7 @@
 	(void)timer;
 	(void)now;
 	multi->timer = NULL; /* tevent frees it after this call */
-	act(multi, CURL_SOCKET_TIMEOUT, 0);
+	socket_action(multi, CURL_SOCKET_TIMEOUT, 0);
 }
 
 static int
@@ -204,7 +207,8 @@
 	TALLOC_FREE(multi->timer);
 	if (timeout_ms < 0)
 		return 0;
-	/* Also for 0: libcurl must not be called from inside itself. */
+	/* Also if timeout_ms is 0: libcurl must not be called from within
+	 * its own callback. */
 	multi->timer = tevent_add_timer(multi->ev, multi,
 	    tevent_timeval_current_ofs((uint32_t)(timeout_ms / 1000),
 		(uint32_t)(timeout_ms % 1000) * LOOM_US_PER_MS),
@@ -213,10 +217,10 @@
 }
 
 static int
-multi_destroy(struct loom_multi *multi)
+multi_destructor(struct loom_multi *multi)
 {
 	while (multi->transfers != NULL)
-		forget_transfer(multi, multi->transfers);
+		remove_transfer(multi, multi->transfers);
 	curl_multi_cleanup(multi->curl);
 	return 0;
 }
@@ -234,7 +238,7 @@
 		talloc_free(multi);
 		return NULL;
 	}
-	talloc_set_destructor(multi, multi_destroy);
+	talloc_set_destructor(multi, multi_destructor);
 	curl_multi_setopt(multi->curl, CURLMOPT_SOCKETFUNCTION, socket_changed);
 	curl_multi_setopt(multi->curl, CURLMOPT_SOCKETDATA, multi);
 	curl_multi_setopt(multi->curl, CURLMOPT_TIMERFUNCTION, timer_changed);
@@ -269,7 +273,7 @@
 	struct multi_transfer *transfer = find_transfer(multi, easy);
 
 	if (transfer != NULL)
-		forget_transfer(multi, transfer);
+		remove_transfer(multi, transfer);
 }
 
 void
@@ -279,7 +283,7 @@
 
 	if (ip == NULL)
 		return;
-	/* Without the mark libcurl looks for an interface of that name. */
+	/* Without this prefix libcurl looks for a network interface first. */
 	name = g_strconcat("host!", ip, NULL);
 	curl_easy_setopt(easy, CURLOPT_INTERFACE, name);
 	g_free(name);
