--- a/tests/http/test_client.c
+++ b/tests/http/test_client.c
@@ -1,6 +1,6 @@
 /*
- * The HTTP client against servers that send what they like: what counts as an
- * answer, when a connection is used again, and how a request looks.
+ * The HTTP client against scripted servers: which responses are accepted, when
+ * a connection is reused, and how requests are serialized.
  */
 
 #include <arpa/inet.h>
@@ -17,33 +17,33 @@
 #define REQUEST_MAX 8192
 #define CONNECTIONS_MAX 80
 
-/* How a connection ends after the answer to its first request. */
+/* How a connection ends after the response to its first request. */
 enum ending {
 	ENDING_OPEN,
 	ENDING_CLOSE,
 	ENDING_RESET,
-	ENDING_SILENT, /* no answer at all, and open */
+	ENDING_NO_RESPONSE, /* the request is read, the connection stays open */
 };
 
-/* What the first connection's first request is answered; all others get a
- * plain answer. */
+/* How the server handles the first request of the first connection.  All other
+ * requests get a plain 200 response. */
 struct script {
-	const char *answer; /* when the headers are in */
-	const char *answer_to_body; /* when its body is in too, or NULL */
-	const char *unasked; /* sent after the answer was taken, or NULL */
-	size_t filler; /* so many bytes after the answer */
+	const char *response; /* sent after the request headers */
+	const char *response_to_body; /* sent after the request body, or NULL */
+	const char *unsolicited; /* sent when response_received is set */
+	size_t filler_bytes; /* number of zero bytes after the response */
 	enum ending ending;
-	bool in_bytes; /* one byte a send */
+	bool bytewise; /* send byte by byte */
 };
 
 struct server {
 	int fd;
 	const struct script *script;
-	char request[REQUEST_MAX]; /* the first one, as it came */
+	char request[REQUEST_MAX]; /* the first one, as received */
 	atomic_uint connections;
-	atomic_uint last_used; /* connection of the latest request */
-	atomic_bool told; /* the client is past the first answer */
-	atomic_bool played; /* the script is over */
+	atomic_uint last_connection; /* that got the latest request */
+	atomic_bool response_received; /* by the client */
+	atomic_bool script_done;
 	GThread *thread;
 	GThread *threads[CONNECTIONS_MAX];
 };
@@ -55,12 +55,12 @@
 };
 
 static void
-send_text(int fd, const char *text, bool in_bytes)
+send_text(int fd, const char *text, bool bytewise)
 {
 	const size_t len = strlen(text);
 	size_t i;
 
-	if (!in_bytes) {
+	if (!bytewise) {
 		send(fd, text, len, MSG_NOSIGNAL);
 		return;
 	}
@@ -79,7 +79,7 @@
 	return length == NULL || strlen(body) >= strtoul(length + 16, NULL, 10);
 }
 
-/* One request; with_body false: up to the end of its headers. */
+/* Reads a request, or at least its headers if with_body is false. */
 static bool
 read_request(int fd, char *buf, bool with_body)
 {
@@ -125,33 +125,33 @@
 	setsockopt(fd, SOL_SOCKET, SO_LINGER, &linger, sizeof(linger));
 }
 
-/* False when the connection has to be closed. */
+/* Runs the script; false if the connection is to be closed. */
 static bool
-play(struct server *server, int fd)
+run_script(struct server *server, int fd)
 {
 	const struct script *script = server->script;
 
 	server->request[0] = '\0';
 	if (!read_request(fd, server->request, false))
 		return false;
-	if (script->ending == ENDING_SILENT)
+	if (script->ending == ENDING_NO_RESPONSE)
 		return true;
-	send_text(fd, script->answer, script->in_bytes);
-	if (script->answer_to_body != NULL) {
+	send_text(fd, script->response, script->bytewise);
+	if (script->response_to_body != NULL) {
 		if (!read_request(fd, server->request, true))
 			return false;
-		send_text(fd, script->answer_to_body, script->in_bytes);
+		send_text(fd, script->response_to_body, script->bytewise);
 	}
-	send_filler(fd, script->filler);
-	if (script->unasked != NULL) {
-		wait_for(&server->told);
-		send_text(fd, script->unasked, false);
+	send_filler(fd, script->filler_bytes);
+	if (script->unsolicited != NULL) {
+		wait_for(&server->response_received);
+		send_text(fd, script->unsolicited, false);
 	}
 	if (script->ending == ENDING_RESET)
 		reset_at_close(fd);
 	if (script->ending != ENDING_OPEN)
 		return false;
-	atomic_store(&server->played, true);
+	atomic_store(&server->script_done, true);
 	return true;
 }
 
@@ -164,17 +164,17 @@
 	bool open = true;
 
 	if (connection->index == 0)
-		open = play(server, connection->fd);
+		open = run_script(server, connection->fd);
 	buf[0] = '\0';
 	while (open && read_request(connection->fd, buf, true)) {
-		atomic_store(&server->last_used, connection->index);
+		atomic_store(&server->last_connection, connection->index);
 		send_text(connection->fd,
 		    "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", false);
 		buf[0] = '\0';
 	}
 	close(connection->fd);
 	if (connection->index == 0)
-		atomic_store(&server->played, true);
+		atomic_store(&server->script_done, true);
 	g_free(connection);
 	return NULL;
 }
@@ -246,16 +246,16 @@
 	g_free(client->address);
 }
 
-/* What came of a request. */
-struct seen {
+/* Input and outcome of a request. */
+struct request_state {
 	struct loom_fetch *fetch;
-	const char *body; /* to be sent */
-	bool body_stalls; /* it never ends */
-	uint32_t body_asked;
+	const char *body; /* to be sent; advances as it is read */
+	bool body_stalls; /* never reports the end of the body */
+	uint32_t body_reads;
 	bool reject, cancel_at_headers, cancel_at_data, pause;
 	uint32_t headers_calls;
 	size_t nheaders;
-	char extra[32]; /* the header X-Extra */
+	char extra_header[32]; /* value of the X-Extra header */
 	GString *data;
 	bool done;
 	struct loom_fetch_end end;
@@ -265,50 +265,51 @@
 static size_t
 read_body(void *arg, uint8_t *buf, size_t max, bool *end)
 {
-	struct seen *seen = arg;
-	const size_t len = MIN(max, strlen(seen->body));
+	struct request_state *state = arg;
+	const size_t len = MIN(max, strlen(state->body));
 
-	seen->body_asked++;
-	memcpy(buf, seen->body, len);
-	seen->body += len;
-	*end = *seen->body == '\0' && !seen->body_stalls;
+	state->body_reads++;
+	memcpy(buf, state->body, len);
+	state->body += len;
+	*end = *state->body == '\0' && !state->body_stalls;
 	return len;
 }
 
 static void
 on_headers(void *arg, struct loom_fetch *fetch)
 {
-	struct seen *seen = arg;
-	const char *extra = loom_fetch_header(fetch, "x-extra");
+	struct request_state *state = arg;
+	const char *extra_header = loom_fetch_header(fetch, "x-extra");
 
-	seen->headers_calls++;
-	seen->status = loom_fetch_status(fetch);
-	loom_fetch_headers(fetch, &seen->nheaders);
-	g_strlcpy(seen->extra, extra == NULL ? "" : extra, sizeof(seen->extra));
-	if (seen->reject)
+	state->headers_calls++;
+	state->status = loom_fetch_status(fetch);
+	loom_fetch_headers(fetch, &state->nheaders);
+	g_strlcpy(state->extra_header, extra_header == NULL ? "" : extra_header,
+	    sizeof(state->extra_header));
+	if (state->reject)
 		loom_fetch_reject(fetch);
-	if (seen->cancel_at_headers)
+	if (state->cancel_at_headers)
 		loom_fetch_cancel(fetch);
 }
 
 static bool
 on_data(void *arg, const uint8_t *data, size_t len)
 {
-	struct seen *seen = arg;
+	struct request_state *state = arg;
 
-	g_string_append_len(seen->data, (const char *)data, (gssize)len);
-	if (seen->cancel_at_data)
-		loom_fetch_cancel(seen->fetch);
-	return !seen->pause;
+	g_string_append_len(state->data, (const char *)data, (gssize)len);
+	if (state->cancel_at_data)
+		loom_fetch_cancel(state->fetch);
+	return !state->pause;
 }
 
 static void
 on_done(void *arg, const struct loom_fetch_end *end)
 {
-	struct seen *seen = arg;
+	struct request_state *state = arg;
 
-	seen->done = true;
-	seen->end = *end;
+	state->done = true;
+	state->end = *end;
 }
 
 static const struct loom_fetch_ops ops = {
@@ -319,7 +320,7 @@
 };
 
 static struct loom_fetch_request
-plain_request(const struct client *client, struct seen *seen)
+plain_request(const struct client *client, struct request_state *state)
 {
 	return (struct loom_fetch_request){
 		.method = "GET",
@@ -327,60 +328,60 @@
 		.target = "/a?b=c",
 		.timeout_us = TIMEOUT_US,
 		.ops = &ops,
-		.arg = seen,
+		.arg = state,
 	};
 }
 
 static void
-start(struct client *client, const struct loom_fetch_request *request,
-    struct seen *seen)
+start_request(struct client *client, const struct loom_fetch_request *request,
+    struct request_state *state)
 {
-	seen->data = g_string_new(NULL);
-	seen->fetch = loom_fetch_start(client->fetcher, request);
-	CU_ASSERT_PTR_NOT_NULL_FATAL(seen->fetch);
+	state->data = g_string_new(NULL);
+	state->fetch = loom_fetch_start(client->fetcher, request);
+	CU_ASSERT_PTR_NOT_NULL_FATAL(state->fetch);
 }
 
 static void
-finish(struct client *client, struct seen *seen)
+finish_request(struct client *client, struct request_state *state)
 {
-	while (!seen->done)
+	while (!state->done)
 		tevent_loop_once(client->ev);
 }
 
 static void
-seen_clear(struct seen *seen)
+request_state_clear(struct request_state *state)
 {
-	g_string_free(seen->data, TRUE);
-	seen->data = NULL;
+	g_string_free(state->data, TRUE);
+	state->data = NULL;
 }
 
-/* Whether the next request uses the first connection. */
+/* Sends another request and returns whether it uses the first connection. */
 static bool
-uses_first_again(struct client *client)
+reuses_first_connection(struct client *client)
 {
-	struct seen seen = { .done = false };
-	const struct loom_fetch_request request = plain_request(client, &seen);
+	struct request_state state = { .done = false };
+	const struct loom_fetch_request request = plain_request(client, &state);
 
-	start(client, &request, &seen);
-	finish(client, &seen);
-	TEST_CHECK(seen.end.result == LOOM_FETCH_WHOLE, "the next request: %s",
-	    seen.end.reason);
-	seen_clear(&seen);
-	return atomic_load(&client->server.last_used) == 0;
+	start_request(client, &request, &state);
+	finish_request(client, &state);
+	TEST_CHECK(state.end.result == LOOM_FETCH_WHOLE, "next request: %s",
+	    state.end.reason);
+	request_state_clear(&state);
+	return atomic_load(&client->server.last_connection) == 0;
 }
 
 #define OK "HTTP/1.1 200 OK\r\n"
 
-static const struct answer_case {
+static const struct response_case {
 	const char *name;
 	const char *method;
-	const char *answer;
+	const char *response;
 	enum ending ending;
 	enum loom_fetch_result result;
-	uint16_t status; /* 0: no answer was seen */
+	uint16_t status; /* 0: no response headers arrived */
 	const char *data;
-	bool kept;
-} answer_cases[] = {
+	bool reused;
+} response_cases[] = {
 	{ "length", "GET", OK "Content-Length: 5\r\n\r\nhello", ENDING_OPEN,
 	    LOOM_FETCH_WHOLE, 200, "hello", true },
 	{ "length 0", "GET", OK "Content-Length: 0\r\n\r\n", ENDING_OPEN,
@@ -393,18 +394,19 @@
 	    OK "Transfer-Encoding: chunked\r\n\r\n"
 	       "5\r\nhello\r\n0\r\nX-Extra: late\r\n\r\n",
 	    ENDING_OPEN, LOOM_FETCH_WHOLE, 200, "hello", true },
-	{ "chunks cut", "GET",
+	{ "cut chunks", "GET",
 	    OK "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", ENDING_CLOSE,
 	    LOOM_FETCH_CUT, 200, "hello", false },
-	{ "until the end", "GET", OK "\r\nhello", ENDING_CLOSE,
+	{ "body until close", "GET", OK "\r\nhello", ENDING_CLOSE,
 	    LOOM_FETCH_WHOLE, 200, "hello", false },
-	{ "until a reset", "GET", OK "\r\n", ENDING_RESET, LOOM_FETCH_CUT, 200,
-	    "", false },
+	{ "body until reset", "GET", OK "\r\n", ENDING_RESET, LOOM_FETCH_CUT,
+	    200, "", false },
 	{ "cut", "GET", OK "Content-Length: 10\r\n\r\nhello", ENDING_CLOSE,
 	    LOOM_FETCH_CUT, 200, "hello", false },
-	{ "headers cut", "GET", OK "Content-Le", ENDING_CLOSE, LOOM_FETCH_CUT,
+	{ "cut headers", "GET", OK "Content-Le", ENDING_CLOSE, LOOM_FETCH_CUT,
 	    0, "", false },
-	{ "no answer", "GET", "", ENDING_CLOSE, LOOM_FETCH_CUT, 0, "", false },
+	{ "no response", "GET", "", ENDING_CLOSE, LOOM_FETCH_CUT, 0, "",
+	    false },
 	{ "no content", "GET", "HTTP/1.1 204 None\r\n\r\n", ENDING_OPEN,
 	    LOOM_FETCH_WHOLE, 204, "", true },
 	{ "no content with a length", "GET",
@@ -415,144 +417,148 @@
 	    LOOM_FETCH_WHOLE, 304, "", true },
 	{ "head", "HEAD", OK "Content-Length: 9\r\n\r\n", ENDING_OPEN,
 	    LOOM_FETCH_WHOLE, 200, "", true },
-	{ "go on", "GET",
+	{ "100 continue", "GET",
 	    "HTTP/1.1 100 Continue\r\n\r\n" OK "Content-Length: 2\r\n\r\nok",
 	    ENDING_OPEN, LOOM_FETCH_WHOLE, 200, "ok", true },
 	{ "early hints", "GET",
 	    "HTTP/1.1 103 Hints\r\nX-Extra: hint\r\n\r\n" OK
 	    "Content-Length: 2\r\n\r\nok",
 	    ENDING_OPEN, LOOM_FETCH_WHOLE, 200, "ok", true },
-	{ "will close", "GET",
+	{ "connection: close", "GET",
 	    OK "Connection: close\r\nContent-Length: 2\r\n\r\nok", ENDING_OPEN,
 	    LOOM_FETCH_WHOLE, 200, "ok", false },
-	{ "keeps for no time", "GET",
+	{ "keep-alive timeout of 0", "GET",
 	    OK "Keep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok",
 	    ENDING_OPEN, LOOM_FETCH_WHOLE, 200, "ok", false },
-	{ "keeps for a while", "GET",
+	{ "keep-alive timeout", "GET",
 	    OK "Keep-Alive: max=9, timeout=60\r\nContent-Length: 2\r\n\r\nok",
 	    ENDING_OPEN, LOOM_FETCH_WHOLE, 200, "ok", true },
 	{ "HTTP/1.0", "GET", "HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok",
 	    ENDING_OPEN, LOOM_FETCH_WHOLE, 200, "ok", false },
-	{ "switching", "GET",
+	{ "switching protocols", "GET",
 	    "HTTP/1.1 101 Other\r\nConnection: upgrade\r\n"
 	    "Upgrade: other\r\n\r\n",
 	    ENDING_OPEN, LOOM_FETCH_CUT, 0, "", false },
-	/* Guards against a wait until the deadline for a final answer. */
-	{ "status of no class", "GET", "HTTP/1.1 000 None\r\n\r\n", ENDING_OPEN,
+	/* Guards against an invalid status being taken for an informational
+	 * one: the client would wait for the final response until its deadline.
+	 */
+	{ "status 000", "GET", "HTTP/1.1 000 None\r\n\r\n", ENDING_OPEN,
 	    LOOM_FETCH_CUT, 0, "", false },
-	/* Guards against a body that goes on with a coding on it and no word of
-	 * that: no coding but chunked was asked for. */
-	{ "coded and chunked", "GET",
+	/* Guards against a body that is passed on still encoded: the client
+	 * never requests a transfer coding other than chunked. */
+	{ "gzip and chunked", "GET",
 	    OK "Transfer-Encoding: gzip, chunked\r\n\r\n"
 	       "5\r\nhello\r\n0\r\n\r\n",
 	    ENDING_OPEN, LOOM_FETCH_CUT, 0, "", false },
-	{ "coded until the end", "GET",
-	    OK "Transfer-Encoding: gzip\r\n\r\nhello", ENDING_CLOSE,
-	    LOOM_FETCH_CUT, 0, "", false },
-	{ "chunked in capitals", "GET",
+	{ "gzip until close", "GET", OK "Transfer-Encoding: gzip\r\n\r\nhello",
+	    ENDING_CLOSE, LOOM_FETCH_CUT, 0, "", false },
+	{ "chunked in upper case", "GET",
 	    OK "Transfer-Encoding: CHUNKED\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
 	    ENDING_OPEN, LOOM_FETCH_WHOLE, 200, "hello", true },
 	{ "HTTP/2", "GET", "HTTP/2.0 200 OK\r\nContent-Length: 2\r\n\r\nok",
 	    ENDING_OPEN, LOOM_FETCH_CUT, 0, "", false },
-	{ "space behind a name", "GET", OK "Content-Length : 2\r\n\r\nok",
+	{ "space after a header name", "GET", OK "Content-Length : 2\r\n\r\nok",
 	    ENDING_OPEN, LOOM_FETCH_CUT, 0, "", false },
 	{ "garbage", "GET", "\x16\x03\x01 and so on\r\n\r\n", ENDING_OPEN,
 	    LOOM_FETCH_CUT, 0, "", false },
-	{ "two lengths", "GET",
+	{ "two Content-Lengths", "GET",
 	    OK "Content-Length: 2\r\nContent-Length: 5\r\n\r\nhello",
 	    ENDING_OPEN, LOOM_FETCH_CUT, 0, "", false },
-	{ "length and chunks", "GET",
+	{ "Content-Length and chunked", "GET",
 	    OK "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n"
 	       "5\r\nhello\r\n0\r\n\r\n",
 	    ENDING_OPEN, LOOM_FETCH_CUT, 0, "", false },
-	{ "length of letters", "GET", OK "Content-Length: five\r\n\r\nhello",
-	    ENDING_OPEN, LOOM_FETCH_CUT, 0, "", false },
+	{ "non-numeric Content-Length", "GET",
+	    OK "Content-Length: five\r\n\r\nhello", ENDING_OPEN, LOOM_FETCH_CUT,
+	    0, "", false },
 };
 
 static void
-check_answer(const struct answer_case *c, bool in_bytes)
+check_response(const struct response_case *c, bool bytewise)
 {
 	const struct script script = {
-		.answer = c->answer,
+		.response = c->response,
 		.ending = c->ending,
-		.in_bytes = in_bytes,
+		.bytewise = bytewise,
 	};
-	struct seen seen = { .done = false };
+	struct request_state state = { .done = false };
 	struct loom_fetch_request request;
 	struct client client;
-	bool kept;
+	bool reused;
 
 	client_start(&client, &script);
-	request = plain_request(&client, &seen);
+	request = plain_request(&client, &state);
 	request.method = c->method;
-	start(&client, &request, &seen);
-	finish(&client, &seen);
-	TEST_CHECK(seen.end.result == c->result && seen.end.sent,
-	    "%s: result %d: %s", c->name, seen.end.result, seen.end.reason);
-	/* a reset may overtake the headers before it */
+	start_request(&client, &request, &state);
+	finish_request(&client, &state);
+	TEST_CHECK(state.end.result == c->result && state.end.sent,
+	    "%s: result %d: %s", c->name, state.end.result, state.end.reason);
+	/* a reset may discard headers that were sent before it */
 	TEST_CHECK(c->ending == ENDING_RESET ||
-		(seen.status == c->status &&
-		    seen.end.answered == (c->status != 0)),
-	    "%s: status %u", c->name, seen.status);
-	TEST_CHECK(strcmp(seen.data->str, c->data) == 0, "%s: got '%s'",
-	    c->name, seen.data->str);
+		(state.status == c->status &&
+		    state.end.answered == (c->status != 0)),
+	    "%s: status %u", c->name, state.status);
+	TEST_CHECK(strcmp(state.data->str, c->data) == 0, "%s: got '%s'",
+	    c->name, state.data->str);
+	TEST_CHECK(state.extra_header[0] == '\0', "%s: unexpected X-Extra '%s'",
+	    c->name, state.extra_header);
+	request_state_clear(&state);
+	reused = reuses_first_connection(&client);
 	TEST_CHECK(
-	    seen.extra[0] == '\0', "%s: a header '%s'", c->name, seen.extra);
-	seen_clear(&seen);
-	kept = uses_first_again(&client);
-	TEST_CHECK(kept == c->kept, "%s: kept %d", c->name, kept);
+	    reused == c->reused, "%s: connection reused: %d", c->name, reused);
 	client_stop(&client);
 }
 
 static void
-test_answers(void)
+test_responses(void)
 {
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(answer_cases); i++) {
-		check_answer(&answer_cases[i], false);
-		check_answer(&answer_cases[i], true);
+	for (i = 0; i < G_N_ELEMENTS(response_cases); i++) {
+		check_response(&response_cases[i], false);
+		check_response(&response_cases[i], true);
 	}
 }
 
-/* Guards against an answer too many being taken for the next request's. */
+/* Guards against an unsolicited response being taken for the response to the
+ * next request. */
 static void
-test_unasked_bytes(void)
+test_unsolicited_bytes(void)
 {
 	static const struct {
 		const char *name;
 		struct script script;
 	} cases[] = {
-		{ "with the answer",
-		    { .answer = OK "Content-Length: 2\r\n\r\nok" OK
-				   "Content-Length: 5\r\n\r\nother" } },
-		{ "while it is kept",
-		    { .answer = OK "Content-Length: 2\r\n\r\nok",
-			.unasked = OK "Content-Length: 5\r\n\r\nother" } },
-		{ "closed while it is kept",
-		    { .answer = OK "Content-Length: 2\r\n\r\nok",
-			.unasked = "",
+		{ "with the response",
+		    { .response = OK "Content-Length: 2\r\n\r\nok" OK
+				     "Content-Length: 5\r\n\r\nother" } },
+		{ "while idle",
+		    { .response = OK "Content-Length: 2\r\n\r\nok",
+			.unsolicited = OK "Content-Length: 5\r\n\r\nother" } },
+		{ "closed while idle",
+		    { .response = OK "Content-Length: 2\r\n\r\nok",
+			.unsolicited = "",
 			.ending = ENDING_CLOSE } },
 	};
 	struct client client;
-	struct seen seen;
+	struct request_state state;
 	struct loom_fetch_request request;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
-		seen = (struct seen){ .done = false };
+		state = (struct request_state){ .done = false };
 		client_start(&client, &cases[i].script);
-		request = plain_request(&client, &seen);
-		start(&client, &request, &seen);
-		finish(&client, &seen);
-		TEST_CHECK(strcmp(seen.data->str, "ok") == 0, "%s: got '%s'",
-		    cases[i].name, seen.data->str);
-		seen_clear(&seen);
-		atomic_store(&client.server.told, true);
-		if (cases[i].script.unasked != NULL)
-			wait_for(&client.server.played);
-		TEST_CHECK(!uses_first_again(&client), "%s: used again",
-		    cases[i].name);
+		request = plain_request(&client, &state);
+		start_request(&client, &request, &state);
+		finish_request(&client, &state);
+		TEST_CHECK(strcmp(state.data->str, "ok") == 0, "%s: got '%s'",
+		    cases[i].name, state.data->str);
+		request_state_clear(&state);
+		atomic_store(&client.server.response_received, true);
+		if (cases[i].script.unsolicited != NULL)
+			wait_for(&client.server.script_done);
+		TEST_CHECK(!reuses_first_connection(&client),
+		    "%s: connection reused", cases[i].name);
 		client_stop(&client);
 	}
 }
@@ -560,9 +566,9 @@
 static const struct request_case {
 	const char *name;
 	const char *method;
-	const char *body; /* NULL for none */
+	const char *body; /* NULL: none */
 	int64_t length;
-	const char *text; /* what the server gets */
+	const char *text; /* what the server receives */
 } request_cases[] = {
 	{ "get", "GET", NULL, 0,
 	    "GET /a?b=c HTTP/1.1\r\nHost: h.example\r\nX-Empty: \r\n\r\n" },
@@ -588,297 +594,307 @@
 		{ "X-Empty", "" },
 	};
 	static const struct script script = {
-		.answer = "",
-		.answer_to_body = OK "Content-Length: 0\r\n\r\n",
+		.response = "",
+		.response_to_body = OK "Content-Length: 0\r\n\r\n",
 	};
 	const struct request_case *c;
 	struct loom_fetch_request request;
 	struct client client;
-	struct seen seen;
+	struct request_state state;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(request_cases); i++) {
 		c = &request_cases[i];
-		seen = (struct seen){ .body = c->body };
+		state = (struct request_state){ .body = c->body };
 		client_start(&client, &script);
-		request = plain_request(&client, &seen);
+		request = plain_request(&client, &state);
 		request.method = c->method;
 		request.headers = headers;
 		request.nheaders = G_N_ELEMENTS(headers);
 		request.has_body = c->body != NULL;
 		request.body_length = c->length;
-		start(&client, &request, &seen);
-		finish(&client, &seen);
-		TEST_CHECK(seen.end.result == LOOM_FETCH_WHOLE, "%s: %s",
-		    c->name, seen.end.reason);
+		start_request(&client, &request, &state);
+		finish_request(&client, &state);
+		TEST_CHECK(state.end.result == LOOM_FETCH_WHOLE, "%s: %s",
+		    c->name, state.end.reason);
 		TEST_CHECK(strcmp(client.server.request, c->text) == 0,
 		    "%s: the server got '%s'", c->name, client.server.request);
-		TEST_CHECK(uses_first_again(&client), "%s: not kept", c->name);
-		seen_clear(&seen);
+		TEST_CHECK(reuses_first_connection(&client),
+		    "%s: connection not reused", c->name);
+		request_state_clear(&state);
 		client_stop(&client);
 	}
 }
 
 /*
- * Guards against a request whose answer came before its body was sent: it is
- * not held until its deadline, and no later request is taken for its body.
+ * A response that arrives before the request body was sent completely.  The
+ * request must end then rather than at its deadline, and the connection must
+ * not be reused: the server could take the next request for the rest of the
+ * body.
  */
 static void
-test_early_answers(void)
+test_early_responses(void)
 {
 	static const struct {
 		const char *name;
 		struct script script;
 		bool expect;
 		bool stalls;
-		uint32_t asked; /* for the body; UINT32_MAX: any */
+		uint32_t reads; /* calls of read_body; UINT32_MAX: any */
 		uint16_t status;
-		bool kept;
+		bool reused;
 	} cases[] = {
-		{ "body stalls",
-		    { .answer =
+		{ "413, body stalls",
+		    { .response =
 			    "HTTP/1.1 413 Long\r\nContent-Length: 0\r\n\r\n" },
 		    false, true, UINT32_MAX, 413, false },
-		{ "well received, body stalls",
-		    { .answer = OK "Content-Length: 0\r\n\r\n" }, false, true,
+		{ "200, body stalls",
+		    { .response = OK "Content-Length: 0\r\n\r\n" }, false, true,
 		    UINT32_MAX, 200, false },
-		{ "not asked for the body",
-		    { .answer =
+		{ "no 100 continue",
+		    { .response =
 			    "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n" },
 		    true, false, 0, 503, false },
-		{ "asked for the body",
-		    { .answer = "HTTP/1.1 100 Continue\r\n\r\n",
-			.answer_to_body = OK "Content-Length: 0\r\n\r\n" },
+		{ "100 continue, then the body",
+		    { .response = "HTTP/1.1 100 Continue\r\n\r\n",
+			.response_to_body = OK "Content-Length: 0\r\n\r\n" },
 		    true, false, 1, 200, true },
 	};
 	struct loom_fetch_request request;
 	struct client client;
-	struct seen seen;
+	struct request_state state;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
-		seen = (struct seen){ .body = "hello",
+		state = (struct request_state){ .body = "hello",
 			.body_stalls = cases[i].stalls };
 		client_start(&client, &cases[i].script);
-		request = plain_request(&client, &seen);
+		request = plain_request(&client, &state);
 		request.method = "POST";
 		request.has_body = true;
 		request.body_length = cases[i].stalls ? 1000 : 5;
 		request.expect = cases[i].expect;
-		start(&client, &request, &seen);
-		finish(&client, &seen);
-		TEST_CHECK(seen.end.result == LOOM_FETCH_WHOLE &&
-			seen.status == cases[i].status,
-		    "%s: result %d, status %u", cases[i].name, seen.end.result,
-		    seen.status);
-		TEST_CHECK(cases[i].asked == UINT32_MAX ||
-			seen.body_asked == cases[i].asked,
-		    "%s: asked %u times", cases[i].name, seen.body_asked);
-		TEST_CHECK(uses_first_again(&client) == cases[i].kept,
-		    "%s: kept", cases[i].name);
-		seen_clear(&seen);
+		start_request(&client, &request, &state);
+		finish_request(&client, &state);
+		TEST_CHECK(state.end.result == LOOM_FETCH_WHOLE &&
+			state.status == cases[i].status,
+		    "%s: result %d, status %u", cases[i].name, state.end.result,
+		    state.status);
+		TEST_CHECK(cases[i].reads == UINT32_MAX ||
+			state.body_reads == cases[i].reads,
+		    "%s: body read %u times", cases[i].name, state.body_reads);
+		TEST_CHECK(reuses_first_connection(&client) == cases[i].reused,
+		    "%s: wrong reuse of the connection", cases[i].name);
+		request_state_clear(&state);
 		client_stop(&client);
 	}
 }
 
-/* Guards against an upload that stops for good: its owner was asked for more
- * from inside the write of a piece, and the room that this made was lost. */
+/*
+ * Guards against an upload that stalled forever.  loom_fetch_more_body() called
+ * read_body immediately, while the owner was still accepting a part of the
+ * body, and the buffer space that this freed was lost.
+ */
 static void
 test_more_body(void)
 {
 	static const struct script script = {
-		.answer = "",
-		.answer_to_body = OK "Content-Length: 0\r\n\r\n",
+		.response = "",
+		.response_to_body = OK "Content-Length: 0\r\n\r\n",
 	};
-	struct seen seen = { .body = "hel", .body_stalls = true };
+	struct request_state state = { .body = "hel", .body_stalls = true };
 	struct loom_fetch_request request;
 	struct client client;
-	uint32_t asked;
+	uint32_t reads;
 
 	client_start(&client, &script);
-	request = plain_request(&client, &seen);
+	request = plain_request(&client, &state);
 	request.method = "POST";
 	request.has_body = true;
 	request.body_length = 5;
-	start(&client, &request, &seen);
-	while (seen.body_asked < 2)
+	start_request(&client, &request, &state);
+	while (state.body_reads < 2)
 		tevent_loop_once(client.ev);
-	asked = seen.body_asked;
-	seen.body = "lo";
-	seen.body_stalls = false;
-	loom_fetch_more_body(seen.fetch);
-	TEST_CHECK(seen.body_asked == asked, "asked at once");
-	finish(&client, &seen);
-	CU_ASSERT_EQUAL(seen.end.result, LOOM_FETCH_WHOLE);
+	reads = state.body_reads;
+	state.body = "lo";
+	state.body_stalls = false;
+	loom_fetch_more_body(state.fetch);
+	TEST_CHECK(state.body_reads == reads, "body read immediately");
+	finish_request(&client, &state);
+	CU_ASSERT_EQUAL(state.end.result, LOOM_FETCH_WHOLE);
 	CU_ASSERT_TRUE(
 	    g_str_has_suffix(client.server.request, "\r\n\r\nhello"));
-	seen_clear(&seen);
+	request_state_clear(&state);
 	client_stop(&client);
 }
 
-/* The time is up, and the request may have run. */
+/* At a timeout the request counts as sent, since it may have been processed. */
 static void
-test_no_answer_in_time(void)
+test_timeout(void)
 {
-	static const struct script script = { .ending = ENDING_SILENT };
-	struct seen seen = { .done = false };
+	static const struct script script = { .ending = ENDING_NO_RESPONSE };
+	struct request_state state = { .done = false };
 	struct loom_fetch_request request;
 	struct client client;
 
 	client_start(&client, &script);
-	request = plain_request(&client, &seen);
+	request = plain_request(&client, &state);
 	request.timeout_us = SHORT_TIMEOUT_US;
-	start(&client, &request, &seen);
-	finish(&client, &seen);
-	CU_ASSERT_EQUAL(seen.end.result, LOOM_FETCH_TIMEOUT);
-	CU_ASSERT_TRUE(seen.end.sent);
-	CU_ASSERT_FALSE(seen.end.answered);
-	seen_clear(&seen);
+	start_request(&client, &request, &state);
+	finish_request(&client, &state);
+	CU_ASSERT_EQUAL(state.end.result, LOOM_FETCH_TIMEOUT);
+	CU_ASSERT_TRUE(state.end.sent);
+	CU_ASSERT_FALSE(state.end.answered);
+	request_state_clear(&state);
 	client_stop(&client);
 }
 
-/* An answer that is given up, by whichever way: its owner is told nothing, and
- * the server finds the connection closed. */
+/*
+ * A cancelled fetch does not call done.  A rejected one ends with
+ * LOOM_FETCH_CUT. Both close the connection, so that it is not reused.
+ */
 static void
-test_given_up(void)
+test_cancelled(void)
 {
 	static const struct {
 		const char *name;
 		bool reject, at_headers, at_data;
 	} cases[] = {
 		{ "rejected", true, false, false },
-		{ "at its headers", false, true, false },
-		{ "at its data", false, false, true },
-		{ "before it comes", false, false, false },
+		{ "cancelled at the headers", false, true, false },
+		{ "cancelled at the data", false, false, true },
+		{ "cancelled before the response", false, false, false },
 	};
-	static const struct script answers = {
-		.answer = OK "Content-Length: 5\r\n\r\nhello",
+	static const struct script responding = {
+		.response = OK "Content-Length: 5\r\n\r\nhello",
 	};
-	static const struct script silent = { .ending = ENDING_SILENT };
+	static const struct script unresponsive = { .ending =
+							ENDING_NO_RESPONSE };
 	struct loom_fetch_request request;
 	struct client client;
-	struct seen seen;
-	bool waits;
+	struct request_state state;
+	bool cancel_early;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
-		seen = (struct seen){ .reject = cases[i].reject,
+		state = (struct request_state){ .reject = cases[i].reject,
 			.cancel_at_headers = cases[i].at_headers,
 			.cancel_at_data = cases[i].at_data };
-		waits = !cases[i].reject && !cases[i].at_headers &&
+		cancel_early = !cases[i].reject && !cases[i].at_headers &&
 		    !cases[i].at_data;
-		client_start(&client, waits ? &silent : &answers);
-		request = plain_request(&client, &seen);
-		start(&client, &request, &seen);
-		if (waits)
-			loom_fetch_cancel(seen.fetch);
-		while (!seen.done && !waits &&
-		    (seen.headers_calls == 0 ||
-			(seen.cancel_at_data && seen.data->len == 0)))
+		client_start(
+		    &client, cancel_early ? &unresponsive : &responding);
+		request = plain_request(&client, &state);
+		start_request(&client, &request, &state);
+		if (cancel_early)
+			loom_fetch_cancel(state.fetch);
+		while (!state.done && !cancel_early &&
+		    (state.headers_calls == 0 ||
+			(state.cancel_at_data && state.data->len == 0)))
 			tevent_loop_once(client.ev);
 		TEST_CHECK(
-		    seen.done == cases[i].reject, "%s: told", cases[i].name);
+		    state.done == cases[i].reject, "%s: done", cases[i].name);
 		if (cases[i].reject)
-			TEST_CHECK(seen.end.result == LOOM_FETCH_CUT &&
-				seen.end.answered,
-			    "%s: result %d", cases[i].name, seen.end.result);
-		TEST_CHECK(!uses_first_again(&client), "%s: used again",
-		    cases[i].name);
-		seen_clear(&seen);
+			TEST_CHECK(state.end.result == LOOM_FETCH_CUT &&
+				state.end.answered,
+			    "%s: result %d", cases[i].name, state.end.result);
+		TEST_CHECK(!reuses_first_connection(&client),
+		    "%s: connection reused", cases[i].name);
+		request_state_clear(&state);
 		client_stop(&client);
 	}
 }
 
 static void
-turn_over(struct tevent_context *ev, struct tevent_timer *timer,
+timer_fired(struct tevent_context *ev, struct tevent_timer *timer,
     struct timeval now, void *arg)
 {
-	bool *over = arg;
+	bool *fired = arg;
 
 	(void)ev;
 	(void)timer;
 	(void)now;
-	*over = true;
+	*fired = true;
 }
 
-/* A millisecond of whatever happens. */
+/* Runs the event loop for 1 ms. */
 static void
-turn(struct client *client)
+run_for_1_ms(struct client *client)
 {
-	bool over = false;
+	bool fired = false;
 
 	tevent_add_timer(client->ev, client->ev,
-	    tevent_timeval_current_ofs(0, LOOM_US_PER_MS), turn_over, &over);
-	while (!over)
+	    tevent_timeval_current_ofs(0, LOOM_US_PER_MS), timer_fired, &fired);
+	while (!fired)
 		tevent_loop_once(client->ev);
 }
 
-/* Guards against an answer that is read on while nobody takes it: its bytes
- * would pile up in this process. */
+/* Guards against reading on while the response is paused: the data would
+ * accumulate in memory. */
 static void
 test_paused(void)
 {
 	enum {
 		FILLER = 4 * 1024 * 1024,
-		HELD_MAX = 128 * 1024,
-		TURNS = 50,
+		BUFFERED_MAX = 128 * 1024,
+		WAIT_MS = 50,
 	};
 	static const struct script script = {
-		.answer = OK "Content-Length: 4194304\r\n\r\n",
-		.filler = FILLER,
+		.response = OK "Content-Length: 4194304\r\n\r\n",
+		.filler_bytes = FILLER,
 	};
-	struct seen seen = { .pause = true };
+	struct request_state state = { .pause = true };
 	struct loom_fetch_request request;
 	struct client client;
 	uint32_t i;
 
 	client_start(&client, &script);
-	request = plain_request(&client, &seen);
-	start(&client, &request, &seen);
-	while (seen.data->len == 0)
+	request = plain_request(&client, &state);
+	start_request(&client, &request, &state);
+	while (state.data->len == 0)
 		tevent_loop_once(client.ev);
-	for (i = 0; i < TURNS; i++)
-		turn(&client);
-	TEST_CHECK(seen.data->len <= HELD_MAX, "%zu bytes while paused",
-	    (size_t)seen.data->len);
-	seen.pause = false;
-	loom_fetch_resume(seen.fetch);
-	finish(&client, &seen);
-	CU_ASSERT_EQUAL(seen.end.result, LOOM_FETCH_WHOLE);
-	CU_ASSERT_EQUAL(seen.data->len, FILLER);
-	seen_clear(&seen);
+	for (i = 0; i < WAIT_MS; i++)
+		run_for_1_ms(&client);
+	TEST_CHECK(state.data->len <= BUFFERED_MAX, "%zu bytes while paused",
+	    (size_t)state.data->len);
+	state.pause = false;
+	loom_fetch_resume(state.fetch);
+	finish_request(&client, &state);
+	CU_ASSERT_EQUAL(state.end.result, LOOM_FETCH_WHOLE);
+	CU_ASSERT_EQUAL(state.data->len, FILLER);
+	request_state_clear(&state);
 	client_stop(&client);
 }
 
-/* Side by side, each on a connection of its own; then they are kept. */
+/* Concurrent requests use a connection each; the next round reuses them. */
 static void
-test_side_by_side(void)
+test_concurrent(void)
 {
 	enum {
 		REQUESTS = 64
 	};
 	static const struct script script = {
-		.answer = OK "Content-Length: 2\r\n\r\nok",
+		.response = OK "Content-Length: 2\r\n\r\nok",
 	};
 	struct loom_fetch_request request;
-	struct seen seen[REQUESTS];
+	struct request_state state[REQUESTS];
 	struct client client;
 	uint32_t round, i;
 
 	client_start(&client, &script);
 	for (round = 0; round < 3; round++) {
-		memset(seen, 0, sizeof(seen));
+		memset(state, 0, sizeof(state));
 		for (i = 0; i < REQUESTS; i++) {
-			request = plain_request(&client, &seen[i]);
-			start(&client, &request, &seen[i]);
+			request = plain_request(&client, &state[i]);
+			start_request(&client, &request, &state[i]);
 		}
 		for (i = 0; i < REQUESTS; i++) {
-			finish(&client, &seen[i]);
-			TEST_CHECK(seen[i].end.result == LOOM_FETCH_WHOLE &&
-				strcmp(seen[i].data->str, "ok") == 0,
+			finish_request(&client, &state[i]);
+			TEST_CHECK(state[i].end.result == LOOM_FETCH_WHOLE &&
+				strcmp(state[i].data->str, "ok") == 0,
 			    "round %u, request %u: %s", round, i,
-			    seen[i].end.reason);
-			seen_clear(&seen[i]);
+			    state[i].end.reason);
+			request_state_clear(&state[i]);
 		}
 	}
 	TEST_CHECK(atomic_load(&client.server.connections) == REQUESTS,
@@ -887,15 +903,15 @@
 }
 
 static const struct test_case tests[] = {
-	{ "answers", test_answers },
-	{ "unasked bytes", test_unasked_bytes },
+	{ "responses", test_responses },
+	{ "unsolicited bytes", test_unsolicited_bytes },
 	{ "requests", test_requests },
-	{ "early answers", test_early_answers },
-	{ "more of a body", test_more_body },
-	{ "no answer in time", test_no_answer_in_time },
-	{ "given up", test_given_up },
+	{ "early responses", test_early_responses },
+	{ "more body", test_more_body },
+	{ "timeout", test_timeout },
+	{ "cancelled", test_cancelled },
 	{ "paused", test_paused },
-	{ "side by side", test_side_by_side },
+	{ "concurrent requests", test_concurrent },
 };
 
 TEST_MAIN("client", tests)
--- a/tests/http/test_cost.c
+++ b/tests/http/test_cost.c
@@ -1,5 +1,5 @@
 /*
- * What a request takes of a daemon's memory allocator.
+ * The number of memory allocations per request.
  */
 
 #include "support/allocations.h"
@@ -8,7 +8,7 @@
 
 #define ROUNDS 200
 
-/* Of one request, on either side. */
+/* Per request, in the client or in a server. */
 #define ALLOCATIONS_MAX 21
 
 struct side {
@@ -16,21 +16,24 @@
 	struct leg_cost (*measure)(const struct leg_load *, uint32_t rounds);
 };
 
-/* Guards against a daemon beside a busy service that spends its share of a
- * core on the plumbing of each call, so that calls wait with slots free. */
+/*
+ * Guards against high overhead per call.  A daemon that shares a core with a
+ * busy service would spend its processor time on that overhead, and calls would
+ * wait although slots are free.
+ */
 static void
 test_allocations_bounded(void)
 {
 	static const struct side sides[] = {
 		{ "client", leg_measure_client },
 		{ "server", leg_measure_server },
-		{ "peers' server", leg_measure_peer_server },
+		{ "peer server", leg_measure_peer_server },
 	};
 	static const struct leg_load loads[] = {
-		{ "no bodies", 0, 1 },
+		{ "empty bodies", 0, 1 },
 		{ "1 KB", 1024, 1 },
 		{ "64 KB", 64 * 1024, 1 },
-		{ "side by side", 1024, 8 },
+		{ "concurrent", 1024, 8 },
 	};
 	struct leg_cost cost;
 	size_t i, j;
@@ -41,14 +44,14 @@
 		for (j = 0; j < G_N_ELEMENTS(loads); j++) {
 			cost = sides[i].measure(&loads[j], ROUNDS);
 			TEST_CHECK(cost.allocations <= ALLOCATIONS_MAX,
-			    "%s, %s: %.1f allocations a request", sides[i].name,
-			    loads[j].name, cost.allocations);
+			    "%s, %s: %.1f allocations per request",
+			    sides[i].name, loads[j].name, cost.allocations);
 		}
 	}
 }
 
 static const struct test_case tests[] = {
-	{ "allocations of a request", test_allocations_bounded },
+	{ "allocations per request", test_allocations_bounded },
 };
 
 TEST_MAIN("cost", tests)
--- a/tests/http/test_deadlines.c
+++ b/tests/http/test_deadlines.c
@@ -1,5 +1,5 @@
 /*
- * The heap of deadlines against a plain search.
+ * The deadline heap compared with a linear search.
  */
 
 #include <string.h>
@@ -12,7 +12,7 @@
 #define SEEDS 5
 
 static uint64_t
-soonest(const struct deadline *all)
+earliest(const struct deadline *all)
 {
 	uint64_t at_us = UINT64_MAX;
 	size_t i;
@@ -30,7 +30,7 @@
 	struct deadline all[DEADLINES];
 	struct deadlines deadlines = { 0 };
 	const struct deadline *first;
-	struct deadline *one;
+	struct deadline *entry;
 	GRand *rand;
 	uint32_t seed, step;
 
@@ -38,16 +38,16 @@
 		rand = g_rand_new_with_seed(seed);
 		memset(all, 0, sizeof(all));
 		for (step = 0; step < STEPS; step++) {
-			one = &all[g_rand_int_range(rand, 0, DEADLINES)];
-			if (one->index != 0)
-				deadlines_remove(&deadlines, one);
+			entry = &all[g_rand_int_range(rand, 0, DEADLINES)];
+			if (entry->index != 0)
+				deadlines_remove(&deadlines, entry);
 			else
-				deadlines_add(&deadlines, one,
+				deadlines_add(&deadlines, entry,
 				    g_rand_int_range(rand, 0, 1000));
 			first = deadlines_first(&deadlines);
 			if (!TEST_CHECK(
 				(first == NULL ? UINT64_MAX : first->at_us) ==
-				    soonest(all),
+				    earliest(all),
 				"seed %u step %u", seed, step))
 				break;
 		}
@@ -60,18 +60,18 @@
 test_remove_twice(void)
 {
 	struct deadlines deadlines = { 0 };
-	struct deadline one = { 0 };
+	struct deadline entry = { 0 };
 
-	deadlines_add(&deadlines, &one, 7);
-	CU_ASSERT_PTR_EQUAL(deadlines_first(&deadlines), &one);
-	deadlines_remove(&deadlines, &one);
-	deadlines_remove(&deadlines, &one);
+	deadlines_add(&deadlines, &entry, 7);
+	CU_ASSERT_PTR_EQUAL(deadlines_first(&deadlines), &entry);
+	deadlines_remove(&deadlines, &entry);
+	deadlines_remove(&deadlines, &entry);
 	CU_ASSERT_PTR_NULL(deadlines_first(&deadlines));
 	deadlines_clear(&deadlines);
 }
 
 static const struct test_case tests[] = {
-	{ "against a search", test_against_search },
+	{ "against linear search", test_against_search },
 	{ "removed twice", test_remove_twice },
 };
 
--- a/tests/http/test_fetch.c
+++ b/tests/http/test_fetch.c
@@ -1,5 +1,6 @@
 /*
- * The calling side of HTTP against a server that misbehaves on purpose.
+ * The HTTP client against servers that close connections, truncate responses or
+ * do not accept connections.
  */
 
 #include <arpa/inet.h>
@@ -15,20 +16,20 @@
 #define FILLERS 4
 #define SOURCE "127.0.0.9"
 
-/* What the server does with each request of one connection, in order. */
-enum deed {
-	DEED_END, /* no more requests are expected on it */
-	DEED_ANSWER,
-	DEED_CLOSE, /* read the request, then close without a word */
-	DEED_CUT, /* send half of an answer, then close */
+/* How the server handles a request. */
+enum action {
+	ACTION_END, /* no request is expected; closes like ACTION_CLOSE */
+	ACTION_RESPOND,
+	ACTION_CLOSE, /* close without a response */
+	ACTION_TRUNCATE, /* send half of a response, then close */
 };
 
-#define DEEDS_MAX 4
+#define ACTIONS_MAX 4
 
 struct server {
 	int fd;
 	uint16_t port;
-	enum deed deeds[DEEDS_MAX]; /* of the first connection */
+	enum action actions[ACTIONS_MAX]; /* on the first connection */
 	atomic_uint requests;
 	GThread *thread;
 };
@@ -58,21 +59,22 @@
 	send(fd, text, strlen(text), MSG_NOSIGNAL);
 }
 
-/* Later connections answer everything, so that a request that is sent again
- * would look like a success. */
+/* Later connections respond to every request, so that a request that is sent
+ * again succeeds and is noticed by its result. */
 static void
 serve(struct server *server, int fd, bool first)
 {
-	enum deed deed;
+	enum action action;
 	uint32_t i;
 
 	for (i = 0; read_request(fd); i++) {
 		atomic_fetch_add(&server->requests, 1);
-		deed = first && i < DEEDS_MAX ? server->deeds[i] : DEED_ANSWER;
-		if (deed == DEED_CUT)
+		action = first && i < ACTIONS_MAX ? server->actions[i]
+						  : ACTION_RESPOND;
+		if (action == ACTION_TRUNCATE)
 			send_text(fd,
 			    "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
-		if (deed != DEED_ANSWER)
+		if (action != ACTION_RESPOND)
 			return;
 		send_text(fd, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
 	}
@@ -117,7 +119,7 @@
 	close(server->fd);
 }
 
-struct seen {
+struct fetch_outcome {
 	bool done;
 	struct loom_fetch_end end;
 	uint16_t status;
@@ -126,9 +128,9 @@
 static void
 on_headers(void *arg, struct loom_fetch *fetch)
 {
-	struct seen *seen = arg;
+	struct fetch_outcome *outcome = arg;
 
-	seen->status = loom_fetch_status(fetch);
+	outcome->status = loom_fetch_status(fetch);
 }
 
 static bool
@@ -143,10 +145,10 @@
 static void
 on_done(void *arg, const struct loom_fetch_end *end)
 {
-	struct seen *seen = arg;
+	struct fetch_outcome *outcome = arg;
 
-	seen->done = true;
-	seen->end = *end;
+	outcome->done = true;
+	outcome->end = *end;
 }
 
 static const struct loom_fetch_ops ops = {
@@ -157,7 +159,7 @@
 
 static void
 fetch(struct loom_fetcher *fetcher, struct tevent_context *ev, uint16_t port,
-    struct seen *seen)
+    struct fetch_outcome *outcome)
 {
 	char *address = g_strdup_printf("127.0.0.1:%u", port);
 	const struct loom_fetch_request request = {
@@ -166,59 +168,61 @@
 		.target = "/",
 		.timeout_us = TIMEOUT_US,
 		.ops = &ops,
-		.arg = seen,
+		.arg = outcome,
 	};
 
-	*seen = (struct seen){ .done = false };
+	*outcome = (struct fetch_outcome){ .done = false };
 	CU_ASSERT_PTR_NOT_NULL_FATAL(loom_fetch_start(fetcher, &request));
-	while (!seen->done)
+	while (!outcome->done)
 		tevent_loop_once(ev);
 	g_free(address);
 }
 
 /*
- * The caller's second request goes out on a kept connection.  The upstream
- * reads it, and perhaps runs it, and closes without an answer.  Sent again on
- * a new connection the upstream would run it twice; it must end as cut after
- * it was sent.
+ * The second request is sent on a reused connection.  The upstream reads it,
+ * may process it, and closes the connection before the response is complete.
+ * The request must end with LOOM_FETCH_CUT and sent set: sent again on a new
+ * connection, it could be processed twice.
  */
 static void
-test_never_sent_again(void)
+test_no_resend(void)
 {
 	static const struct {
 		const char *name;
-		enum deed deeds[DEEDS_MAX];
+		enum action actions[ACTIONS_MAX];
 		enum loom_fetch_result second;
 		bool answered;
 	} cases[] = {
-		{ "answered", { DEED_ANSWER, DEED_ANSWER }, LOOM_FETCH_WHOLE,
-		    true },
-		{ "closed unanswered", { DEED_ANSWER, DEED_CLOSE },
+		{ "answered", { ACTION_RESPOND, ACTION_RESPOND },
+		    LOOM_FETCH_WHOLE, true },
+		{ "closed without a response", { ACTION_RESPOND, ACTION_CLOSE },
 		    LOOM_FETCH_CUT, false },
-		{ "cut in the answer", { DEED_ANSWER, DEED_CUT },
+		{ "truncated response", { ACTION_RESPOND, ACTION_TRUNCATE },
 		    LOOM_FETCH_CUT, true },
 	};
 	struct loom_fetcher *fetcher;
 	struct tevent_context *ev;
 	struct server server;
-	struct seen seen;
+	struct fetch_outcome outcome;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
 		memset(&server, 0, sizeof(server));
-		memcpy(server.deeds, cases[i].deeds, sizeof(server.deeds));
+		memcpy(
+		    server.actions, cases[i].actions, sizeof(server.actions));
 		start_server(&server);
 		ev = tevent_context_init(NULL);
 		fetcher = loom_fetcher_new(ev, ev, loom_sockets_new(ev, ev));
-		fetch(fetcher, ev, server.port, &seen);
-		TEST_CHECK(seen.end.result == LOOM_FETCH_WHOLE, "%s: first",
-		    cases[i].name);
-		fetch(fetcher, ev, server.port, &seen);
-		TEST_CHECK(seen.end.result == cases[i].second &&
-			seen.end.sent && seen.end.answered == cases[i].answered,
+		fetch(fetcher, ev, server.port, &outcome);
+		TEST_CHECK(outcome.end.result == LOOM_FETCH_WHOLE,
+		    "%s: first request", cases[i].name);
+		fetch(fetcher, ev, server.port, &outcome);
+		TEST_CHECK(outcome.end.result == cases[i].second &&
+			outcome.end.sent &&
+			outcome.end.answered == cases[i].answered,
 		    "%s: %d sent %d answered %d: %s", cases[i].name,
-		    seen.end.result, seen.end.sent, seen.end.answered,
-		    seen.end.reason);
+		    outcome.end.result, outcome.end.sent, outcome.end.answered,
+		    outcome.end.reason);
 		TEST_CHECK(atomic_load(&server.requests) == 2,
 		    "%s: the upstream got %u requests", cases[i].name,
 		    atomic_load(&server.requests));
@@ -228,14 +232,14 @@
 	}
 }
 
-/* No connection: nothing was sent, and the caller may be told so. */
+/* A refused connection is reported as nothing sent. */
 static void
 test_not_connected(void)
 {
 	struct loom_fetcher *fetcher;
 	struct tevent_context *ev;
 	GError *error = NULL;
-	struct seen seen;
+	struct fetch_outcome outcome;
 	uint16_t port;
 	int fd;
 
@@ -244,15 +248,15 @@
 	close(fd);
 	ev = tevent_context_init(NULL);
 	fetcher = loom_fetcher_new(ev, ev, loom_sockets_new(ev, ev));
-	fetch(fetcher, ev, port, &seen);
-	CU_ASSERT_EQUAL(seen.end.result, LOOM_FETCH_CONNECT);
-	CU_ASSERT_FALSE(seen.end.sent);
+	fetch(fetcher, ev, port, &outcome);
+	CU_ASSERT_EQUAL(outcome.end.result, LOOM_FETCH_CONNECT);
+	CU_ASSERT_FALSE(outcome.end.sent);
 	TALLOC_FREE(fetcher);
 	talloc_free(ev);
 }
 
-/* Connections that nobody accepts fill the queue of a listening socket; the
- * kernel then drops whoever else comes, as a cut network does. */
+/* Fills the accept queue of a listening socket.  The kernel then drops further
+ * SYNs, as a network partition does. */
 static int
 full_listener(uint16_t *port, int fillers[FILLERS])
 {
@@ -277,18 +281,18 @@
 }
 
 /*
- * The host is across a cut: it neither takes nor refuses the connection.  The
- * connect gives up long before the request's time is up, nothing was sent,
- * and another host can still be tried; told as the end of the time, the
- * caller would be refused at once with most of its time left.
+ * A host behind a network partition neither accepts nor refuses the connection.
+ * The connect must time out long before the request does and be reported as
+ * nothing sent, so that another host can be tried.  Reported as a timeout of
+ * the request, it would fail the call with most of its time left.
  */
 static void
-test_connect_hangs(void)
+test_connect_timeout(void)
 {
 	struct loom_fetcher *fetcher;
 	struct tevent_context *ev;
 	int fillers[FILLERS];
-	struct seen seen;
+	struct fetch_outcome outcome;
 	uint16_t port;
 	uint32_t i;
 	int fd;
@@ -296,9 +300,11 @@
 	fd = full_listener(&port, fillers);
 	ev = tevent_context_init(NULL);
 	fetcher = loom_fetcher_new(ev, ev, loom_sockets_new(ev, ev));
-	fetch(fetcher, ev, port, &seen);
-	TEST_CHECK(seen.end.result == LOOM_FETCH_CONNECT && !seen.end.sent,
-	    "%d sent %d: %s", seen.end.result, seen.end.sent, seen.end.reason);
+	fetch(fetcher, ev, port, &outcome);
+	TEST_CHECK(
+	    outcome.end.result == LOOM_FETCH_CONNECT && !outcome.end.sent,
+	    "%d sent %d: %s", outcome.end.result, outcome.end.sent,
+	    outcome.end.reason);
 	TALLOC_FREE(fetcher);
 	talloc_free(ev);
 	for (i = 0; i < FILLERS; i++)
@@ -307,22 +313,23 @@
 }
 
 /*
- * Guards against a connection that is given up while it is made, and whose
- * descriptor's number the next one gets: every later request of the worker
- * failed, since its socket could not be watched.
+ * A fetch is cancelled while it connects, and the next connection gets the same
+ * descriptor number.  Guards against a fault in which the new socket could not
+ * be watched, so that every later request of the worker failed.
  */
 static void
-test_number_taken_again(void)
+test_fd_number_reused(void)
 {
-	struct seen gone = { .done = false }, seen;
+	struct fetch_outcome cancelled_outcome = { .done = false }, outcome;
 	struct loom_fetch_request request = {
 		.method = "GET",
 		.target = "/",
 		.timeout_us = TIMEOUT_US,
 		.ops = &ops,
-		.arg = &gone,
+		.arg = &cancelled_outcome,
 	};
-	struct server server = { .deeds = { DEED_ANSWER, DEED_ANSWER } };
+	struct server server = { .actions = {
+				     ACTION_RESPOND, ACTION_RESPOND } };
 	struct loom_fetcher *fetcher;
 	struct loom_fetch *hanging;
 	struct tevent_context *ev;
@@ -342,9 +349,10 @@
 	CU_ASSERT_PTR_NOT_NULL_FATAL(hanging);
 	loom_fetch_cancel(hanging);
 	for (i = 0; i < 2; i++) {
-		fetch(fetcher, ev, server.port, &seen);
-		TEST_CHECK(seen.end.result == LOOM_FETCH_WHOLE,
-		    "request %u: %d, %s", i, seen.end.result, seen.end.reason);
+		fetch(fetcher, ev, server.port, &outcome);
+		TEST_CHECK(outcome.end.result == LOOM_FETCH_WHOLE,
+		    "request %u: %d, %s", i, outcome.end.result,
+		    outcome.end.reason);
 	}
 	TALLOC_FREE(fetcher);
 	stop_server(&server);
@@ -355,8 +363,8 @@
 	g_free(address);
 }
 
-/* A host with several addresses is known to others by the one that its
- * operator set. */
+/* On a host with several addresses, connections come from the one that its
+ * operator configured. */
 static void
 test_source(void)
 {
@@ -366,14 +374,14 @@
 	struct tevent_context *ev;
 	char ip[INET_ADDRSTRLEN];
 	GError *error = NULL;
-	struct seen seen = { .done = false };
+	struct fetch_outcome outcome = { .done = false };
 	struct loom_fetch_request request = {
 		.method = "GET",
 		.target = "/",
 		.timeout_us = TIMEOUT_US,
 		.source = SOURCE,
 		.ops = &ops,
-		.arg = &seen,
+		.arg = &outcome,
 	};
 	int fd, accepted = -1;
 	char *address;
@@ -384,7 +392,7 @@
 	ev = tevent_context_init(NULL);
 	fetcher = loom_fetcher_new(ev, ev, loom_sockets_new(ev, ev));
 	CU_ASSERT_PTR_NOT_NULL_FATAL(loom_fetch_start(fetcher, &request));
-	while (!seen.done && accepted < 0) {
+	while (!outcome.done && accepted < 0) {
 		tevent_loop_once(ev);
 		accepted = accept(fd, (struct sockaddr *)&from, &size);
 	}
@@ -399,10 +407,10 @@
 }
 
 static const struct test_case tests[] = {
-	{ "never sent again", test_never_sent_again },
+	{ "no resend", test_no_resend },
 	{ "not connected", test_not_connected },
-	{ "connect hangs", test_connect_hangs },
-	{ "number taken again", test_number_taken_again },
+	{ "connect timeout", test_connect_timeout },
+	{ "descriptor number reused", test_fd_number_reused },
 	{ "source address", test_source },
 };
 
--- a/tests/http/test_mutations.c
+++ b/tests/http/test_mutations.c
@@ -1,7 +1,7 @@
 /*
- * Messages with bytes changed, dropped and doubled by chance, to the client's
- * and the peers' server's readers: what they make of a message must not depend
- * on the pieces that it comes in.
+ * Randomly mutated messages for the response parser of the client and the
+ * request parser of the peer server.  The result must not depend on how the
+ * message is split into parts.
  */
 
 #include <string.h>
@@ -11,11 +11,11 @@
 #include "support/test.h"
 
 #define SEED 20261203
-#define MUTANTS 4000 /* of each message */
+#define MUTANTS 4000 /* per message */
 #define CHANGES_MAX 4
 #define MESSAGE_MAX 1024
 
-static const char *const answers[] = {
+static const char *const responses[] = {
 	"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-A: b\r\n\r\nhello",
 	"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	"3\r\nhel\r\n2;x=y\r\nlo\r\n0\r\nX-T: z\r\n\r\n",
@@ -39,23 +39,23 @@
 };
 
 static void
-change(struct message *message, GRand *rand)
+mutate_once(struct message *message, GRand *rand)
 {
 	static const char bytes[] = " \r\n\t:;,0123456789abcdefHTPCx/.\x7f\xff";
 	const size_t at =
 	    (size_t)g_rand_int_range(rand, 0, (gint32)message->len);
-	char *place = message->bytes + at;
+	char *position = message->bytes + at;
 
 	switch (g_rand_int_range(rand, 0, 3)) {
 	case 0:
-		*place = bytes[g_rand_int_range(rand, 0, sizeof(bytes) - 1)];
+		*position = bytes[g_rand_int_range(rand, 0, sizeof(bytes) - 1)];
 		break;
 	case 1:
 		message->len--;
-		memmove(place, place + 1, message->len - at);
+		memmove(position, position + 1, message->len - at);
 		break;
 	default:
-		memmove(place + 1, place, message->len - at);
+		memmove(position + 1, position, message->len - at);
 		message->len++;
 		break;
 	}
@@ -69,12 +69,12 @@
 	message->len = strlen(text);
 	memcpy(message->bytes, text, message->len);
 	for (i = 0; i < n; i++)
-		change(message, rand);
+		mutate_once(message, rand);
 }
 
-/* In pieces by chance, or whole. */
+/* Length of the next part: random, or all that is left if rand is NULL. */
 static size_t
-piece_of(const struct message *message, size_t from, GRand *rand)
+piece_length(const struct message *message, size_t from, GRand *rand)
 {
 	const size_t left = message->len - from;
 
@@ -83,7 +83,7 @@
 	return (size_t)g_rand_int_range(rand, 1, (gint32)left + 1);
 }
 
-/* All that a reader made of a message, as text. */
+/* Everything that a parser reported about a message, as text. */
 static GString *record;
 
 static void
@@ -120,7 +120,7 @@
 };
 
 static void
-read_answer(const struct message *message, GRand *rand)
+parse_response(const struct message *message, GRand *rand)
 {
 	struct client_connection connection = { .reusable = false };
 	struct loom_fetch fetch = {
@@ -135,7 +135,7 @@
 	client_response_begin(&connection);
 	for (at = 0; at < message->len && result == CLIENT_PARSE_MORE;
 	     at += len) {
-		len = piece_of(message, at, rand);
+		len = piece_length(message, at, rand);
 		result = client_response_parse(
 		    &connection, (const uint8_t *)message->bytes + at, len);
 	}
@@ -143,10 +143,10 @@
 		result = client_response_parse(
 		    &connection, (const uint8_t *)message->bytes, 0);
 	g_string_append_printf(record, "|%d", result);
-	TEST_CHECK(result != CLIENT_PARSE_MORE, "neither whole nor broken");
+	TEST_CHECK(result != CLIENT_PARSE_MORE, "neither complete nor failed");
 	TEST_CHECK(result != CLIENT_PARSE_COMPLETE ||
 		(fetch.headers_complete && fetch.status >= 200),
-	    "whole without a status");
+	    "complete without a status");
 	http_head_free(&connection.head);
 }
 
@@ -157,7 +157,7 @@
 	g_string_append_printf(
 	    record, "%s %s:", loom_exchange_method(x), loom_exchange_target(x));
 	loom_exchange_headers(x, record_header, NULL);
-	/* as an owner that takes the body, without an answer on the way */
+	/* like an owner that reads the body and has not yet responded */
 	((struct peer_exchange *)(void *)x)->body_wanted = true;
 }
 
@@ -183,7 +183,7 @@
 };
 
 static void
-read_request(const struct message *message, GRand *rand)
+parse_request(const struct message *message, GRand *rand)
 {
 	struct loom_peer_server server = { .ops = &exchange_ops };
 	struct peer_connection *connection =
@@ -199,7 +199,7 @@
 	for (at = 0; at < message->len && parsing == PEER_PARSING_ON &&
 	     peer_request_may_go_on(connection);
 	     at += len) {
-		len = piece_of(message, at, rand);
+		len = piece_length(message, at, rand);
 		parsing = peer_request_parse(
 		    connection, (const uint8_t *)message->bytes + at, len);
 	}
@@ -211,49 +211,50 @@
 }
 
 static void
-test_pieces(const char *const *texts, size_t n,
-    void (*read)(const struct message *, GRand *pieces))
+check_pieces(const char *const *texts, size_t n,
+    void (*parse)(const struct message *, GRand *pieces))
 {
 	GRand *rand = g_rand_new_with_seed(SEED);
 	struct message message;
-	GString *whole;
+	GString *expected;
 	size_t i, j;
 
 	for (i = 0; i < n; i++) {
 		for (j = 0; j < MUTANTS; j++) {
 			mutate(&message, texts[i], rand);
 			record = g_string_new(NULL);
-			read(&message, NULL);
-			whole = record;
+			parse(&message, NULL);
+			expected = record;
 			record = g_string_new(NULL);
-			read(&message, rand);
-			TEST_CHECK(g_string_equal(whole, record),
-			    "'%.*s': '%s', in pieces '%s'", (int)message.len,
-			    message.bytes, whole->str, record->str);
+			parse(&message, rand);
+			TEST_CHECK(g_string_equal(expected, record),
+			    "'%.*s': '%s', split '%s'", (int)message.len,
+			    message.bytes, expected->str, record->str);
 			g_string_free(record, TRUE);
-			g_string_free(whole, TRUE);
+			g_string_free(expected, TRUE);
 		}
 	}
 	g_rand_free(rand);
 }
 
-/* Guards against an answer that looks whole, or belongs to another request,
- * depending on how the network cuts it. */
+/* Guards against a response that seems complete, or seems to belong to another
+ * request, depending on how the network splits it. */
 static void
-test_answers(void)
+test_responses(void)
 {
-	test_pieces(answers, G_N_ELEMENTS(answers), read_answer);
+	check_pieces(responses, G_N_ELEMENTS(responses), parse_response);
 }
 
-/* The same for requests of other daemons, and of whoever reaches their port. */
+/* The same for requests from other daemons, and from anyone else who can
+ * connect to the peer port. */
 static void
 test_requests(void)
 {
-	test_pieces(requests, G_N_ELEMENTS(requests), read_request);
+	check_pieces(requests, G_N_ELEMENTS(requests), parse_request);
 }
 
 static const struct test_case tests[] = {
-	{ "answers", test_answers },
+	{ "responses", test_responses },
 	{ "requests", test_requests },
 };
 
