--- a/tests/http/test_client.c
+++ b/tests/http/test_client.c
@@ -638,7 +638,7 @@
 	static const struct {
 		const char *name;
 		struct script script;
-		bool expect;
+		bool expect_continue;
 		bool stalls;
 		uint32_t reads; /* calls of read_body; UINT32_MAX: any */
 		uint16_t status;
@@ -673,7 +673,7 @@
 		request.method = "POST";
 		request.has_body = true;
 		request.body_length = cases[i].stalls ? 1000 : 5;
-		request.expect = cases[i].expect;
+		request.expect = cases[i].expect_continue;
 		start_request(&client, &request, &state);
 		finish_request(&client, &state);
 		TEST_CHECK(state.end.result == LOOM_FETCH_WHOLE &&
--- a/tests/http/test_fetch.c
+++ b/tests/http/test_fetch.c
@@ -191,7 +191,7 @@
 		const char *name;
 		enum action actions[ACTIONS_MAX];
 		enum loom_fetch_result second;
-		bool answered;
+		bool headers_received;
 	} cases[] = {
 		{ "answered", { ACTION_RESPOND, ACTION_RESPOND },
 		    LOOM_FETCH_WHOLE, true },
@@ -219,7 +219,7 @@
 		fetch(fetcher, ev, server.port, &outcome);
 		TEST_CHECK(outcome.end.result == cases[i].second &&
 			outcome.end.sent &&
-			outcome.end.answered == cases[i].answered,
+			outcome.end.answered == cases[i].headers_received,
 		    "%s: %d sent %d answered %d: %s", cases[i].name,
 		    outcome.end.result, outcome.end.sent, outcome.end.answered,
 		    outcome.end.reason);
