--- a/src/http/client_connection.c
+++ b/src/http/client_connection.c
@@ -223,18 +223,18 @@
 static void
 receive(struct client_connection *connection)
 {
-	uint8_t *block = sockets_block(connection->socket.sockets);
+	uint8_t *buf = sockets_block(connection->socket.sockets);
 	ssize_t nread;
 
 	do {
-		nread = recv(connection->socket.fd, block, SOCKETS_BLOCK, 0);
+		nread = recv(connection->socket.fd, buf, SOCKETS_BLOCK, 0);
 		if (nread < 0 && errno == EAGAIN)
 			return;
 		if (nread < 0) {
 			client_fetch_fail(connection->fetch, g_strerror(errno));
 			return;
 		}
-		if (!parse_received(connection, block, (size_t)nread))
+		if (!parse_received(connection, buf, (size_t)nread))
 			return;
 	} while (nread == SOCKETS_BLOCK && !connection->fetch->response_paused);
 	/* the body can be sent if a 100 Continue was received */
--- a/tests/http/test_client.c
+++ b/tests/http/test_client.c
@@ -30,7 +30,8 @@
 struct script {
 	const char *response; /* sent after the request headers */
 	const char *response_to_body; /* sent after the request body, or NULL */
-	const char *unsolicited; /* sent when response_received is set */
+	const char
+	    *unsolicited; /* sent once response_received is set; or NULL */
 	size_t filler_bytes; /* number of zero bytes after the response */
 	enum ending ending;
 	bool bytewise; /* send byte by byte */
@@ -41,8 +42,8 @@
 	const struct script *script;
 	char request[REQUEST_MAX]; /* the first one, as received */
 	atomic_uint connections;
-	atomic_uint last_connection; /* that got the latest request */
-	atomic_bool response_received; /* by the client */
+	atomic_uint last_connection; /* index; of the latest request */
+	atomic_bool response_received; /* set by the client */
 	atomic_bool script_done;
 	GThread *thread;
 	GThread *threads[CONNECTIONS_MAX];
