--- a/src/http/client_answer.c
+++ b/src/http/client_answer.c
@@ -168,7 +168,7 @@
 client_response_error(const struct client_connection *connection)
 {
 	if (connection->fetch->rejected)
-		return "the response does not belong to this request";
+		return "the answer is not this request's";
 	return http_errno_description(HTTP_PARSER_ERRNO(&connection->parser));
 }
 
--- a/src/http/client_connection.c
+++ b/src/http/client_connection.c
@@ -208,7 +208,7 @@
 		return false;
 	case CLIENT_PARSE_FAILED:
 		client_fetch_fail(fetch,
-		    len == 0 ? "connection closed by the server"
+		    len == 0 ? "closed by the other side"
 			     : client_response_error(connection));
 		return false;
 	case CLIENT_PARSE_MORE:
--- a/src/http/fetch.c
+++ b/src/http/fetch.c
@@ -111,12 +111,12 @@
 
 	if (now_us >= fetch->deadline_us) {
 		mark_not_reusable(fetch);
-		finish(fetch, LOOM_FETCH_TIMEOUT, "deadline exceeded");
+		finish(fetch, LOOM_FETCH_TIMEOUT, "its time is up");
 	} else if (fetch->connection != NULL && fetch->connection->connected) {
 		sockets_set_time(
 		    fetch->fetcher->sockets, timer, fetch->deadline_us);
 	} else {
-		client_fetch_fail(fetch, "connect timeout");
+		client_fetch_fail(fetch, "no connection in time");
 	}
 }
 
@@ -212,7 +212,7 @@
 	if (client_endpoint_parse(&endpoint, req->address, req->source)) {
 		if (!acquire_and_send(fetch, &endpoint))
 			goto error;
-	} else if (!fail_deferred(fetch, "invalid address")) {
+	} else if (!fail_deferred(fetch, "no address")) {
 		goto error;
 	}
 	set_deadlines(fetch, req->timeout_us);
