--- a/src/trace/export.c
+++ b/src/trace/export.c
@@ -1,6 +1,7 @@
 /*
- * Sending spans.  Workers put finished spans on a list under a lock that is
- * held for one append; the loop's owner takes the whole list once a second.
+ * Export of spans.  Worker threads append finished spans to a queue, holding
+ * its lock for that one append; the thread of the event loop takes the whole
+ * queue once a second and sends it as one batch.
  */
 
 #include <sodium.h>
@@ -12,8 +13,8 @@
 #include "loom/multi.h"
 #include "trace/export.h"
 
-/* Spans that wait for the collector: some ten seconds of a busy daemon. */
-#define WAITING_MAX 4096
+/* Bound of the collector's queue: about 10 s of spans of a busy daemon. */
+#define QUEUE_MAX_SPANS 4096
 
 #define FLUSH_MS 1000
 #define SEND_TIMEOUT_MS 5000L
@@ -22,19 +23,20 @@
 struct tracer {
 	const struct loom_self *self; /* borrowed */
 	bool to_log;
-	char *url; /* owned; NULL unless to a collector */
+	char *url; /* owned; NULL without a collector */
 	struct tevent_context *ev; /* borrowed */
 	struct loom_multi *multi; /* owned */
-	CURL *easy; /* owned; NULL when none is under way */
+	CURL *easy; /* owned; NULL when no batch is being sent */
 	struct curl_slist *headers; /* owned */
-	char *body; /* owned: what is being sent */
+	char *body; /* owned: of the batch being sent */
 	GMutex lock;
-	struct json_object *waiting; /* owned array; under lock */
+	struct json_object *queue; /* owned array; under lock */
 	struct loom_counter *dropped;
 };
 
 static void
-add_attribute(struct json_object *list, const char *name, const char *text)
+add_string_attribute(
+    struct json_object *list, const char *name, const char *text)
 {
 	struct json_object *entry = json_object_new_object();
 	struct json_object *value = json_object_new_object();
@@ -46,9 +48,10 @@
 	json_object_array_add(list, entry);
 }
 
-/* OTLP's JSON writes 64-bit integers as strings. */
+/* OTLP's JSON encoding writes 64-bit integers as strings. */
 static void
-add_number(struct json_object *list, const char *name, uint64_t number)
+add_integer_attribute(
+    struct json_object *list, const char *name, uint64_t number)
 {
 	struct json_object *entry = json_object_new_object();
 	struct json_object *value = json_object_new_object();
@@ -61,6 +64,7 @@
 	json_object_array_add(list, entry);
 }
 
+/* Adds an id as hex digits; an id of zeros means that there is none. */
 static void
 add_id(struct json_object *object, const char *name, const uint8_t *id,
     size_t size)
@@ -83,7 +87,7 @@
 }
 
 static struct json_object *
-attributes(const struct span *span, const struct span_facts *facts,
+build_attributes(const struct span *span, const struct span_facts *facts,
     const struct loom_self *self)
 {
 	static const char *const kinds[SPAN_KINDS] = {
@@ -92,18 +96,19 @@
 	};
 	struct json_object *list = json_object_new_array();
 
-	add_attribute(list, "loom.host", self->host);
-	add_attribute(list, "loom.service", self->service);
-	add_attribute(list, "loom.kind", kinds[facts->kind]);
+	add_string_attribute(list, "loom.host", self->host);
+	add_string_attribute(list, "loom.service", self->service);
+	add_string_attribute(list, "loom.kind", kinds[facts->kind]);
 	if (facts->team[0] != '\0')
-		add_attribute(list, "loom.team", facts->team);
-	add_number(list, "loom.queue_us", span->queue_us);
-	add_number(list, "loom.leg_us", span->leg_us);
+		add_string_attribute(list, "loom.team", facts->team);
+	add_integer_attribute(list, "loom.queue_us", span->queue_us);
+	add_integer_attribute(list, "loom.leg_us", span->leg_us);
 	if (span->status != 0)
-		add_number(list, "http.response.status_code", span->status);
+		add_integer_attribute(
+		    list, "http.response.status_code", span->status);
 	if (span->code != LOOM_OK) {
-		add_number(list, "loom.code", (uint64_t)span->code);
-		add_attribute(
+		add_integer_attribute(list, "loom.code", (uint64_t)span->code);
+		add_string_attribute(
 		    list, "loom.outcome", loom_outcome_name(span->outcome));
 	}
 	return list;
@@ -126,7 +131,7 @@
 	add_time(object, "startTimeUnixNano", span->start_wall_ns);
 	add_time(object, "endTimeUnixNano", end_ns);
 	json_object_object_add(
-	    object, "attributes", attributes(span, facts, self));
+	    object, "attributes", build_attributes(span, facts, self));
 	return object;
 }
 
@@ -136,12 +141,13 @@
 	loom_log_object(LOOM_LOG_INFO, "trace", "span", span);
 }
 
+/* Takes ownership of span. */
 static void
-keep(struct tracer *tracer, struct json_object *span)
+enqueue_span(struct tracer *tracer, struct json_object *span)
 {
 	g_mutex_lock(&tracer->lock);
-	if (json_object_array_length(tracer->waiting) < WAITING_MAX) {
-		json_object_array_add(tracer->waiting, span);
+	if (json_object_array_length(tracer->queue) < QUEUE_MAX_SPANS) {
+		json_object_array_add(tracer->queue, span);
 		span = NULL;
 	}
 	g_mutex_unlock(&tracer->lock);
@@ -164,26 +170,30 @@
 	if (tracer->to_log)
 		write_to_log(span_json(span, facts, tracer->self));
 	else if (tracer->url != NULL)
-		keep(tracer, span_json(span, facts, tracer->self));
+		enqueue_span(tracer, span_json(span, facts, tracer->self));
 }
 
+/* Returns all queued spans as an array, owned; NULL when there are none. */
 static struct json_object *
-take_waiting(struct tracer *tracer)
+dequeue_all(struct tracer *tracer)
 {
 	struct json_object *spans = NULL;
 
 	g_mutex_lock(&tracer->lock);
-	if (json_object_array_length(tracer->waiting) > 0) {
-		spans = tracer->waiting;
-		tracer->waiting = json_object_new_array();
+	if (json_object_array_length(tracer->queue) > 0) {
+		spans = tracer->queue;
+		tracer->queue = json_object_new_array();
 	}
 	g_mutex_unlock(&tracer->lock);
 	return spans;
 }
 
-/* {"resourceSpans":[{"resource":..,"scopeSpans":[{"spans":[..]}]}]} */
+/*
+ * Formats the body of an export request; takes ownership of spans:
+ * {"resourceSpans":[{"resource":..,"scopeSpans":[{"spans":[..]}]}]}
+ */
 static char *
-wrap(const struct tracer *tracer, struct json_object *spans)
+format_request(const struct tracer *tracer, struct json_object *spans)
 {
 	struct json_object *whole = json_object_new_object();
 	struct json_object *resources = json_object_new_array();
@@ -194,8 +204,8 @@
 	struct json_object *scope = json_object_new_object();
 	char *text;
 
-	add_attribute(names, "service.name", tracer->self->service);
-	add_attribute(names, "host.name", tracer->self->host);
+	add_string_attribute(names, "service.name", tracer->self->service);
+	add_string_attribute(names, "host.name", tracer->self->host);
 	json_object_object_add(resource, "attributes", names);
 	json_object_object_add(scope, "spans", spans);
 	json_object_array_add(scopes, scope);
@@ -210,7 +220,7 @@
 }
 
 static void
-end_send(struct tracer *tracer)
+finish_send(struct tracer *tracer)
 {
 	curl_easy_cleanup(tracer->easy);
 	tracer->easy = NULL;
@@ -219,25 +229,27 @@
 }
 
 static void
-sent(void *arg, CURL *easy, CURLcode result)
+on_send_done(void *arg, CURL *easy, CURLcode result)
 {
 	struct tracer *tracer = arg;
 
 	(void)easy;
 	if (result != CURLE_OK)
-		loom_log(LOOM_LOG_WARN, "trace", LOOM_OK, "spans were lost: %s",
+		loom_log(LOOM_LOG_WARN, "trace", LOOM_OK,
+		    "dropped spans that could not be sent to the collector: %s",
 		    curl_easy_strerror(result));
-	end_send(tracer);
+	finish_send(tracer);
 }
 
 static size_t
-drop_answer(char *data, size_t size, size_t n, void *arg) /* NOLINT */
+discard_response(char *data, size_t size, size_t n, void *arg) /* NOLINT */
 {
 	(void)data;
 	(void)arg;
 	return size * n;
 }
 
+/* Sends the queued spans, unless the previous batch is still being sent. */
 static void
 send_batch(struct tracer *tracer)
 {
@@ -245,10 +257,10 @@
 
 	if (tracer->easy != NULL)
 		return;
-	spans = take_waiting(tracer);
+	spans = dequeue_all(tracer);
 	if (spans == NULL)
 		return;
-	tracer->body = wrap(tracer, spans);
+	tracer->body = format_request(tracer, spans);
 	tracer->easy = curl_easy_init();
 	curl_easy_setopt(tracer->easy, CURLOPT_URL, tracer->url);
 	curl_easy_setopt(tracer->easy, CURLOPT_PROXY, "");
@@ -256,9 +268,9 @@
 	curl_easy_setopt(tracer->easy, CURLOPT_TIMEOUT_MS, SEND_TIMEOUT_MS);
 	curl_easy_setopt(tracer->easy, CURLOPT_HTTPHEADER, tracer->headers);
 	curl_easy_setopt(tracer->easy, CURLOPT_POSTFIELDS, tracer->body);
-	curl_easy_setopt(tracer->easy, CURLOPT_WRITEFUNCTION, drop_answer);
-	if (!loom_multi_add(tracer->multi, tracer->easy, sent, tracer))
-		end_send(tracer);
+	curl_easy_setopt(tracer->easy, CURLOPT_WRITEFUNCTION, discard_response);
+	if (!loom_multi_add(tracer->multi, tracer->easy, on_send_done, tracer))
+		finish_send(tracer);
 }
 
 static void
@@ -279,18 +291,18 @@
 {
 	if (tracer->easy != NULL) {
 		loom_multi_remove(tracer->multi, tracer->easy);
-		end_send(tracer);
+		finish_send(tracer);
 	}
 	TALLOC_FREE(tracer->multi);
 	curl_slist_free_all(tracer->headers);
-	json_object_put(tracer->waiting);
+	json_object_put(tracer->queue);
 	g_mutex_clear(&tracer->lock);
 	return 0;
 }
 
 struct tracer *
 tracer_new(TALLOC_CTX *mem, struct tevent_context *ev,
-    const struct loom_self *self, const char *where)
+    const struct loom_self *self, const char *destination)
 {
 	struct tracer *tracer = talloc_zero(mem, struct tracer);
 
@@ -298,15 +310,15 @@
 		return NULL;
 	tracer->self = self;
 	tracer->ev = ev;
-	tracer->to_log = strcmp(where, "log") == 0;
+	tracer->to_log = strcmp(destination, "log") == 0;
 	g_mutex_init(&tracer->lock);
-	tracer->waiting = json_object_new_array();
+	tracer->queue = json_object_new_array();
 	tracer->dropped = loom_counter("loom_spans_dropped_total", NULL,
 	    "Spans that the collector was too slow for.");
 	talloc_set_destructor(tracer, tracer_destructor);
-	if (tracer->to_log || strcmp(where, "none") == 0)
+	if (tracer->to_log || strcmp(destination, "none") == 0)
 		return tracer;
-	tracer->url = talloc_strdup(tracer, where);
+	tracer->url = talloc_strdup(tracer, destination);
 	tracer->headers =
 	    curl_slist_append(NULL, "Content-Type: application/json");
 	tracer->multi = loom_multi_new(tracer, ev);
--- a/src/trace/export.h
+++ b/src/trace/export.h
@@ -2,9 +2,9 @@
 #define LOOM_TRACE_EXPORT_H
 
 /*
- * Spans on their way out: to the log, one line a span, or to an OTLP/HTTP
- * collector as JSON, in batches.  A span is dropped, and counted, rather than
- * held without bound.
+ * Exports spans to the log, one line per span, or in batches as JSON to an
+ * OTLP/HTTP collector.  The queue for the collector is bounded: when it is
+ * full, new spans are dropped and counted.
  */
 
 #include <glib.h>
@@ -17,36 +17,37 @@
 
 struct tracer;
 
-/* How the hop took part. */
+/* The role of this daemon in the call. */
 enum span_kind {
 	SPAN_ENTRY,
 	SPAN_EXECUTOR,
 	SPAN_KINDS,
 };
 
-/* What goes out with a span besides itself; strings are borrowed. */
+/* Data exported with a span but not stored in it; strings are borrowed. */
 struct span_facts {
-	const char *name; /* the route's; "-" when none matched */
+	const char *name; /* of the route; "-" when none matched */
 	const char *team; /* "" when unknown */
 	enum span_kind kind;
 	uint64_t end_us;
 };
 
 /*
- * where is "none", "log" or a URL.  The loop is the one that sends batches
- * and must outlive the tracer.  Owned by the caller; NULL when out of memory.
+ * Creates a tracer.  destination is "none", "log" or the URL of a collector.
+ * Batches are sent from the given event loop, which must outlive the tracer.
+ * Owned by the caller; NULL when out of memory.
  */
 struct tracer *tracer_new(TALLOC_CTX *, struct tevent_context *,
-    const struct loom_self *, const char *where);
+    const struct loom_self *, const char *destination);
 
-/* Whether spans go anywhere; any thread. */
+/* Returns false if the destination is "none".  Thread-safe. */
 bool tracer_is_on(const struct tracer *);
 
-/* Hand over one span; any thread. */
+/* Logs one span or queues it for the collector.  Thread-safe. */
 void tracer_emit(
     struct tracer *, const struct span *, const struct span_facts *);
 
-/* One span in OTLP's JSON form; owned by the caller. */
+/* Encodes one span as OTLP JSON; owned by the caller. */
 struct json_object *span_json(
     const struct span *, const struct span_facts *, const struct loom_self *);
 
--- a/src/trace/span.c
+++ b/src/trace/span.c
@@ -1,6 +1,6 @@
 /*
- * W3C trace context.  A header that is not understood begins a new trace, as
- * the standard asks; it never refuses a request.
+ * W3C trace context.  As the standard requires, a malformed header starts a
+ * new trace and never causes the request to be refused.
  */
 
 #include <glib.h>
@@ -10,12 +10,13 @@
 #include "loom/clock.h"
 #include "trace/span.h"
 
-#define VERSION_LENGTH 3
+#define VERSION_PREFIX_LENGTH 3
 #define TRACE_HEX (2 * SPAN_TRACE_ID_SIZE)
 #define SPAN_HEX (2 * SPAN_ID_SIZE)
 
+/* Decodes exactly hex digits, an even number, into hex / 2 bytes. */
 static bool
-read_hex(const char *text, size_t hex, uint8_t *out)
+decode_hex(const char *text, size_t hex, uint8_t *out)
 {
 	size_t got;
 
@@ -23,18 +24,22 @@
 	    got == hex / 2;
 }
 
+/*
+ * Reads "VERSION-TRACE_ID-PARENT_ID-...".  Version "ff" and ids of zeros are
+ * invalid by the standard; later versions may append fields.
+ */
 static bool
-parse(struct span *span, const char *text)
+parse_traceparent(struct span *span, const char *text)
 {
 	if (strlen(text) < SPAN_TRACEPARENT_SIZE - 1 ||
 	    strncmp(text, "ff", 2) == 0 || text[2] != '-')
 		return false;
-	text += VERSION_LENGTH;
-	if (!read_hex(text, TRACE_HEX, span->trace_id) ||
+	text += VERSION_PREFIX_LENGTH;
+	if (!decode_hex(text, TRACE_HEX, span->trace_id) ||
 	    text[TRACE_HEX] != '-')
 		return false;
 	text += TRACE_HEX + 1;
-	if (!read_hex(text, SPAN_HEX, span->parent_id))
+	if (!decode_hex(text, SPAN_HEX, span->parent_id))
 		return false;
 	return !sodium_is_zero(span->trace_id, sizeof(span->trace_id)) &&
 	    !sodium_is_zero(span->parent_id, sizeof(span->parent_id));
@@ -44,7 +49,8 @@
 span_begin(struct span *span, const char *traceparent, uint64_t now_us)
 {
 	memset(span, 0, sizeof(*span));
-	span->came = traceparent != NULL && parse(span, traceparent);
+	span->came =
+	    traceparent != NULL && parse_traceparent(span, traceparent);
 	if (!span->came) {
 		memset(span->parent_id, 0, sizeof(span->parent_id));
 		loom_random_bytes(span->trace_id, sizeof(span->trace_id));
--- a/src/trace/tally.c
+++ b/src/trace/tally.c
@@ -1,10 +1,10 @@
 /*
- * Calls by how they ended.
+ * Counts calls by how they ended.
  *
- * A burst in which everything fails looks the same from outside whatever its
- * cause: callers see 500 and 503.  The lines of the daemons tell at which
- * service a call was refused, for what, and whether it was a call inside a
- * request that had been let in, which costs its whole chain.
+ * Callers see only 500 and 503 in an overload, whatever its cause.  The
+ * daemons' log lines tell which service refused a call, for which reason, and
+ * whether the call was made on behalf of a request that had already been
+ * admitted.  Refusing such a call wastes the work of the whole request.
  */
 
 #include <json-c/json.h>
@@ -13,20 +13,21 @@
 #include "loom/json.h"
 #include "trace/tally.h"
 
-/* "2026-01-02T03:04:05": a line's time to the second. */
+/* Length of "2026-01-02T03:04:05", the time of a log line to the second. */
 #define SECOND_CHARS 19
-#define NO_SHARE 1.0
+/* The admitted share for a line that names none: all calls. */
+#define DEFAULT_SHARE 1.0
 
 struct row {
-	char *key; /* owned: the row's first columns as they are printed */
+	char *key; /* owned: the leading columns as printed */
 	uint64_t calls;
-	int64_t waiting; /* the most */
-	double share; /* the least */
+	int64_t max_waiting;
+	double min_share;
 };
 
 struct call_tally {
 	bool by_second;
-	GHashTable *rows; /* key: struct row, owned */
+	GHashTable *rows; /* row key: struct row, owned */
 };
 
 static void
@@ -57,29 +58,29 @@
 }
 
 static const char *
-text_of(struct json_object *line, const char *name, const char *otherwise)
+get_string(struct json_object *line, const char *name, const char *fallback)
 {
 	struct json_object *member;
 
 	if (!json_object_object_get_ex(line, name, &member) ||
 	    !json_object_is_type(member, json_type_string))
-		return otherwise;
+		return fallback;
 	return json_object_get_string(member);
 }
 
 static double
-number_of(struct json_object *line, const char *name, double otherwise)
+get_number(struct json_object *line, const char *name, double fallback)
 {
 	struct json_object *member;
 
 	if (!json_object_object_get_ex(line, name, &member) ||
 	    json_object_is_type(member, json_type_null))
-		return otherwise;
+		return fallback;
 	return json_object_get_double(member);
 }
 
 static bool
-is_true(struct json_object *line, const char *name)
+get_boolean(struct json_object *line, const char *name)
 {
 	struct json_object *member;
 
@@ -87,49 +88,52 @@
 	    json_object_get_boolean(member);
 }
 
-/* A refusal by its result, an answer by its status. */
+/* The result of a refusal, the status of an answer, else the "end".  Owned. */
 static char *
-ending_of(struct json_object *line)
+format_ending(struct json_object *line)
 {
-	const char *end = text_of(line, "end", "-");
-	const char *result = text_of(line, "result", NULL);
+	const char *end = get_string(line, "end", "-");
+	const char *result = get_string(line, "result", NULL);
 
 	if (result != NULL)
 		return g_strdup(result);
 	if (strcmp(end, "answered") == 0)
-		return g_strdup_printf("%d", (int)number_of(line, "status", 0));
+		return g_strdup_printf(
+		    "%d", (int)get_number(line, "status", 0));
 	return g_strdup(end);
 }
 
-/* Only the entry of a call knows whose it is. */
+/* Only lines of the entry tell whether a caller or an upstream made the call.
+ */
 static const char *
-scope_of(struct json_object *line)
+call_scope(struct json_object *line)
 {
-	if (strcmp(text_of(line, "stage", "-"), "entry") != 0)
+	if (strcmp(get_string(line, "stage", "-"), "entry") != 0)
 		return "-";
-	return is_true(line, "inner") ? "inner" : "root";
+	return get_boolean(line, "inner") ? "inner" : "root";
 }
 
+/* The columns that identify the row of a log line.  Owned. */
 static char *
-key_of(const struct call_tally *tally, struct json_object *line)
+format_row_key(const struct call_tally *tally, struct json_object *line)
 {
-	const char *time = text_of(line, "time", "");
-	char *ending = ending_of(line);
+	const char *time = get_string(line, "time", "");
+	char *ending = format_ending(line);
 	GString *key = g_string_new(NULL);
 
 	if (tally->by_second)
 		g_string_append_printf(key, "%.*s\t", SECOND_CHARS, time);
 	g_string_append_printf(key, "%s\t%s\t%s\t%s",
-	    text_of(line, "stage", "-"), text_of(line, "service", "-"),
-	    scope_of(line), ending);
+	    get_string(line, "stage", "-"), get_string(line, "service", "-"),
+	    call_scope(line), ending);
 	g_free(ending);
 	return g_string_free(key, FALSE);
 }
 
 static struct row *
-row_of(struct call_tally *tally, struct json_object *line)
+get_or_add_row(struct call_tally *tally, struct json_object *line)
 {
-	char *key = key_of(tally, line);
+	char *key = format_row_key(tally, line);
 	struct row *row = g_hash_table_lookup(tally->rows, key);
 
 	if (row != NULL) {
@@ -138,23 +142,23 @@
 	}
 	row = g_new0(struct row, 1);
 	row->key = key;
-	row->share = NO_SHARE;
+	row->min_share = DEFAULT_SHARE;
 	g_hash_table_insert(tally->rows, row->key, row);
 	return row;
 }
 
 static void
-count(struct call_tally *tally, struct json_object *line)
+count_call(struct call_tally *tally, struct json_object *line)
 {
-	struct row *row = row_of(tally, line);
-	double share = NO_SHARE;
+	struct row *row = get_or_add_row(tally, line);
+	double share = DEFAULT_SHARE;
 
 	row->calls++;
-	row->waiting =
-	    MAX(row->waiting, (int64_t)number_of(line, "waiting", 0));
-	if (text_of(line, "below", NULL) != NULL)
-		share = number_of(line, "below_share", NO_SHARE);
-	row->share = MIN(row->share, share);
+	row->max_waiting =
+	    MAX(row->max_waiting, (int64_t)get_number(line, "waiting", 0));
+	if (get_string(line, "below", NULL) != NULL)
+		share = get_number(line, "below_share", DEFAULT_SHARE);
+	row->min_share = MIN(row->min_share, share);
 }
 
 bool
@@ -171,29 +175,30 @@
 	object = loom_json_parse(text, strlen(text), &at, &message);
 	is_call = object != NULL &&
 	    json_object_is_type(object, json_type_object) &&
-	    strcmp(text_of(object, "event", ""), "call") == 0;
+	    strcmp(get_string(object, "event", ""), "call") == 0;
 	if (is_call)
-		count(tally, object);
+		count_call(tally, object);
 	json_object_put(object);
 	return is_call;
 }
 
 static gint
-by_key(gconstpointer a, gconstpointer b)
+compare_by_key(gconstpointer a, gconstpointer b)
 {
 	const struct row *left = a, *right = b;
 
 	return strcmp(left->key, right->key);
 }
 
+/* More calls first. */
 static gint
-by_calls(gconstpointer a, gconstpointer b)
+compare_by_calls(gconstpointer a, gconstpointer b)
 {
 	const struct row *left = a, *right = b;
 
 	if (left->calls != right->calls)
 		return left->calls > right->calls ? -1 : 1;
-	return by_key(a, b);
+	return compare_by_key(a, b);
 }
 
 char *
@@ -205,13 +210,14 @@
 
 	g_string_append(
 	    table, "stage\tservice\tscope\tending\tcalls\twaiting\tshare\n");
-	rows = g_list_sort(rows, tally->by_second ? by_key : by_calls);
+	rows = g_list_sort(
+	    rows, tally->by_second ? compare_by_key : compare_by_calls);
 	for (at = rows; at != NULL; at = at->next) {
 		row = at->data;
 		g_string_append_printf(table,
 		    "%s\t%" G_GUINT64_FORMAT "\t%" G_GINT64_FORMAT "\t%.3f\n",
-		    row->key, (guint64)row->calls, (gint64)row->waiting,
-		    row->share);
+		    row->key, (guint64)row->calls, (gint64)row->max_waiting,
+		    row->min_share);
 	}
 	g_list_free(rows);
 	return g_string_free(table, FALSE);
--- a/src/trace/tally.h
+++ b/src/trace/tally.h
@@ -2,8 +2,8 @@
 #define LOOM_TRACE_TALLY_H
 
 /*
- * Calls counted by how they ended, from daemons' log lines: which refusals,
- * where, in which second.
+ * Counts calls in the daemons' logs by stage, service, scope and how they
+ * ended, optionally for each second.
  */
 
 #include <glib.h>
@@ -11,20 +11,21 @@
 
 struct call_tally;
 
-/* With by_second each second of the log has rows of its own. */
+/* With by_second, each second of the log gets its own rows. */
 struct call_tally *call_tally_new(bool by_second); /* owned */
 void call_tally_free(struct call_tally *);
 
-/* Take one line of a log, whatever stands before its JSON.  Returns false for
- * lines that are no "call" line. */
+/* Adds one log line; any prefix before its JSON is skipped.  Returns false,
+ * and counts nothing, if its event is not "call". */
 bool call_tally_add_line(struct call_tally *, const char *line);
 
 /*
- * Rows of columns that tabs separate, under a head: with by_second by time,
- * else the most frequent first.  "scope" is, at entries, "root" for a caller's
- * request and "inner" for a call that an upstream made; "waiting" and "share"
- * are the most calls that waited, and the least share, that a line of the row
- * tells.  Owned by the caller, g_free.
+ * Formats the counts as tab-separated columns below a header line.  Rows are
+ * sorted by time if by_second is set, else by count with the highest first.
+ * "scope" is known only at an entry: "root" for a request from outside,
+ * "inner" for a call made by an upstream.  "waiting" is the maximum number of
+ * waiting calls and "share" the minimum admitted share in the log lines of the
+ * row.  Owned by the caller, g_free.
  */
 char *call_tally_table(const struct call_tally *);
 
--- a/src/trace/tree.c
+++ b/src/trace/tree.c
@@ -1,6 +1,7 @@
 /*
- * Joining spans.  Daemons log them as their calls end, so that a child stands
- * before its parent; all are read first and joined after.
+ * Builds trees of spans.  A daemon logs a span when its call ends, so a child
+ * precedes its parent in the log.  Therefore spans are only collected while
+ * reading, and linked to their parents when a trace is drawn.
  */
 
 #include <stdbool.h>
@@ -23,7 +24,7 @@
 	double total_ms;
 	double queue_ms;
 	double leg_ms;
-	char *end; /* status, or code and outcome */
+	char *result; /* status, or code and outcome of a refusal */
 };
 
 struct span_tree {
@@ -39,7 +40,7 @@
 	g_free(node->span_id);
 	g_free(node->parent_id);
 	g_free(node->label);
-	g_free(node->end);
+	g_free(node->result);
 	g_free(node);
 }
 
@@ -60,7 +61,7 @@
 }
 
 static const char *
-text_of(struct json_object *object, const char *name)
+get_string(struct json_object *object, const char *name)
 {
 	struct json_object *value;
 
@@ -69,9 +70,9 @@
 	return json_object_get_string(value);
 }
 
-/* An attribute's value as text, "" when it is not there. */
+/* Returns the value of an attribute as text, "" when it is missing. */
 static const char *
-attribute(struct json_object *span, const char *name)
+get_attribute(struct json_object *span, const char *name)
 {
 	struct json_object *list, *entry, *value;
 	size_t i;
@@ -81,7 +82,7 @@
 		return "";
 	for (i = 0; i < json_object_array_length(list); i++) {
 		entry = json_object_array_get_idx(list, i);
-		if (strcmp(text_of(entry, "key"), name) != 0 ||
+		if (strcmp(get_string(entry, "key"), name) != 0 ||
 		    !json_object_object_get_ex(entry, "value", &value))
 			continue;
 		if (json_object_object_length(value) == 0)
@@ -96,14 +97,15 @@
 }
 
 static char *
-describe_end(struct json_object *span)
+format_result(struct json_object *span)
 {
-	const char *code = attribute(span, "loom.code");
+	const char *code = get_attribute(span, "loom.code");
 
 	if (code[0] == '\0')
-		return g_strdup(attribute(span, "http.response.status_code"));
+		return g_strdup(
+		    get_attribute(span, "http.response.status_code"));
 	return g_strdup_printf(
-	    "code %s %s", code, attribute(span, "loom.outcome"));
+	    "code %s %s", code, get_attribute(span, "loom.outcome"));
 }
 
 static bool
@@ -112,29 +114,32 @@
 	struct node *node;
 
 	if (!json_object_is_type(span, json_type_object) ||
-	    text_of(span, "traceId")[0] == '\0' ||
-	    text_of(span, "spanId")[0] == '\0')
+	    get_string(span, "traceId")[0] == '\0' ||
+	    get_string(span, "spanId")[0] == '\0')
 		return false;
 	node = g_new0(struct node, 1);
-	node->trace_id = g_strdup(text_of(span, "traceId"));
-	node->span_id = g_strdup(text_of(span, "spanId"));
-	node->parent_id = g_strdup(text_of(span, "parentSpanId"));
-	node->label = g_strdup_printf("%s %s %s", text_of(span, "name"),
-	    attribute(span, "loom.kind"), attribute(span, "loom.host"));
-	node->start_ns = strtod(text_of(span, "startTimeUnixNano"), NULL);
-	node->total_ms =
-	    (strtod(text_of(span, "endTimeUnixNano"), NULL) - node->start_ns) /
+	node->trace_id = g_strdup(get_string(span, "traceId"));
+	node->span_id = g_strdup(get_string(span, "spanId"));
+	node->parent_id = g_strdup(get_string(span, "parentSpanId"));
+	node->label = g_strdup_printf("%s %s %s", get_string(span, "name"),
+	    get_attribute(span, "loom.kind"), get_attribute(span, "loom.host"));
+	node->start_ns = strtod(get_string(span, "startTimeUnixNano"), NULL);
+	node->total_ms = (strtod(get_string(span, "endTimeUnixNano"), NULL) -
+			     node->start_ns) /
 	    NS_PER_MS;
 	node->queue_ms =
-	    strtod(attribute(span, "loom.queue_us"), NULL) / US_PER_MS;
-	node->leg_ms = strtod(attribute(span, "loom.leg_us"), NULL) / US_PER_MS;
-	node->end = describe_end(span);
+	    strtod(get_attribute(span, "loom.queue_us"), NULL) / US_PER_MS;
+	node->leg_ms =
+	    strtod(get_attribute(span, "loom.leg_us"), NULL) / US_PER_MS;
+	node->result = format_result(span);
 	g_ptr_array_add(tree->nodes, node);
 	return true;
 }
 
+/* Calls add for each element of the member name, if that is an array; returns
+ * the number of spans added. */
 static guint
-add_list(struct span_tree *tree, struct json_object *object, const char *name,
+add_each(struct span_tree *tree, struct json_object *object, const char *name,
     guint (*add)(struct span_tree *, struct json_object *))
 {
 	struct json_object *list;
@@ -150,7 +155,7 @@
 }
 
 static guint
-add_one(struct span_tree *tree, struct json_object *span)
+add_one_span(struct span_tree *tree, struct json_object *span)
 {
 	return add_span(tree, span) ? 1 : 0;
 }
@@ -158,13 +163,13 @@
 static guint
 add_scope(struct span_tree *tree, struct json_object *scope)
 {
-	return add_list(tree, scope, "spans", add_one);
+	return add_each(tree, scope, "spans", add_one_span);
 }
 
 static guint
 add_resource(struct span_tree *tree, struct json_object *resource)
 {
-	return add_list(tree, resource, "scopeSpans", add_scope);
+	return add_each(tree, resource, "scopeSpans", add_scope);
 }
 
 guint
@@ -179,11 +184,11 @@
 		return 0;
 	}
 	if (json_object_object_get_ex(object, "span", &span))
-		taken = add_one(tree, span);
+		taken = add_one_span(tree, span);
 	else if (json_object_object_get_ex(object, "resourceSpans", NULL))
-		taken = add_list(tree, object, "resourceSpans", add_resource);
+		taken = add_each(tree, object, "resourceSpans", add_resource);
 	else
-		taken = add_one(tree, object);
+		taken = add_one_span(tree, object);
 	json_object_put(object);
 	return taken;
 }
@@ -205,7 +210,7 @@
 }
 
 static gint
-by_start(gconstpointer a, gconstpointer b)
+compare_by_start(gconstpointer a, gconstpointer b)
 {
 	const struct node *left = *(const struct node *const *)a;
 	const struct node *right = *(const struct node *const *)b;
@@ -215,9 +220,9 @@
 	    : left->start_ns > right->start_ns;
 }
 
-/* The nodes of a trace in the order of their start; owned. */
+/* Returns the nodes of a trace in the order of their start; owned. */
 static GPtrArray *
-of_trace(const struct span_tree *tree, const char *trace_id)
+trace_nodes(const struct span_tree *tree, const char *trace_id)
 {
 	GPtrArray *nodes = g_ptr_array_new();
 	struct node *node;
@@ -228,7 +233,7 @@
 		if (strcmp(node->trace_id, trace_id) == 0)
 			g_ptr_array_add(nodes, node);
 	}
-	g_ptr_array_sort(nodes, by_start);
+	g_ptr_array_sort(nodes, compare_by_start);
 	return nodes;
 }
 
@@ -247,10 +252,11 @@
 	return false;
 }
 
-/* depth is bounded by the count of nodes, so that spans which name each
- * other as parents end as well. */
+/* Draws a node and its descendants.  The depth is bounded by the number of
+ * nodes, because a malformed log can have spans that are parents of each other
+ * and the recursion would not end. */
 static void
-draw(
+draw_subtree(
     const GPtrArray *nodes, const struct node *node, guint depth, GString *text)
 {
 	const struct node *child;
@@ -260,14 +266,14 @@
 	g_string_append_printf(text,
 	    "%*s%-*s %9.3f ms  queue %8.3f  leg %9.3f  %s\n",
 	    (int)(depth * INDENT), "", MAX(width, 1), node->label,
-	    node->total_ms, node->queue_ms, node->leg_ms, node->end);
+	    node->total_ms, node->queue_ms, node->leg_ms, node->result);
 	if (depth >= nodes->len)
 		return;
 	for (i = 0; i < nodes->len; i++) {
 		child = g_ptr_array_index(nodes, i);
 		if (child != node &&
 		    strcmp(child->parent_id, node->span_id) == 0)
-			draw(nodes, child, depth + 1, text);
+			draw_subtree(nodes, child, depth + 1, text);
 	}
 }
 
@@ -275,7 +281,7 @@
 span_tree_draw(const struct span_tree *tree, const char *trace_id)
 {
 	GString *text = g_string_new(NULL);
-	GPtrArray *nodes = of_trace(tree, trace_id);
+	GPtrArray *nodes = trace_nodes(tree, trace_id);
 	const struct node *node;
 	guint i;
 
@@ -283,7 +289,7 @@
 	for (i = 0; i < nodes->len; i++) {
 		node = g_ptr_array_index(nodes, i);
 		if (!has_parent(nodes, node))
-			draw(nodes, node, 0, text);
+			draw_subtree(nodes, node, 0, text);
 	}
 	g_ptr_array_free(nodes, TRUE);
 	return g_string_free(text, FALSE);
--- a/src/trace/tree.h
+++ b/src/trace/tree.h
@@ -2,7 +2,7 @@
 #define LOOM_TRACE_TREE_H
 
 /*
- * The spans of one request, joined into a tree and drawn as text.
+ * Builds the trees of spans of traced requests and draws them as text.
  */
 
 #include <glib.h>
@@ -14,20 +14,21 @@
 void span_tree_free(struct span_tree *);
 
 /*
- * Take one line: a daemon's log line with a span, an OTLP span, or an OTLP
- * export with many.  Lines of any other kind are passed over.  Returns how
- * many spans were taken.
+ * Adds the spans of one line: a daemon's log line with a span, an OTLP span,
+ * or an OTLP export request with many.  Other lines are ignored.  Returns the
+ * number of spans added.
  */
 guint span_tree_add_line(struct span_tree *, const char *line);
 
-/* The trace ids seen, each once, in the order of their first span; borrowed
- * strings in an array owned by the caller. */
+/* Lists the distinct trace ids in the order of their first span.  The caller
+ * owns the array; the strings are borrowed. */
 GPtrArray *span_tree_traces(const struct span_tree *);
 
 /*
- * Draw one trace: a line a span, indented below its parent, with total, queue
- * and leg times in milliseconds, status, code and outcome.  A span whose
- * parent was not seen stands at the left.  Owned by the caller, g_free.
+ * Draws one trace, one line per span, indented below its parent, with total,
+ * queue and leg times in milliseconds and the status, or the code and outcome
+ * of a refusal.  A span whose parent is not in the logs is drawn as a root.
+ * Owned by the caller, g_free.
  */
 char *span_tree_draw(const struct span_tree *, const char *trace_id);
 
--- a/tests/trace/test_tally.c
+++ b/tests/trace/test_tally.c
@@ -1,5 +1,5 @@
 /*
- * Calls counted from log lines.
+ * Counting of calls in log lines.
  */
 
 #include <string.h>
@@ -8,7 +8,8 @@
 #include "trace/tally.h"
 
 static const char *const lines[] = {
-	/* an entry refuses a root for the sake of a service below */
+	/* an entry refuses a caller's request because a service that it would
+	 * call is overloaded */
 	"{\"time\":\"2026-01-02T03:04:05.1Z\",\"event\":\"call\","
 	"\"stage\":\"entry\",\"end\":\"refused\",\"result\":\"BELOW_FULL\","
 	"\"service\":\"orders\",\"inner\":false,\"below\":\"sites\","
@@ -17,7 +18,7 @@
 	"\"stage\":\"entry\",\"end\":\"refused\",\"result\":\"BELOW_FULL\","
 	"\"service\":\"orders\",\"inner\":false,\"below\":\"sites\","
 	"\"below_share\":0.125,\"waiting\":0}",
-	/* a call of a request that was let in, behind somebody's prefix */
+	/* a call of an admitted request; the line has a prefix */
 	"  1.2 host-7 {\"time\":\"2026-01-02T03:04:05.2Z\","
 	"\"event\":\"call\",\"stage\":\"entry\",\"end\":\"refused\","
 	"\"result\":\"OVERLOAD\",\"service\":\"sites\",\"inner\":true,"
@@ -28,7 +29,7 @@
 	"{\"time\":\"2026-01-02T03:04:05.4Z\",\"event\":\"call\","
 	"\"stage\":\"entry\",\"end\":\"broken\",\"result\":null,"
 	"\"status\":0,\"service\":\"orders\",\"inner\":false}",
-	/* others are passed over */
+	/* lines that are ignored */
 	"{\"time\":\"2026-01-02T03:04:05.4Z\",\"event\":\"limit\",\"is\":3}",
 	"{\"event\":\"call\"",
 	"no json",
@@ -36,10 +37,10 @@
 	"[1]",
 };
 
-#define CALL_LINES 5
+#define CALL_LINE_COUNT 5
 
 static char *
-table_of(bool by_second)
+build_table(bool by_second)
 {
 	struct call_tally *tally = call_tally_new(by_second);
 	unsigned taken = 0;
@@ -48,7 +49,7 @@
 
 	for (i = 0; i < G_N_ELEMENTS(lines); i++)
 		taken += call_tally_add_line(tally, lines[i]);
-	CU_ASSERT_EQUAL(taken, CALL_LINES);
+	CU_ASSERT_EQUAL(taken, CALL_LINE_COUNT);
 	table = call_tally_table(tally);
 	call_tally_free(tally);
 	return table;
@@ -57,7 +58,7 @@
 static void
 test_by_ending(void)
 {
-	char *table = table_of(false);
+	char *table = build_table(false);
 
 	CU_ASSERT_STRING_EQUAL(table,
 	    "stage\tservice\tscope\tending\tcalls\twaiting\tshare\n"
@@ -71,7 +72,7 @@
 static void
 test_by_second(void)
 {
-	char *table = table_of(true);
+	char *table = build_table(true);
 
 	CU_ASSERT(g_str_has_prefix(table, "second\tstage\t"));
 	CU_ASSERT_PTR_NOT_NULL(strstr(table,
@@ -83,7 +84,7 @@
 }
 
 static void
-test_nothing(void)
+test_empty(void)
 {
 	struct call_tally *tally = call_tally_new(false);
 	char *table = call_tally_table(tally);
@@ -97,7 +98,7 @@
 static const struct test_case tests[] = {
 	{ "by ending", test_by_ending },
 	{ "by second", test_by_second },
-	{ "nothing", test_nothing },
+	{ "no lines", test_empty },
 };
 
 TEST_MAIN("tally", tests)
--- a/tests/trace/test_tree.c
+++ b/tests/trace/test_tree.c
@@ -1,5 +1,5 @@
 /*
- * Spans joined into trees: which lines are taken, and how a tree is drawn.
+ * Trees of spans: which lines are accepted, and how a tree is drawn.
  */
 
 #include <glib/gstdio.h>
@@ -12,7 +12,7 @@
 #define TRACE_A "0af7651916cd43dd8448eb211c80319c"
 #define TRACE_B "1bf7651916cd43dd8448eb211c80319c"
 
-/* A span with times in milliseconds; parent may be "". */
+/* Formats a span as OTLP JSON; parent is "" for a root.  Owned. */
 static char *
 span(const char *trace, const char *id, const char *parent, const char *name,
     unsigned start_ms, unsigned end_ms)
@@ -71,10 +71,10 @@
 	g_free(one);
 }
 
-/* Each row names its spans as "ID PARENT START NAME"; expected are the names
- * in their order, with a dot for each level below the root. */
+/* expected lists the names of the spans in the order drawn, each preceded by
+ * one dot for each level below the root. */
 static void
-test_shapes(void)
+test_tree_shapes(void)
 {
 	static const struct {
 		const char *name;
@@ -135,10 +135,10 @@
 	}
 }
 
-/* Two spans that name each other as parents come from a broken log; drawing
- * must end. */
+/* Two spans of a malformed log name each other as parent: drawing must not
+ * recurse without end. */
 static void
-test_circle(void)
+test_parent_cycle(void)
 {
 	struct span_tree *tree = span_tree_new();
 	char *one = span(TRACE_A, "1", "2", "a", 0, 1);
@@ -156,7 +156,7 @@
 }
 
 static void
-test_traces_apart(void)
+test_trace_ids(void)
 {
 	struct span_tree *tree = span_tree_new();
 	char *lines[] = {
@@ -180,7 +180,7 @@
 	span_tree_free(tree);
 }
 
-/* What a daemon writes is what the tree reads. */
+/* The tree reads spans as the daemon encodes them. */
 static void
 test_round_trip(void)
 {
@@ -234,9 +234,9 @@
 	}
 }
 
-/* Run loom-trace over a file; its output and exit status. */
+/* Runs loom-trace; returns its output, owned, and its wait status. */
 static char *
-run_tool(const char *const *args, int *status)
+run_loom_trace(const char *const *args, int *status)
 {
 	const char *bin = g_getenv("LOOM_BIN");
 	GPtrArray *argv = g_ptr_array_new();
@@ -258,7 +258,7 @@
 }
 
 static void
-test_tool(void)
+test_loom_trace(void)
 {
 	char *dir = g_dir_make_tmp("loom-trace-XXXXXX", NULL);
 	char *file = g_build_filename(dir, "log", NULL);
@@ -282,7 +282,7 @@
 
 	g_file_set_contents(file, text, -1, NULL);
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
-		out = run_tool(cases[i].args, &status);
+		out = run_loom_trace(cases[i].args, &status);
 		TEST_CHECK((status == 0) == cases[i].ok &&
 			strstr(out, cases[i].with) != NULL &&
 			strstr(out, cases[i].without) == NULL,
@@ -299,12 +299,12 @@
 }
 
 static const struct test_case tests[] = {
-	{ "lines that are taken", test_lines },
-	{ "shapes", test_shapes },
-	{ "spans in a circle", test_circle },
-	{ "traces apart", test_traces_apart },
-	{ "what a daemon writes", test_round_trip },
-	{ "loom-trace", test_tool },
+	{ "accepted lines", test_lines },
+	{ "tree shapes", test_tree_shapes },
+	{ "parent cycle", test_parent_cycle },
+	{ "trace ids", test_trace_ids },
+	{ "spans encoded by the daemon", test_round_trip },
+	{ "loom-trace", test_loom_trace },
 };
 
 TEST_MAIN("trace tree", tests)
