--- a/src/load/arrivals.c
+++ b/src/load/arrivals.c
@@ -1,7 +1,8 @@
 /*
- * Between two changes of the rate, gaps are exponential.  The process has no
- * memory, so what is left of a gap at a change goes on at the new rate: the
- * draw is of the area below the rate, not of the time.
+ * Poisson process with a piecewise constant rate.  The expected number of
+ * arrivals until the next one, the integral of the rate over the gap, is drawn
+ * from the exponential distribution with mean 1.  If the rate changes within
+ * the gap, what remains of that number continues at the new rate.
  */
 
 #include <math.h>
@@ -29,7 +30,8 @@
 	return rate;
 }
 
-/* The next time after at_us at which some surge begins or ends. */
+/* The next time after at_us at which a surge begins or ends; INFINITY when
+ * there is none. */
 static double
 next_change_us(const struct load_arrivals *arrivals, double at_us)
 {
@@ -50,22 +52,22 @@
 uint64_t
 load_arrivals_next(struct load_arrivals *arrivals)
 {
-	double left = -log(1 - g_rand_double(arrivals->rand));
+	double remaining = -log(1 - g_rand_double(arrivals->rand));
 	double rate_per_us, change_us;
 
 	for (;;) {
 		rate_per_us =
-		    load_arrivals_rate_per_s(arrivals, arrivals->at_us) /
+		    load_arrivals_rate_per_s(arrivals, arrivals->time_us) /
 		    US_PER_S;
-		change_us = next_change_us(arrivals, arrivals->at_us);
+		change_us = next_change_us(arrivals, arrivals->time_us);
 		if (rate_per_us > 0 &&
-		    arrivals->at_us + left / rate_per_us < change_us) {
-			arrivals->at_us += left / rate_per_us;
-			return (uint64_t)arrivals->at_us;
+		    arrivals->time_us + remaining / rate_per_us < change_us) {
+			arrivals->time_us += remaining / rate_per_us;
+			return (uint64_t)arrivals->time_us;
 		}
 		if (isinf(change_us))
 			return LOAD_NEVER;
-		left -= rate_per_us * (change_us - arrivals->at_us);
-		arrivals->at_us = change_us;
+		remaining -= rate_per_us * (change_us - arrivals->time_us);
+		arrivals->time_us = change_us;
 	}
 }
--- a/src/load/arrivals.h
+++ b/src/load/arrivals.h
@@ -2,31 +2,32 @@
 #define LOOM_LOAD_ARRIVALS_H
 
 /*
- * Open-loop arrivals: a Poisson process whose rate is changed by surges.  It
- * does not wait for answers, as many independent callers do not: a closed loop
- * would slow down with the system and hide its overload.
+ * Open-loop arrivals: a Poisson process whose rate is changed by surges.  Like
+ * many independent callers, it does not wait for answers.  A closed loop would
+ * slow down together with the system under test and hide its overload.
  */
 
 #include <glib.h>
 
 #include "load/settings.h"
 
+/* The time of an arrival that never comes. */
 #define LOAD_NEVER UINT64_MAX
 
 struct load_arrivals {
 	GRand *rand; /* borrowed */
-	const char *team; /* borrowed: whose surges count */
+	const char *team; /* borrowed; surges of other teams are ignored */
 	double rate_per_s;
 	const struct load_surge *surges; /* borrowed */
 	uint32_t nsurges;
-	double at_us; /* the last arrival */
+	double time_us; /* of the last arrival */
 };
 
-/* The next arrival, in microseconds since the start of the run; LOAD_NEVER
- * when there is none. */
+/* Draws the next arrival, in microseconds since the start of the run;
+ * LOAD_NEVER when the rate stays 0. */
 uint64_t load_arrivals_next(struct load_arrivals *);
 
-/* The rate offered at a time. */
+/* The rate at a time, with the surges then in effect. */
 double load_arrivals_rate_per_s(const struct load_arrivals *, double at_us);
 
 #endif
--- a/src/load/bucket.c
+++ b/src/load/bucket.c
@@ -1,29 +1,25 @@
-/*
- * An ideal token bucket.
- */
-
 #include "load/bucket.h"
 
 #define US_PER_S 1e6
 
 void
-load_bucket_init(struct load_bucket *bucket, double rate_per_s, double burst,
-    uint64_t now_us)
+load_token_bucket_init(struct load_token_bucket *bucket, double rate_per_s,
+    double burst, uint64_t now_us)
 {
-	*bucket = (struct load_bucket){
+	*bucket = (struct load_token_bucket){
 		.rate_per_s = rate_per_s,
 		.burst = burst,
 		.level = burst,
-		.at_us = now_us,
+		.updated_us = now_us,
 	};
 }
 
 bool
-load_bucket_take(struct load_bucket *bucket, uint64_t now_us)
+load_token_bucket_try_take(struct load_token_bucket *bucket, uint64_t now_us)
 {
-	bucket->level +=
-	    (double)(now_us - bucket->at_us) * bucket->rate_per_s / US_PER_S;
-	bucket->at_us = now_us;
+	bucket->level += (double)(now_us - bucket->updated_us) *
+	    bucket->rate_per_s / US_PER_S;
+	bucket->updated_us = now_us;
 	if (bucket->level > bucket->burst)
 		bucket->level = bucket->burst;
 	if (bucket->level < 1)
--- a/src/load/latency.c
+++ b/src/load/latency.c
@@ -1,37 +1,38 @@
 /*
- * Percentiles by nearest rank: always a time that was measured.
+ * Percentiles by nearest rank, so that each is a time that was measured.
  */
 
 #include <math.h>
 
 #include "load/latency.h"
 
-/* Keeps 99.9 % of 1000 at rank 999: 99.9 has no exact binary form. */
+/* 99.9 has no exact binary representation: without this, the 99.9th percentile
+ * of 1000 samples could get rank 1000 instead of 999. */
 #define ROUNDING 1e-9
 
 void
 load_latency_init(struct load_latency *latency)
 {
-	latency->us = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+	latency->samples_us = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 }
 
 void
 load_latency_clear(struct load_latency *latency)
 {
-	g_array_free(latency->us, TRUE);
-	latency->us = NULL;
+	g_array_free(latency->samples_us, TRUE);
+	latency->samples_us = NULL;
 }
 
 void
 load_latency_add(struct load_latency *latency, uint64_t us)
 {
-	uint32_t kept = us > UINT32_MAX ? UINT32_MAX : (uint32_t)us;
+	uint32_t sample = us > UINT32_MAX ? UINT32_MAX : (uint32_t)us;
 
-	g_array_append_val(latency->us, kept);
+	g_array_append_val(latency->samples_us, sample);
 }
 
 static gint
-compare(gconstpointer a, gconstpointer b)
+compare_samples(gconstpointer a, gconstpointer b)
 {
 	const uint32_t left = *(const uint32_t *)a;
 	const uint32_t right = *(const uint32_t *)b;
@@ -42,13 +43,13 @@
 uint32_t
 load_latency_percentile(struct load_latency *latency, double percent)
 {
-	guint n = latency->us->len;
+	guint n = latency->samples_us->len;
 	guint rank;
 
 	if (n == 0)
 		return 0;
-	g_array_sort(latency->us, compare);
+	g_array_sort(latency->samples_us, compare_samples);
 	rank = (guint)ceil(percent * n / 100 - ROUNDING);
 	rank = CLAMP(rank, 1, n);
-	return g_array_index(latency->us, uint32_t, rank - 1);
+	return g_array_index(latency->samples_us, uint32_t, rank - 1);
 }
--- a/src/load/ledger.c
+++ b/src/load/ledger.c
@@ -1,5 +1,5 @@
 /*
- * The check of claims against ledgers.
+ * Checks claims against the ledgers of the upstreams.
  */
 
 #include <errno.h>
@@ -9,19 +9,19 @@
 
 #include "load/ledger.h"
 
-enum word {
-	WORD_EVENT,
-	WORD_ID,
-	WORD_METHOD,
-	WORD_PATH,
-	WORDS,
+enum column {
+	COLUMN_EVENT,
+	COLUMN_ID,
+	COLUMN_METHOD,
+	COLUMN_PATH,
+	COLUMNS,
 };
 
 struct load_ledger {
 	GHashTable *started_ids; /* set of "ID" */
 	GHashTable *done; /* set of "REQUEST METHOD PATH" */
-	GHashTable *starts; /* "REQUEST METHOD PATH": guint, how often */
-	uint64_t nstarts;
+	GHashTable *start_counts; /* "REQUEST METHOD PATH": guint */
+	uint64_t total_starts;
 };
 
 struct load_ledger *
@@ -33,7 +33,7 @@
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	ledger->done =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	ledger->starts =
+	ledger->start_counts =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	return ledger;
 }
@@ -43,24 +43,25 @@
 {
 	g_hash_table_destroy(ledger->started_ids);
 	g_hash_table_destroy(ledger->done);
-	g_hash_table_destroy(ledger->starts);
+	g_hash_table_destroy(ledger->start_counts);
 	g_free(ledger);
 }
 
-/* REQUEST of an id "REQUEST.PART".  Owned. */
+/* Returns REQUEST of an id "REQUEST.PART".  Owned. */
 static char *
-request_of(const char *id)
+copy_request_id(const char *id)
 {
 	const char *dot = strrchr(id, '.');
 
 	return dot != NULL ? g_strndup(id, (gsize)(dot - id)) : g_strdup(id);
 }
 
-/* "REQUEST METHOD PATH"; a ledger has paths without their query.  Owned. */
+/* Formats "REQUEST METHOD PATH" without the query, which ledgers leave out.
+ * Owned. */
 static char *
-run_key(const char *id, const char *method, const char *path)
+format_run_key(const char *id, const char *method, const char *path)
 {
-	char *request = request_of(id);
+	char *request = copy_request_id(id);
 	char *key = g_strdup_printf(
 	    "%s %s %.*s", request, method, (int)strcspn(path, "?"), path);
 
@@ -68,17 +69,17 @@
 	return key;
 }
 
-/* key is taken over. */
+/* Takes ownership of key. */
 static void
 add_start(struct load_ledger *ledger, const char *id, char *key)
 {
-	guint *count = g_hash_table_lookup(ledger->starts, key);
+	guint *count = g_hash_table_lookup(ledger->start_counts, key);
 
-	ledger->nstarts++;
+	ledger->total_starts++;
 	g_hash_table_add(ledger->started_ids, g_strdup(id));
 	if (count == NULL) {
 		count = g_new0(guint, 1);
-		g_hash_table_insert(ledger->starts, key, count);
+		g_hash_table_insert(ledger->start_counts, key, count);
 	} else {
 		g_free(key);
 	}
@@ -88,21 +89,22 @@
 void
 load_ledger_add_line(struct load_ledger *ledger, const char *line)
 {
-	char **words = g_strsplit_set(line, " \n", -1);
+	char **columns = g_strsplit_set(line, " \n", -1);
 	char *key;
 
-	if (g_strv_length(words) < WORDS || words[WORD_ID][0] == '\0') {
-		g_strfreev(words);
+	if (g_strv_length(columns) < COLUMNS || columns[COLUMN_ID][0] == '\0') {
+		g_strfreev(columns);
 		return;
 	}
-	key = run_key(words[WORD_ID], words[WORD_METHOD], words[WORD_PATH]);
-	if (strcmp(words[WORD_EVENT], "start") == 0)
-		add_start(ledger, words[WORD_ID], key);
-	else if (strcmp(words[WORD_EVENT], "done") == 0)
+	key = format_run_key(
+	    columns[COLUMN_ID], columns[COLUMN_METHOD], columns[COLUMN_PATH]);
+	if (strcmp(columns[COLUMN_EVENT], "start") == 0)
+		add_start(ledger, columns[COLUMN_ID], key);
+	else if (strcmp(columns[COLUMN_EVENT], "done") == 0)
 		g_hash_table_add(ledger->done, key);
 	else
 		g_free(key);
-	g_strfreev(words);
+	g_strfreev(columns);
 }
 
 bool
@@ -125,7 +127,7 @@
 uint64_t
 load_ledger_starts(const struct load_ledger *ledger)
 {
-	return ledger->nstarts;
+	return ledger->total_starts;
 }
 
 static void
@@ -143,22 +145,24 @@
 check_claim(const struct load_ledger *ledger, const struct load_claim *claim,
     GArray *list)
 {
-	char *key = run_key(claim->id, claim->method, claim->path);
+	char *key = format_run_key(claim->id, claim->method, claim->path);
 
-	/* A kept answer may be of an earlier attempt, so whether it was done
-	 * is asked of the whole request. */
+	/* With a ticket, the answer may be a stored one of an earlier attempt.
+	 * Therefore any part of the request may have done it. */
 	if (claim->answered) {
 		if (!g_hash_table_contains(ledger->done, key))
-			add_violation(list, LOAD_ANSWER_MISSING, claim->id);
+			add_violation(
+			    list, LOAD_VIOLATION_ANSWER_MISSING, claim->id);
 	} else if (claim->outcome == LOOM_OUTCOME_NOT_RUN &&
 	    g_hash_table_contains(ledger->started_ids, claim->id)) {
-		add_violation(list, LOAD_NOT_RUN_RAN, claim->id);
+		add_violation(list, LOAD_VIOLATION_NOT_RUN_RAN, claim->id);
 	}
 	g_free(key);
 }
 
+/* Whether the route of a run key is in the list once. */
 static bool
-may_run_once(const char *key, const char *const *once)
+is_at_most_once(const char *key, const char *const *once)
 {
 	const char *route = strchr(key, ' ') + 1;
 
@@ -169,7 +173,7 @@
 	return false;
 }
 
-/* The set of requests that claims are about.  Owned. */
+/* Returns the set of requests that have claims.  Owned. */
 static GHashTable *
 claimed_requests(const GArray *claims)
 {
@@ -179,11 +183,13 @@
 
 	for (i = 0; i < claims->len; i++)
 		g_hash_table_add(requests,
-		    request_of(g_array_index(claims, struct load_claim, i).id));
+		    copy_request_id(
+			g_array_index(claims, struct load_claim, i).id));
 	return requests;
 }
 
-/* Ledgers may hold other runs too: only claimed requests are looked at. */
+/* Finds requests that were started more often than once.  A ledger may contain
+ * other runs too, so requests without claims are ignored. */
 static void
 check_starts(const struct load_ledger *ledger, const GArray *claims,
     const char *const *once, GArray *list)
@@ -193,13 +199,13 @@
 	void *key, *count;
 	char *request;
 
-	g_hash_table_iter_init(&iter, ledger->starts);
+	g_hash_table_iter_init(&iter, ledger->start_counts);
 	while (g_hash_table_iter_next(&iter, &key, &count)) {
-		if (*(const guint *)count <= 1 || !may_run_once(key, once))
+		if (*(const guint *)count <= 1 || !is_at_most_once(key, once))
 			continue;
 		request = g_strndup(key, strcspn(key, " "));
 		if (g_hash_table_contains(requests, request))
-			add_violation(list, LOAD_RAN_TWICE, key);
+			add_violation(list, LOAD_VIOLATION_RAN_TWICE, key);
 		g_free(request);
 	}
 	g_hash_table_destroy(requests);
@@ -232,10 +238,10 @@
 const char *
 load_violation_name(enum load_violation_kind kind)
 {
-	static const char *const names[LOAD_VIOLATIONS] = {
-		[LOAD_NOT_RUN_RAN] = "not-run-ran",
-		[LOAD_RAN_TWICE] = "ran-twice",
-		[LOAD_ANSWER_MISSING] = "answer-missing",
+	static const char *const names[LOAD_VIOLATION_KINDS] = {
+		[LOAD_VIOLATION_NOT_RUN_RAN] = "not-run-ran",
+		[LOAD_VIOLATION_RAN_TWICE] = "ran-twice",
+		[LOAD_VIOLATION_ANSWER_MISSING] = "answer-missing",
 	};
 
 	return names[kind];
--- a/src/load/report.c
+++ b/src/load/report.c
@@ -1,5 +1,5 @@
 /*
- * A run's results as a table and as JSON.
+ * Formats the results of a run as tables and as JSON.
  */
 
 #include "load/results.h"
@@ -10,7 +10,7 @@
 static const double percentiles[] = { 50, 90, 99, 100 };
 
 static uint64_t
-all_good(const struct load_results *results)
+total_good(const struct load_results *results)
 {
 	uint64_t good = 0;
 	uint32_t i;
@@ -25,12 +25,12 @@
 {
 	if (results->elapsed_us == 0)
 		return 0;
-	return (double)all_good(results) * US_PER_S /
+	return (double)total_good(results) * US_PER_S /
 	    (double)results->elapsed_us;
 }
 
 static double
-share(const struct load_counts *counts)
+good_share(const struct load_counts *counts)
 {
 	if (counts->offered == 0)
 		return 1;
@@ -38,13 +38,13 @@
 }
 
 static double
-worst_share(const struct load_results *results)
+worst_team_share(const struct load_results *results)
 {
 	double worst = 1;
 	guint i;
 
 	for (i = 0; i < results->settings->teams->len; i++)
-		worst = MIN(worst, share(&results->teams[i].counts));
+		worst = MIN(worst, good_share(&results->teams[i].counts));
 	return worst;
 }
 
@@ -62,15 +62,16 @@
 	    "%-20s %8" G_GUINT64_FORMAT " %8" G_GUINT64_FORMAT
 	    " %7.2f%% %8" G_GUINT64_FORMAT " %8" G_GUINT64_FORMAT
 	    " %8" G_GUINT64_FORMAT " %8" G_GUINT64_FORMAT,
-	    name, counts->offered, counts->good, share(counts) * 100,
+	    name, counts->offered, counts->good, good_share(counts) * 100,
 	    counts->late, counts->refused, counts->failed, counts->unsent);
 }
 
 static void
-print_head(const char *name, const char *rest, FILE *out)
+print_header(const char *name, const char *extra_columns, FILE *out)
 {
 	fprintf(out, "\n%-20s %8s %8s %8s %8s %8s %8s %8s%s\n", name, "offered",
-	    "good", "share", "late", "refused", "failed", "unsent", rest);
+	    "good", "share", "late", "refused", "failed", "unsent",
+	    extra_columns);
 }
 
 static void
@@ -78,7 +79,7 @@
 {
 	uint32_t i, j;
 
-	print_head("importance", "   p50 ms   p90 ms   p99 ms   max ms", out);
+	print_header("importance", "   p50 ms   p90 ms   p99 ms   max ms", out);
 	for (i = 0; i < LOAD_IMPORTANCES; i++) {
 		if (results->counts[i].offered == 0)
 			continue;
@@ -96,7 +97,7 @@
 	const struct load_team_results *team;
 	guint i;
 
-	print_head("team", " attempts   within wrongful", out);
+	print_header("team", " attempts   within wrongful", out);
 	for (i = 0; i < results->settings->teams->len; i++) {
 		team = &results->teams[i];
 		print_counts(team->team->name, &team->counts, out);
@@ -110,7 +111,7 @@
 static void
 print_refusals(const struct load_results *results, FILE *out)
 {
-	const struct load_refused *refused;
+	const struct load_refusal_count *refused;
 	guint i;
 
 	if (results->refusals->len == 0)
@@ -118,8 +119,8 @@
 	fprintf(out, "\n%-6s %-20s %-8s %8s\n", "code", "refusal", "outcome",
 	    "attempts");
 	for (i = 0; i < results->refusals->len; i++) {
-		refused =
-		    &g_array_index(results->refusals, struct load_refused, i);
+		refused = &g_array_index(
+		    results->refusals, struct load_refusal_count, i);
 		fprintf(out, "%-6d %-20s %-8s %8" G_GUINT64_FORMAT "\n",
 		    (int)refused->code, loom_result_info(refused->code)->name,
 		    loom_outcome_name(refused->outcome), refused->attempts);
@@ -153,7 +154,7 @@
 	int64_t recovery_ms = load_results_recovery_ms(results);
 
 	fprintf(out, "goodput %.1f/s  worst team %.2f%%",
-	    goodput_per_s(results), worst_share(results) * 100);
+	    goodput_per_s(results), worst_team_share(results) * 100);
 	if (results->settings->surges->len > 0 && recovery_ms >= 0)
 		fprintf(out, "  recovered after %" G_GINT64_FORMAT " ms",
 		    recovery_ms);
@@ -180,7 +181,7 @@
 }
 
 static void
-add_text(struct json_object *object, const char *name, const char *text)
+add_string(struct json_object *object, const char *name, const char *text)
 {
 	json_object_object_add(object, name, json_object_new_string(text));
 }
@@ -190,10 +191,10 @@
 {
 	struct json_object *object = json_object_new_object();
 
-	add_text(object, "name", name);
+	add_string(object, "name", name);
 	add_u64(object, "offered", counts->offered);
 	add_u64(object, "good", counts->good);
-	add_real(object, "share", share(counts));
+	add_real(object, "share", good_share(counts));
 	add_u64(object, "late", counts->late);
 	add_u64(object, "refused", counts->refused);
 	add_u64(object, "failed", counts->failed);
@@ -244,17 +245,18 @@
 refusals_json(const struct load_results *results)
 {
 	struct json_object *list = json_object_new_array();
-	const struct load_refused *refused;
+	const struct load_refusal_count *refused;
 	struct json_object *object;
 	guint i;
 
 	for (i = 0; i < results->refusals->len; i++) {
-		refused =
-		    &g_array_index(results->refusals, struct load_refused, i);
+		refused = &g_array_index(
+		    results->refusals, struct load_refusal_count, i);
 		object = json_object_new_object();
 		add_u64(object, "code", (uint64_t)refused->code);
-		add_text(object, "name", loom_result_info(refused->code)->name);
-		add_text(
+		add_string(
+		    object, "name", loom_result_info(refused->code)->name);
+		add_string(
 		    object, "outcome", loom_outcome_name(refused->outcome));
 		add_u64(object, "attempts", refused->attempts);
 		json_object_array_add(list, object);
@@ -275,8 +277,8 @@
 		violation = &g_array_index(
 		    results->violations, struct load_violation, i);
 		entry = json_object_new_object();
-		add_text(entry, "kind", load_violation_name(violation->kind));
-		add_text(entry, "what", violation->text);
+		add_string(entry, "kind", load_violation_name(violation->kind));
+		add_string(entry, "what", violation->text);
 		json_object_array_add(list, entry);
 	}
 	add_u64(object, "claims", results->claims->len);
@@ -292,7 +294,7 @@
 	int64_t recovery_ms = load_results_recovery_ms(results);
 
 	add_real(object, "goodput_per_s", goodput_per_s(results));
-	add_real(object, "worst_team_share", worst_share(results));
+	add_real(object, "worst_team_share", worst_team_share(results));
 	json_object_object_add(object, "recovery_ms",
 	    recovery_ms < 0 ? NULL : json_object_new_int64(recovery_ms));
 	json_object_object_add(
--- a/src/load/request.c
+++ b/src/load/request.c
@@ -1,8 +1,9 @@
 /*
- * Sending, and sending again.
+ * Sends requests and retries them.
  *
- * Time counts from the arrival, not from when the tool came to send it: else a
- * slow tool would hide the waits that it caused itself.
+ * Latency and deadline count from the scheduled arrival, not from when the
+ * request was sent.  Otherwise delays in the tool itself would be hidden
+ * (coordinated omission).
  */
 
 #include <string.h>
@@ -11,40 +12,40 @@
 #include "load/step.h"
 #include "loom/clock.h"
 
-/* After its deadline a request is still given this long to learn its outcome:
- * a refusal takes a moment to come back. */
-#define GRACE_US (2 * LOOM_US_PER_S)
+/* The timeout of an attempt is this much later than the deadline, because the
+ * refusal that tells the outcome takes some time to arrive. */
+#define OUTCOME_GRACE_US (2 * LOOM_US_PER_S)
 
-/* A problem document is shorter. */
+/* Bytes of a problem document that are kept; all documents are shorter. */
 #define PROBLEM_MAX 4096
 
-#define TEXT_SIZE 48
-#define HEADERS 5
+#define HEADER_VALUE_SIZE 48
+#define HEADER_COUNT 5
 
 struct request {
 	struct load_client *client; /* borrowed */
 	const struct load_route *route; /* borrowed */
 	uint32_t team;
 	uint64_t number;
-	uint32_t part; /* new with each ticket, or each attempt without */
+	uint32_t part; /* new for each ticket, or attempt without one */
 	uint32_t attempts_left;
-	uint64_t arrived_us; /* since the start */
-	uint64_t deadline_us; /* since the start */
+	uint64_t arrived_us; /* since the start of the run */
+	uint64_t deadline_us; /* since the start of the run */
 	char ticket[sizeof(((struct loom_refusal *)0)->ticket)];
-	bool maybe_ran; /* an earlier attempt of this part is unknown */
-	/* Of the attempt under way. */
-	bool within; /* the ideal bucket let it in */
+	bool maybe_ran; /* an earlier attempt of this part ended unknown */
+	/* State of the current attempt. */
+	bool within; /* the reference bucket had a token */
 	uint64_t body_left;
 	struct loom_fetch *fetch; /* borrowed */
 	uint16_t status;
-	bool problem; /* loomd itself answers */
-	GString *body; /* owned: the start of a problem document */
+	bool is_problem; /* the answer is a refusal by loomd */
+	GString *body; /* owned: problem document, up to PROBLEM_MAX */
 };
 
 static void send_attempt(struct request *request);
 
 static const struct load_team *
-team_of(const struct request *request)
+get_team(const struct request *request)
 {
 	return &g_array_index(
 	    request->client->settings->teams, struct load_team, request->team);
@@ -64,46 +65,47 @@
 }
 
 static void
-end_request(struct request *request, enum load_finish finish)
+finish_request(struct request *request, enum load_finish finish)
 {
-	load_results_finish(request->client->results, request->team,
+	load_results_count_finished(request->client->results, request->team,
 	    request->route, finish, request->arrived_us,
 	    now_us(request) - request->arrived_us);
-	request->client->open--;
+	request->client->in_flight--;
 	talloc_free(request);
 }
 
 static char *
-part_id(const struct request *request)
+format_part_id(const struct request *request)
 {
 	return g_strdup_printf("%s-%" G_GUINT64_FORMAT ".%u",
-	    request->client->tag, request->number, request->part);
+	    request->client->id_prefix, request->number, request->part);
 }
 
-/* The last word on the present part. */
+/* Records what the caller was finally told about the current part. */
 static void
-claim_part(struct request *request, const struct load_attempt *attempt)
+record_claim(struct request *request, const struct load_attempt *attempt)
 {
 	struct load_claim claim = {
-		.id = part_id(request),
+		.id = format_part_id(request),
 		.method = request->route->method,
 		.path = request->route->path,
-		.answered = attempt->end == LOAD_END_ANSWER,
-		.outcome = load_outcome(attempt),
+		.answered = attempt->end == LOAD_END_SUCCESS,
+		.outcome = load_attempt_outcome(attempt),
 	};
 
-	/* That a connection failed is this tool's own word: it says nothing
-	 * of the attempts before. */
-	if (attempt->end == LOAD_END_BROKEN && request->maybe_ran)
+	/* If this attempt failed to connect, it did not run, but an earlier
+	 * attempt of the same part may have. */
+	if (attempt->end == LOAD_END_INCOMPLETE && request->maybe_ran)
 		claim.outcome = LOOM_OUTCOME_UNKNOWN;
-	load_results_claim(request->client->results, &claim);
+	load_results_add_claim(request->client->results, &claim);
 }
 
 static enum load_finish
-finish_of(const struct request *request, const struct load_attempt *attempt)
+classify_finish(
+    const struct request *request, const struct load_attempt *attempt)
 {
 	switch (attempt->end) {
-	case LOAD_END_ANSWER:
+	case LOAD_END_SUCCESS:
 		return now_us(request) <= request->deadline_us
 		    ? LOAD_FINISH_GOOD
 		    : LOAD_FINISH_LATE;
@@ -114,23 +116,23 @@
 	}
 }
 
-static struct load_progress
-progress_of(const struct request *request)
+static struct load_request_state
+get_request_state(const struct request *request)
 {
 	uint64_t now = now_us(request);
 
-	return (struct load_progress){
-		.retry = (enum load_retry)team_of(request)->retry,
+	return (struct load_request_state){
+		.retry = (enum load_retry_policy)get_team(request)->retry,
 		.attempts_left = request->attempts_left,
-		.ticketed = request->route->ticket,
+		.needs_ticket = request->route->ticket,
 		.has_ticket = request->ticket[0] != '\0',
-		.left_us =
+		.remaining_us =
 		    now < request->deadline_us ? request->deadline_us - now : 0,
 	};
 }
 
 static void
-again(struct tevent_context *ev, struct tevent_timer *timer,
+on_retry_timer(struct tevent_context *ev, struct tevent_timer *timer,
     struct timeval when, void *arg)
 {
 	(void)ev;
@@ -139,6 +141,7 @@
 	send_attempt(arg);
 }
 
+/* Starts a new part; ticket is "" for none. */
 static void
 begin_part(struct request *request, const char *ticket)
 {
@@ -148,51 +151,53 @@
 }
 
 static void
-take_step(struct request *request, const struct load_attempt *attempt,
-    const struct load_next *next)
+apply_decision(struct request *request, const struct load_attempt *attempt,
+    const struct load_decision *decision)
 {
 	struct timeval at;
 
-	switch (next->step) {
-	case LOAD_STEP_SAME:
+	switch (decision->action) {
+	case LOAD_ACTION_RESEND:
 		request->attempts_left--;
 		request->maybe_ran |=
-		    load_outcome(attempt) == LOOM_OUTCOME_UNKNOWN;
+		    load_attempt_outcome(attempt) == LOOM_OUTCOME_UNKNOWN;
 		break;
-	case LOAD_STEP_FRESH:
-		claim_part(request, attempt);
+	case LOAD_ACTION_START_OVER:
+		record_claim(request, attempt);
 		request->attempts_left--;
 		begin_part(request, "");
 		break;
-	case LOAD_STEP_TICKET:
-		claim_part(request, attempt);
+	case LOAD_ACTION_SEND_TICKET:
+		record_claim(request, attempt);
 		begin_part(request, attempt->refusal.ticket);
 		break;
-	case LOAD_STEP_DONE:
+	case LOAD_ACTION_FINISH:
 	default:
-		claim_part(request, attempt);
-		end_request(request, finish_of(request, attempt));
+		record_claim(request, attempt);
+		finish_request(request, classify_finish(request, attempt));
 		return;
 	}
 	at = tevent_timeval_current_ofs(
-	    (uint32_t)(next->wait_us / LOOM_US_PER_S),
-	    (uint32_t)(next->wait_us % LOOM_US_PER_S));
-	/* The timer is not the request's child: the request may end in it. */
-	if (tevent_add_timer(request->client->ev, request->client, at, again,
-		request) == NULL)
-		end_request(request, LOAD_FINISH_FAILED);
+	    (uint32_t)(decision->wait_us / LOOM_US_PER_S),
+	    (uint32_t)(decision->wait_us % LOOM_US_PER_S));
+	/* The timer's talloc parent is not the request, because the request may
+	 * be freed in the timer's own handler. */
+	if (tevent_add_timer(request->client->ev, request->client, at,
+		on_retry_timer, request) == NULL)
+		finish_request(request, LOAD_FINISH_FAILED);
 }
 
 static void
-attempt_ended(struct request *request, const struct load_attempt *attempt)
+on_attempt_ended(struct request *request, const struct load_attempt *attempt)
 {
-	const struct load_progress progress = progress_of(request);
-	const struct load_next next = load_step_after(&progress, attempt);
+	const struct load_request_state state = get_request_state(request);
+	const struct load_decision decision =
+	    load_decide_retry(&state, attempt);
 
 	if (attempt->end == LOAD_END_REFUSED)
-		load_results_refused(request->client->results, request->team,
-		    &attempt->refusal, request->within);
-	take_step(request, attempt, &next);
+		load_results_count_refusal(request->client->results,
+		    request->team, &attempt->refusal, request->within);
+	apply_decision(request, attempt, &decision);
 }
 
 static size_t
@@ -208,48 +213,48 @@
 }
 
 static void
-got_headers(void *arg, struct loom_fetch *fetch)
+on_headers(void *arg, struct loom_fetch *fetch)
 {
 	struct request *request = arg;
 
 	request->status = loom_fetch_status(fetch);
-	request->problem = loom_fetch_header(fetch, "Loom-Code") != NULL;
+	request->is_problem = loom_fetch_header(fetch, "Loom-Code") != NULL;
 }
 
 static bool
-got_data(void *arg, const uint8_t *data, size_t len)
+on_data(void *arg, const uint8_t *data, size_t len)
 {
 	struct request *request = arg;
 
-	if (request->problem)
+	if (request->is_problem)
 		g_string_append_len(request->body, (const char *)data,
 		    (gssize)MIN(len, PROBLEM_MAX - request->body->len));
 	return true;
 }
 
 static void
-fetch_done(void *arg, const struct loom_fetch_end *end)
+on_fetch_done(void *arg, const struct loom_fetch_end *end)
 {
 	struct request *request = arg;
 	struct load_attempt attempt = {
-		.end = LOAD_END_BROKEN,
+		.end = LOAD_END_INCOMPLETE,
 		.sent = end->sent,
 	};
 
 	if (end->result == LOOM_FETCH_WHOLE) {
-		if (request->problem &&
+		if (request->is_problem &&
 		    loom_refusal_parse(request->body->str, request->body->len,
 			&attempt.refusal))
 			attempt.end = LOAD_END_REFUSED;
 		else if (request->status >= 200 && request->status < 300)
-			attempt.end = LOAD_END_ANSWER;
+			attempt.end = LOAD_END_SUCCESS;
 		else
-			attempt.end = LOAD_END_STATUS;
+			attempt.end = LOAD_END_ERROR_STATUS;
 	}
-	attempt_ended(request, &attempt);
+	on_attempt_ended(request, &attempt);
 }
 
-/* Borrowed from the settings. */
+/* Picks a random entry; borrowed from the settings. */
 static const char *
 choose_entry(const struct request *request)
 {
@@ -261,18 +266,18 @@
 }
 
 static bool
-start_fetch(struct request *request, uint64_t left_us)
+start_fetch(struct request *request, uint64_t remaining_us)
 {
 	static const struct loom_fetch_ops ops = {
 		.read_body = read_body,
-		.headers = got_headers,
-		.data = got_data,
-		.done = fetch_done,
+		.headers = on_headers,
+		.data = on_data,
+		.done = on_fetch_done,
 	};
-	char root[TEXT_SIZE], deadline[TEXT_SIZE];
-	char *part = part_id(request);
-	struct loom_header headers[HEADERS] = {
-		{ "Loom-Key", team_of(request)->key },
+	char root[HEADER_VALUE_SIZE], deadline[HEADER_VALUE_SIZE];
+	char *part = format_part_id(request);
+	struct loom_header headers[HEADER_COUNT] = {
+		{ "Loom-Key", get_team(request)->key },
 		{ "Loom-Request-Id", root },
 		{ "X-Test-Id", part },
 		{ "Loom-Deadline-Ms", deadline },
@@ -283,18 +288,19 @@
 		.address = choose_entry(request),
 		.target = request->route->path,
 		.headers = headers,
-		.nheaders = request->ticket[0] != '\0' ? HEADERS : HEADERS - 1,
+		.nheaders = request->ticket[0] != '\0' ? HEADER_COUNT
+						       : HEADER_COUNT - 1,
 		.has_body = request->route->body_bytes > 0,
 		.body_length = request->route->body_bytes,
-		.timeout_us = left_us + GRACE_US,
+		.timeout_us = remaining_us + OUTCOME_GRACE_US,
 		.ops = &ops,
 		.arg = request,
 	};
 
 	g_snprintf(root, sizeof(root), "%s-%" G_GUINT64_FORMAT,
-	    request->client->tag, request->number);
+	    request->client->id_prefix, request->number);
 	g_snprintf(deadline, sizeof(deadline), "%" G_GUINT64_FORMAT,
-	    MAX(left_us / LOOM_US_PER_MS, 1));
+	    MAX(remaining_us / LOOM_US_PER_MS, 1));
 	request->fetch = loom_fetch_start(request->client->fetcher, &fetch);
 	g_free(part);
 	return request->fetch != NULL;
@@ -303,18 +309,18 @@
 static void
 send_attempt(struct request *request)
 {
-	const struct load_progress progress = progress_of(request);
+	const struct load_request_state state = get_request_state(request);
 
 	request->status = 0;
-	request->problem = false;
+	request->is_problem = false;
 	request->body_left = request->route->body_bytes;
 	g_string_truncate(request->body, 0);
-	/* A request that only brings a ticket back takes no token. */
-	request->within = (!progress.ticketed || progress.has_ticket) &&
-	    load_results_attempt(
+	/* A request that is sent to obtain a ticket takes no token. */
+	request->within = (!state.needs_ticket || state.has_ticket) &&
+	    load_results_count_attempt(
 		request->client->results, request->team, now_us(request));
-	if (!start_fetch(request, progress.left_us))
-		end_request(request, LOAD_FINISH_FAILED);
+	if (!start_fetch(request, state.remaining_us))
+		finish_request(request, LOAD_FINISH_FAILED);
 }
 
 void
@@ -324,8 +330,8 @@
 	struct request *request;
 
 	client->last_number++;
-	if (client->open >= client->settings->outstanding) {
-		load_results_finish(client->results, team, route,
+	if (client->in_flight >= client->settings->outstanding) {
+		load_results_count_finished(client->results, team, route,
 		    LOAD_FINISH_UNSENT, arrived_us, 0);
 		return;
 	}
@@ -342,7 +348,7 @@
 		.body = g_string_new(NULL),
 	};
 	talloc_set_destructor(request, request_destructor);
-	request->attempts_left = team_of(request)->attempts - 1;
-	client->open++;
+	request->attempts_left = get_team(request)->attempts - 1;
+	client->in_flight++;
 	send_attempt(request);
 }
--- a/src/load/request.h
+++ b/src/load/request.h
@@ -2,8 +2,8 @@
 #define LOOM_LOAD_REQUEST_H
 
 /*
- * One request of a caller, from its arrival to its last answer, with all its
- * attempts.
+ * A request of a caller with all its attempts, from its arrival to the end of
+ * the last attempt.
  */
 
 #include <talloc.h>
@@ -12,21 +12,21 @@
 #include "load/results.h"
 #include "loom/fetch.h"
 
-/* What all requests of a run share; one thread. */
+/* State shared by all requests of a run; used by one thread. */
 struct load_client {
 	const struct load_settings *settings; /* borrowed */
 	struct tevent_context *ev; /* borrowed */
 	struct loom_fetcher *fetcher; /* owned (talloc) */
 	struct load_results *results; /* borrowed */
-	GRand *rand; /* owned: which entry */
+	GRand *rand; /* owned: selects entries */
 	uint64_t start_us;
 	uint64_t last_number;
-	uint32_t open; /* requests under way */
-	char tag[24]; /* what ids of this run begin with */
+	uint32_t in_flight; /* requests that have not ended */
+	char id_prefix[24]; /* unique to the run */
 };
 
-/* A request arrives; arrived_us is since the start and may lie in the past
- * when the tool itself is late.  It owns itself. */
+/* Starts a request, which frees itself when it ends.  arrived_us counts from
+ * the start of the run; it lies in the past if the tool is behind schedule. */
 void load_request_start(struct load_client *, uint32_t team,
     const struct load_route *, uint64_t arrived_us);
 
--- a/src/load/results.c
+++ b/src/load/results.c
@@ -1,12 +1,13 @@
 /*
- * Counting.
+ * Counts the results of a run and evaluates them.
  */
 
 #include "load/results.h"
 
-/* Recovered: this part of the good share before the surge, in as many windows
- * in a row.  One good window may be luck. */
-#define RECOVERED_PART 0.95
+/* Recovered means that the share of good requests over this many consecutive
+ * windows reaches this fraction of the share before the surge.  A single good
+ * window may be chance. */
+#define RECOVERED_FRACTION 0.95
 #define RECOVERED_WINDOWS 3
 
 #define US_PER_MS 1000
@@ -23,13 +24,13 @@
 	for (i = 0; i < settings->teams->len; i++) {
 		team = &g_array_index(settings->teams, struct load_team, i);
 		results->teams[i].team = team;
-		load_bucket_init(&results->teams[i].ideal, team->granted_per_s,
-		    team->granted_burst, 0);
+		load_token_bucket_init(&results->teams[i].reference_bucket,
+		    team->granted_per_s, team->granted_burst, 0);
 	}
 	for (i = 0; i < LOAD_IMPORTANCES; i++)
 		load_latency_init(&results->latency[i]);
 	results->refusals =
-	    g_array_new(FALSE, FALSE, sizeof(struct load_refused));
+	    g_array_new(FALSE, FALSE, sizeof(struct load_refusal_count));
 	results->windows = g_array_new(FALSE, TRUE, sizeof(struct load_window));
 	results->claims = g_array_new(FALSE, FALSE, sizeof(struct load_claim));
 	return results;
@@ -54,14 +55,14 @@
 }
 
 bool
-load_results_attempt(
+load_results_count_attempt(
     struct load_results *results, uint32_t index, uint64_t now_us)
 {
 	struct load_team_results *team = &results->teams[index];
 
 	team->counts.attempts++;
 	if (team->team->granted_per_s == 0 ||
-	    !load_bucket_take(&team->ideal, now_us))
+	    !load_token_bucket_try_take(&team->reference_bucket, now_us))
 		return false;
 	team->within++;
 	return true;
@@ -70,27 +71,28 @@
 static void
 count_refusal(GArray *refusals, const struct loom_refusal *refusal)
 {
-	struct load_refused fresh = {
+	struct load_refusal_count entry = {
 		.code = refusal->code,
 		.outcome = refusal->outcome,
 		.attempts = 1,
 	};
-	struct load_refused *refused;
+	struct load_refusal_count *refused;
 	guint i;
 
 	for (i = 0; i < refusals->len; i++) {
-		refused = &g_array_index(refusals, struct load_refused, i);
-		if (refused->code == fresh.code &&
-		    refused->outcome == fresh.outcome) {
+		refused =
+		    &g_array_index(refusals, struct load_refusal_count, i);
+		if (refused->code == entry.code &&
+		    refused->outcome == entry.outcome) {
 			refused->attempts++;
 			return;
 		}
 	}
-	g_array_append_val(refusals, fresh);
+	g_array_append_val(refusals, entry);
 }
 
 void
-load_results_refused(struct load_results *results, uint32_t index,
+load_results_count_refusal(struct load_results *results, uint32_t index,
     const struct loom_refusal *refusal, bool within)
 {
 	count_refusal(results->refusals, refusal);
@@ -100,7 +102,8 @@
 }
 
 void
-load_results_claim(struct load_results *results, const struct load_claim *claim)
+load_results_add_claim(
+    struct load_results *results, const struct load_claim *claim)
 {
 	g_array_append_val(results->claims, *claim);
 }
@@ -131,7 +134,7 @@
 }
 
 void
-load_results_finish(struct load_results *results, uint32_t index,
+load_results_count_finished(struct load_results *results, uint32_t index,
     const struct load_route *route, enum load_finish finish,
     uint64_t arrived_us, uint64_t took_us)
 {
@@ -143,14 +146,15 @@
 		load_latency_add(&results->latency[route->importance], took_us);
 }
 
-/* "METHOD PATH" of all routes that may run once for a request.  Owned. */
+/* Lists "METHOD PATH" of all routes that may run at most once for each request,
+ * NULL-terminated.  Owned. */
 static GPtrArray *
-routes_once(const struct load_settings *settings)
+at_most_once_routes(const struct load_settings *settings)
 {
 	GPtrArray *once = g_ptr_array_new_with_free_func(g_free);
 	const struct load_route *route;
 	const struct load_team *team;
-	char **deeper;
+	char **inner_route;
 	guint i, j;
 
 	for (i = 0; i < settings->teams->len; i++) {
@@ -164,8 +168,8 @@
 					route->method, " ", route->path, NULL));
 		}
 	}
-	for (deeper = settings->once; *deeper != NULL; deeper++)
-		g_ptr_array_add(once, g_strdup(*deeper));
+	for (inner_route = settings->once; *inner_route != NULL; inner_route++)
+		g_ptr_array_add(once, g_strdup(*inner_route));
 	g_ptr_array_add(once, NULL);
 	return once;
 }
@@ -182,7 +186,7 @@
 	for (i = 0; i < nfiles && ok; i++)
 		ok = load_ledger_read(ledger, files[i], error);
 	if (ok) {
-		once = routes_once(results->settings);
+		once = at_most_once_routes(results->settings);
 		results->violations = load_ledger_check(
 		    ledger, results->claims, (const char *const *)once->pdata);
 		results->ledger_starts = load_ledger_starts(ledger);
@@ -193,6 +197,7 @@
 	return ok;
 }
 
+/* The share of good requests in the windows from (included) to until. */
 static double
 good_share(const struct load_results *results, guint from, guint until)
 {
@@ -216,7 +221,7 @@
 	const struct load_surge *surge;
 	uint32_t from_ms = UINT32_MAX, until_ms = 0;
 	const guint window_ms = LOAD_WINDOW_US / US_PER_MS;
-	double wanted;
+	double required_share;
 	guint i;
 
 	for (i = 0; surges != NULL && i < surges->len; i++) {
@@ -226,11 +231,13 @@
 	}
 	if (until_ms == 0)
 		return -1;
-	wanted = RECOVERED_PART * good_share(results, 0, from_ms / window_ms);
-	/* The first window that holds nothing of the surge. */
+	required_share =
+	    RECOVERED_FRACTION * good_share(results, 0, from_ms / window_ms);
+	/* The first window after the surge that does not overlap it. */
 	i = (until_ms + window_ms - 1) / window_ms;
 	for (; i + RECOVERED_WINDOWS <= results->windows->len; i++) {
-		if (good_share(results, i, i + RECOVERED_WINDOWS) >= wanted)
+		if (good_share(results, i, i + RECOVERED_WINDOWS) >=
+		    required_share)
 			return MAX(
 			    (int64_t)i * window_ms - (int64_t)until_ms, 0);
 	}
--- a/src/load/run.c
+++ b/src/load/run.c
@@ -1,5 +1,5 @@
 /*
- * The loop of a run: one thread, one timer a team.
+ * Event loop of a run: one thread, with one timer per team.
  */
 
 #include <string.h>
@@ -9,8 +9,9 @@
 #include "load/run.h"
 #include "loom/clock.h"
 
-/* Teams' random sources are far apart, and what one draws changes no other:
- * a team added to a file leaves the arrivals of all others as they were. */
+/* Distance between the seeds of the random generators.  Each team has its own
+ * generators, so a team appended to the settings does not change the arrivals
+ * of the others. */
 #define SEED_STEP 7919U
 
 struct team_run {
@@ -20,8 +21,9 @@
 	struct load_arrivals arrivals;
 	GRand *arrivals_rand; /* owned */
 	GRand *routes_rand; /* owned */
-	double weights;
-	uint64_t next_us; /* LOAD_NEVER at the end */
+	double total_weight;
+	uint64_t
+	    next_us; /* the next arrival; LOAD_NEVER when there are no more */
 };
 
 static bool
@@ -39,7 +41,7 @@
 }
 
 static double
-weights_of(const struct load_team *team)
+sum_weights(const struct load_team *team)
 {
 	double sum = 0;
 	guint i;
@@ -63,7 +65,7 @@
 		    "entries names no daemon");
 	for (i = 0; i < settings->teams->len; i++) {
 		team = &g_array_index(settings->teams, struct load_team, i);
-		if (weights_of(team) <= 0)
+		if (sum_weights(team) <= 0)
 			loom_problem_add(problems, LOOM_SETTING_RANGE, file,
 			    "team %s has no route with a weight", team->name);
 	}
@@ -79,10 +81,11 @@
 	return loom_problems_count(*problems) == before;
 }
 
+/* Picks a random route by weight. */
 static const struct load_route *
 pick_route(struct team_run *run)
 {
-	double left = g_rand_double(run->routes_rand) * run->weights;
+	double left = g_rand_double(run->routes_rand) * run->total_weight;
 	const struct load_route *route = NULL;
 	guint i;
 
@@ -96,7 +99,7 @@
 }
 
 static void
-draw_next(struct team_run *run)
+schedule_next(struct team_run *run)
 {
 	const struct load_settings *settings = run->client->settings;
 
@@ -106,7 +109,7 @@
 }
 
 static bool
-enough(const struct load_client *client)
+reached_request_limit(const struct load_client *client)
 {
 	return client->settings->requests > 0 &&
 	    client->last_number >= client->settings->requests;
@@ -115,7 +118,7 @@
 static void set_timer(struct team_run *run);
 
 static void
-arrive(struct tevent_context *ev, struct tevent_timer *timer,
+on_arrival_timer(struct tevent_context *ev, struct tevent_timer *timer,
     struct timeval when, void *arg)
 {
 	struct team_run *run = arg;
@@ -124,12 +127,12 @@
 	(void)ev;
 	(void)timer;
 	(void)when;
-	while (run->next_us <= now_us && !enough(run->client)) {
+	while (run->next_us <= now_us && !reached_request_limit(run->client)) {
 		load_request_start(
 		    run->client, run->index, pick_route(run), run->next_us);
-		draw_next(run);
+		schedule_next(run);
 	}
-	if (enough(run->client))
+	if (reached_request_limit(run->client))
 		run->next_us = LOAD_NEVER;
 	set_timer(run);
 }
@@ -146,8 +149,8 @@
 	wait_us = run->next_us > now_us ? run->next_us - now_us : 0;
 	at = tevent_timeval_current_ofs((uint32_t)(wait_us / LOOM_US_PER_S),
 	    (uint32_t)(wait_us % LOOM_US_PER_S));
-	if (tevent_add_timer(run->client->ev, run->client, at, arrive, run) ==
-	    NULL)
+	if (tevent_add_timer(run->client->ev, run->client, at, on_arrival_timer,
+		run) == NULL)
 		run->next_us = LOAD_NEVER;
 }
 
@@ -165,7 +168,7 @@
 		.arrivals_rand = g_rand_new_with_seed(seed),
 		.routes_rand = g_rand_new_with_seed(seed + SEED_STEP),
 	};
-	run->weights = weights_of(run->team);
+	run->total_weight = sum_weights(run->team);
 	run->arrivals = (struct load_arrivals){
 		.rand = run->arrivals_rand,
 		.team = run->team->name,
@@ -173,16 +176,16 @@
 		.surges = (const struct load_surge *)settings->surges->data,
 		.nsurges = settings->surges->len,
 	};
-	draw_next(run);
+	schedule_next(run);
 	set_timer(run);
 }
 
 static bool
-is_over(const struct load_client *client, const struct team_run *runs)
+is_finished(const struct load_client *client, const struct team_run *runs)
 {
 	guint i;
 
-	if (client->open > 0)
+	if (client->in_flight > 0)
 		return false;
 	for (i = 0; i < client->settings->teams->len; i++) {
 		if (runs[i].next_us != LOAD_NEVER)
@@ -200,7 +203,7 @@
 
 	for (i = 0; i < n; i++)
 		start_team(&runs[i], client, i);
-	while (!is_over(client, runs) && tevent_loop_once(client->ev) == 0)
+	while (!is_finished(client, runs) && tevent_loop_once(client->ev) == 0)
 		continue;
 	for (i = 0; i < n; i++) {
 		g_rand_free(runs[i].arrivals_rand);
@@ -230,9 +233,10 @@
 	}
 	client->rand = g_rand_new_with_seed(settings->seed);
 	client->start_us = loom_now_us();
-	/* Ledgers outlive a run; ids of two runs must not be the same. */
-	g_snprintf(client->tag, sizeof(client->tag), "l%" G_GINT64_MODIFIER "x",
-	    loom_wall_ns());
+	/* A ledger may contain several runs, so ids must differ between runs.
+	 */
+	g_snprintf(client->id_prefix, sizeof(client->id_prefix),
+	    "l%" G_GINT64_MODIFIER "x", loom_wall_ns());
 	run_teams(client);
 	g_rand_free(client->rand);
 	ok = true;
--- a/src/load/run.h
+++ b/src/load/run.h
@@ -2,20 +2,21 @@
 #define LOOM_LOAD_RUN_H
 
 /*
- * A run of the load tool: arrivals of all teams until their time is over, then
- * the end of what is open.
+ * Runs the load tool: generates the arrivals of all teams for the duration of
+ * the run, then waits for the requests in flight.
  */
 
 #include "load/results.h"
 
 /*
- * Check what the table of fields cannot: each team has routes, weights and
- * surges make sense.  Problems are appended.
+ * Checks what load_fields cannot express: there is an entry, each team has a
+ * route with a weight, and each surge names a team and ends after it begins.
+ * Appends to problems.
  */
 bool load_settings_check(const struct load_settings *, const char *file,
     struct loom_problem **problems);
 
-/* Run.  results is filled; false with LOOM_START when it cannot begin. */
+/* Fills results; fails with LOOM_START when the run cannot be started. */
 bool load_run(
     const struct load_settings *, struct load_results *results, GError **error);
 
--- a/src/load/settings.c
+++ b/src/load/settings.c
@@ -1,5 +1,5 @@
 /*
- * The table of the load tool's settings.
+ * Field tables of the load tool's settings.
  */
 
 #include <stddef.h>
@@ -24,24 +24,24 @@
 	NULL,
 };
 
-#define TEXT(type_, member, needed)                                      \
-	{                                                                \
-		.name = #member, .type = LOOM_FIELD_STRING,              \
-		.required = (needed), .offset = offsetof(type_, member), \
+#define TEXT(type_, member, is_required)                                      \
+	{                                                                     \
+		.name = #member, .type = LOOM_FIELD_STRING,                   \
+		.required = (is_required), .offset = offsetof(type_, member), \
 	}
 
-#define NUMBER(type_, member, low, high, usual)                  \
-	{                                                        \
-		.name = #member, .type = LOOM_FIELD_U32,         \
-		.offset = offsetof(type_, member), .min = (low), \
-		.max = (high), .number_default = (usual),        \
+#define NUMBER(type_, member, low, high, default_value)           \
+	{                                                         \
+		.name = #member, .type = LOOM_FIELD_U32,          \
+		.offset = offsetof(type_, member), .min = (low),  \
+		.max = (high), .number_default = (default_value), \
 	}
 
-#define REAL(type_, member, high, usual)                                    \
+#define REAL(type_, member, high, default_value)                            \
 	{                                                                   \
 		.name = #member, .type = LOOM_FIELD_DOUBLE,                 \
 		.offset = offsetof(type_, member), .min = 0, .max = (high), \
-		.number_default = (usual),                                  \
+		.number_default = (default_value),                          \
 	}
 
 static const struct loom_field route_fields[] = {
--- a/src/load/settings.h
+++ b/src/load/settings.h
@@ -2,7 +2,7 @@
 #define LOOM_LOAD_SETTINGS_H
 
 /*
- * What a run of the load tool is told (docs/LOAD.md).
+ * Settings of the load tool (docs/LOAD.md).
  */
 
 #include "loom/settings.h"
@@ -15,19 +15,19 @@
 	LOAD_IMPORTANCES,
 };
 
-/* How a team's callers take a refusal. */
-enum load_retry {
-	LOAD_RETRY_NONE, /* the first answer is the last */
-	LOAD_RETRY_POLITE, /* wait as long as Retry-After says */
-	LOAD_RETRY_IMPATIENT, /* send again at once, whatever it says */
+/* When a team's callers retry.  Sending an offered ticket is not a retry. */
+enum load_retry_policy {
+	LOAD_RETRY_NONE, /* never */
+	LOAD_RETRY_POLITE, /* after the time in Retry-After */
+	LOAD_RETRY_IMPATIENT, /* almost at once, ignoring Retry-After */
 };
 
 struct load_route {
 	char *method;
 	char *path;
 	uint32_t importance; /* enum load_importance, as in the manifest */
-	double weight; /* share among the team's routes */
-	bool ticket; /* not idempotent: takes a ticket */
+	double weight; /* relative frequency among the team's routes */
+	bool ticket; /* not idempotent: requires a ticket */
 	uint32_t body_bytes;
 	uint32_t deadline_ms;
 };
@@ -35,15 +35,15 @@
 struct load_team {
 	char *name;
 	char *key;
-	double rate_per_s; /* offered */
-	double granted_per_s; /* the manifest's; 0: not judged */
+	double rate_per_s; /* rate of requests to generate */
+	double granted_per_s; /* as in the manifest; 0: not checked */
 	uint32_t granted_burst;
-	uint32_t retry; /* enum load_retry */
-	uint32_t attempts; /* for one request, the first one included */
+	uint32_t retry; /* enum load_retry_policy */
+	uint32_t attempts; /* maximum per request, including the first */
 	GArray *routes; /* struct load_route */
 };
 
-/* A team offers times its rate for a while. */
+/* Multiplies a team's rate by times for a period. */
 struct load_surge {
 	char *team;
 	uint32_t from_ms; /* since the start of the run */
@@ -53,18 +53,18 @@
 
 struct load_settings {
 	uint32_t seed;
-	uint32_t duration_ms; /* arrivals end then */
-	uint32_t requests; /* or after so many; 0: no bound */
-	uint32_t outstanding; /* requests that may be open at once */
+	uint32_t duration_ms; /* no arrivals after this time */
+	uint32_t requests; /* nor after this many requests; 0: no limit */
+	uint32_t outstanding; /* maximum of requests in flight */
 	char **entries; /* daemons, "ip:port" */
 	GArray *teams; /* struct load_team */
 	GArray *surges; /* struct load_surge */
-	char **once; /* "METHOD PATH" of deeper routes with tickets */
+	char **once; /* "METHOD PATH" of inner calls that need a ticket */
 };
 
 extern const struct loom_field load_fields[];
 
-/* The word of an importance, as in the manifest; borrowed, static. */
+/* The name of an importance as in the manifest; borrowed, static. */
 const char *load_importance_name(uint32_t importance);
 
 #endif
--- a/src/load/step.c
+++ b/src/load/step.c
@@ -1,56 +1,58 @@
 /*
- * The caller's side of outcomes.
+ * Decides whether and how a caller retries, by the outcome of the attempt.
  */
 
 #include "load/step.h"
 
-/* A polite caller's wait when a refusal says none, and an impatient one's. */
+/* Delay of a polite caller without Retry-After, and of an impatient caller. */
 #define POLITE_WAIT_US UINT64_C(100000)
 #define IMPATIENT_WAIT_US UINT64_C(10000)
 #define US_PER_MS UINT64_C(1000)
 
 enum loom_outcome
-load_outcome(const struct load_attempt *attempt)
+load_attempt_outcome(const struct load_attempt *attempt)
 {
 	switch (attempt->end) {
-	case LOAD_END_ANSWER:
-	case LOAD_END_STATUS:
+	case LOAD_END_SUCCESS:
+	case LOAD_END_ERROR_STATUS:
 		return LOOM_OUTCOME_RAN;
 	case LOAD_END_REFUSED:
 		return attempt->refusal.outcome;
-	case LOAD_END_BROKEN:
+	case LOAD_END_INCOMPLETE:
 	default:
 		return attempt->sent ? LOOM_OUTCOME_UNKNOWN
 				     : LOOM_OUTCOME_NOT_RUN;
 	}
 }
 
-/* How to send again what ended so, if at all. */
-static enum load_step
-way_to_repeat(
-    const struct load_progress *progress, const struct load_attempt *attempt)
+/* Chooses how to retry, if at all, by the outcome and the ticket.  Attempts
+ * left and the deadline are checked by load_decide_retry(). */
+static enum load_action
+choose_resend(
+    const struct load_request_state *state, const struct load_attempt *attempt)
 {
-	switch (load_outcome(attempt)) {
+	switch (load_attempt_outcome(attempt)) {
 	case LOOM_OUTCOME_NOT_RUN:
-		/* A connection that never came up says nothing of the ticket:
-		 * another copy of it may be under way. */
-		if (attempt->end == LOAD_END_BROKEN && progress->has_ticket)
-			return LOAD_STEP_SAME;
-		return LOAD_STEP_FRESH;
+		/* A failed connection does not tell the state of the ticket: an
+		 * earlier attempt with it may still be running. */
+		if (attempt->end == LOAD_END_INCOMPLETE && state->has_ticket)
+			return LOAD_ACTION_RESEND;
+		return LOAD_ACTION_START_OVER;
 	case LOOM_OUTCOME_UNKNOWN:
-		if (progress->has_ticket)
-			return LOAD_STEP_SAME;
-		return progress->ticketed ? LOAD_STEP_DONE : LOAD_STEP_FRESH;
+		if (state->has_ticket)
+			return LOAD_ACTION_RESEND;
+		return state->needs_ticket ? LOAD_ACTION_FINISH
+					   : LOAD_ACTION_START_OVER;
 	default:
-		return LOAD_STEP_DONE;
+		return LOAD_ACTION_FINISH;
 	}
 }
 
 static uint64_t
-wait_us(
-    const struct load_progress *progress, const struct load_attempt *attempt)
+retry_delay_us(
+    const struct load_request_state *state, const struct load_attempt *attempt)
 {
-	if (progress->retry == LOAD_RETRY_IMPATIENT)
+	if (state->retry == LOAD_RETRY_IMPATIENT)
 		return IMPATIENT_WAIT_US;
 	if (attempt->end == LOAD_END_REFUSED &&
 	    attempt->refusal.retry_after_ms > 0)
@@ -59,31 +61,32 @@
 }
 
 static bool
-is_offer_of_ticket(
-    const struct load_progress *progress, const struct load_attempt *attempt)
+offers_ticket(
+    const struct load_request_state *state, const struct load_attempt *attempt)
 {
 	return attempt->end == LOAD_END_REFUSED &&
 	    attempt->refusal.code == LOOM_TICKET_NEEDED &&
-	    attempt->refusal.ticket[0] != '\0' && !progress->has_ticket;
+	    attempt->refusal.ticket[0] != '\0' && !state->has_ticket;
 }
 
-struct load_next
-load_step_after(
-    const struct load_progress *progress, const struct load_attempt *attempt)
+struct load_decision
+load_decide_retry(
+    const struct load_request_state *state, const struct load_attempt *attempt)
 {
-	struct load_next next = { .step = LOAD_STEP_DONE };
+	struct load_decision decision = { .action = LOAD_ACTION_FINISH };
 
-	if (is_offer_of_ticket(progress, attempt)) {
-		next.step = LOAD_STEP_TICKET;
-		return next;
+	if (offers_ticket(state, attempt)) {
+		decision.action = LOAD_ACTION_SEND_TICKET;
+		return decision;
 	}
-	if (progress->retry == LOAD_RETRY_NONE || progress->attempts_left == 0)
-		return next;
-	next.step = way_to_repeat(progress, attempt);
-	if (next.step == LOAD_STEP_DONE)
-		return next;
-	next.wait_us = wait_us(progress, attempt);
-	if (next.wait_us >= progress->left_us)
-		next = (struct load_next){ .step = LOAD_STEP_DONE };
-	return next;
+	if (state->retry == LOAD_RETRY_NONE || state->attempts_left == 0)
+		return decision;
+	decision.action = choose_resend(state, attempt);
+	if (decision.action == LOAD_ACTION_FINISH)
+		return decision;
+	decision.wait_us = retry_delay_us(state, attempt);
+	if (decision.wait_us >= state->remaining_us)
+		decision =
+		    (struct load_decision){ .action = LOAD_ACTION_FINISH };
+	return decision;
 }
--- a/src/load/step.h
+++ b/src/load/step.h
@@ -2,8 +2,8 @@
 #define LOOM_LOAD_STEP_H
 
 /*
- * What a caller does after an attempt: the rules of docs/CALLERS.md, and how
- * patient a team is with them.  Pure.
+ * Decides what a caller does after an attempt, by the rules of docs/CALLERS.md
+ * and the retry policy of its team.  The functions are pure.
  */
 
 #include <stdbool.h>
@@ -12,45 +12,45 @@
 #include "load/settings.h"
 #include "loom/outcome.h"
 
-enum load_end {
-	LOAD_END_ANSWER, /* a whole answer with a status of 200 to 299 */
-	LOAD_END_STATUS, /* a whole answer of an upstream with another one */
-	LOAD_END_REFUSED, /* a problem document */
-	LOAD_END_BROKEN, /* no whole answer */
+enum load_attempt_end {
+	LOAD_END_SUCCESS, /* a complete answer with status 200 to 299 */
+	LOAD_END_ERROR_STATUS, /* a complete answer with another status */
+	LOAD_END_REFUSED, /* a problem document of loomd */
+	LOAD_END_INCOMPLETE, /* no complete answer */
 };
 
 /* How one attempt ended. */
 struct load_attempt {
-	enum load_end end;
-	bool sent; /* BROKEN: a byte may have left */
-	struct loom_refusal refusal; /* REFUSED */
+	enum load_attempt_end end;
+	bool sent; /* if INCOMPLETE: part of the request may have been sent */
+	struct loom_refusal refusal; /* if REFUSED */
 };
 
-/* What the request is and has done so far. */
-struct load_progress {
-	enum load_retry retry;
-	uint32_t attempts_left; /* after the one that ended */
-	bool ticketed; /* its route needs a ticket */
-	bool has_ticket; /* it sent one */
-	uint64_t left_us; /* until its deadline */
+/* State of a request after an attempt. */
+struct load_request_state {
+	enum load_retry_policy retry;
+	uint32_t attempts_left; /* not counting the one that ended */
+	bool needs_ticket; /* its route needs a ticket */
+	bool has_ticket; /* the attempt was sent with one */
+	uint64_t remaining_us; /* until its deadline */
 };
 
-enum load_step {
-	LOAD_STEP_DONE,
-	LOAD_STEP_TICKET, /* send with the ticket that came; no attempt */
-	LOAD_STEP_SAME, /* send again with the same ticket */
-	LOAD_STEP_FRESH, /* begin anew, without a ticket */
+enum load_action {
+	LOAD_ACTION_FINISH,
+	LOAD_ACTION_SEND_TICKET, /* send with the ticket; not an attempt */
+	LOAD_ACTION_RESEND, /* send again with the same ticket */
+	LOAD_ACTION_START_OVER, /* start over without a ticket */
 };
 
-struct load_next {
-	enum load_step step;
+struct load_decision {
+	enum load_action action;
 	uint64_t wait_us;
 };
 
-/* What the caller knows of its request after the attempt. */
-enum loom_outcome load_outcome(const struct load_attempt *);
+/* What an attempt tells the caller about whether its request ran. */
+enum loom_outcome load_attempt_outcome(const struct load_attempt *);
 
-struct load_next load_step_after(
-    const struct load_progress *, const struct load_attempt *);
+struct load_decision load_decide_retry(
+    const struct load_request_state *, const struct load_attempt *);
 
 #endif
--- a/tests/load/test_load.c
+++ b/tests/load/test_load.c
@@ -1,5 +1,5 @@
 /*
- * The parts of the load tool that decide what its figures mean.
+ * The computations behind the load tool's figures, and its settings.
  */
 
 #include <math.h>
@@ -14,13 +14,13 @@
 #include "load/step.h"
 #include "support/test.h"
 
-#define S 1000000
+#define US_PER_S 1000000
 
 static void
 test_percentiles(void)
 {
 	static const struct {
-		uint32_t n; /* times 1..n us, added from the largest down */
+		uint32_t n; /* samples n..1 us, added in descending order */
 		double percent;
 		uint32_t expected_us;
 	} cases[] = {
@@ -47,8 +47,8 @@
 	}
 }
 
-/* Counts of a Poisson process are near rate * time; five standard deviations
- * leave room for the fixed seeds. */
+/* The number of arrivals of a Poisson process has the mean rate * time.  It
+ * must be within five standard deviations for these fixed seeds. */
 static void
 test_arrivals(void)
 {
@@ -82,8 +82,8 @@
 		count = 0;
 		before_us = 0;
 		while ((at_us = load_arrivals_next(&arrivals)) <
-		    cases[i].until_s * S) {
-			count += at_us >= cases[i].from_s * S;
+		    cases[i].until_s * US_PER_S) {
+			count += at_us >= cases[i].from_s * US_PER_S;
 			TEST_CHECK(at_us >= before_us, "order");
 			before_us = at_us;
 		}
@@ -95,7 +95,7 @@
 }
 
 static void
-test_arrivals_end(void)
+test_arrivals_without_rate(void)
 {
 	static const struct load_surge off = { (char *)"a", 10, 20, 0 };
 	struct load_arrivals arrivals = {
@@ -110,7 +110,7 @@
 }
 
 static void
-test_ideal_bucket(void)
+test_token_bucket(void)
 {
 	static const struct {
 		uint64_t at_us;
@@ -119,99 +119,102 @@
 		{ 0, true },
 		{ 0, true },
 		{ 0, false },
-		{ S / 10 - 1, false },
-		{ S / 10, true },
-		{ 10 * S, true },
-		{ 10 * S, true },
-		{ 10 * S, false },
+		{ US_PER_S / 10 - 1, false },
+		{ US_PER_S / 10, true },
+		{ 10 * US_PER_S, true },
+		{ 10 * US_PER_S, true },
+		{ 10 * US_PER_S, false },
 	};
-	struct load_bucket bucket;
+	struct load_token_bucket bucket;
 	uint32_t i;
 
-	load_bucket_init(&bucket, 10, 2, 0);
+	load_token_bucket_init(&bucket, 10, 2, 0);
 	for (i = 0; i < G_N_ELEMENTS(cases); i++)
-		TEST_CHECK(load_bucket_take(&bucket, cases[i].at_us) ==
-			cases[i].expected,
+		TEST_CHECK(load_token_bucket_try_take(
+			       &bucket, cases[i].at_us) == cases[i].expected,
 		    "case %u", i);
 }
 
-/* What a caller may do after an attempt (docs/CALLERS.md). */
+/* The rules of docs/CALLERS.md for each end of an attempt. */
 static void
-test_steps(void)
+test_retry_decisions(void)
 {
 	static const struct {
 		const char *name;
-		enum load_retry retry;
+		enum load_retry_policy retry;
 		uint32_t attempts_left;
-		bool ticketed, has_ticket;
-		uint32_t left_ms;
-		enum load_end end;
+		bool needs_ticket, has_ticket;
+		uint32_t remaining_ms;
+		enum load_attempt_end end;
 		bool sent;
 		enum loom_result code;
 		enum loom_outcome outcome;
 		uint32_t retry_after_ms;
 		bool offers_ticket;
-		enum load_step step;
+		enum load_action action;
 		uint32_t wait_ms;
 	} cases[] = {
 		{ "answer", LOAD_RETRY_POLITE, 2, false, false, 1000,
-		    LOAD_END_ANSWER, true, LOOM_OK, LOOM_OUTCOME_NONE, 0, false,
-		    LOAD_STEP_DONE, 0 },
+		    LOAD_END_SUCCESS, true, LOOM_OK, LOOM_OUTCOME_NONE, 0,
+		    false, LOAD_ACTION_FINISH, 0 },
 		{ "upstream's own error", LOAD_RETRY_IMPATIENT, 2, false, false,
-		    1000, LOAD_END_STATUS, true, LOOM_OK, LOOM_OUTCOME_NONE, 0,
-		    false, LOAD_STEP_DONE, 0 },
+		    1000, LOAD_END_ERROR_STATUS, true, LOOM_OK,
+		    LOOM_OUTCOME_NONE, 0, false, LOAD_ACTION_FINISH, 0 },
 		{ "polite waits", LOAD_RETRY_POLITE, 2, false, false, 1000,
 		    LOAD_END_REFUSED, true, LOOM_OVERLOAD, LOOM_OUTCOME_NOT_RUN,
-		    250, false, LOAD_STEP_FRESH, 250 },
+		    250, false, LOAD_ACTION_START_OVER, 250 },
 		{ "polite without Retry-After", LOAD_RETRY_POLITE, 2, false,
 		    false, 1000, LOAD_END_REFUSED, true, LOOM_OVERLOAD,
-		    LOOM_OUTCOME_NOT_RUN, 0, false, LOAD_STEP_FRESH, 100 },
+		    LOOM_OUTCOME_NOT_RUN, 0, false, LOAD_ACTION_START_OVER,
+		    100 },
 		{ "impatient does not", LOAD_RETRY_IMPATIENT, 2, false, false,
 		    1000, LOAD_END_REFUSED, true, LOOM_OVERLOAD,
-		    LOOM_OUTCOME_NOT_RUN, 250, false, LOAD_STEP_FRESH, 10 },
+		    LOOM_OUTCOME_NOT_RUN, 250, false, LOAD_ACTION_START_OVER,
+		    10 },
 		{ "none", LOAD_RETRY_NONE, 2, false, false, 1000,
 		    LOAD_END_REFUSED, true, LOOM_OVERLOAD, LOOM_OUTCOME_NOT_RUN,
-		    250, false, LOAD_STEP_DONE, 0 },
+		    250, false, LOAD_ACTION_FINISH, 0 },
 		{ "no attempt left", LOAD_RETRY_POLITE, 0, false, false, 1000,
 		    LOAD_END_REFUSED, true, LOOM_OVERLOAD, LOOM_OUTCOME_NOT_RUN,
-		    250, false, LOAD_STEP_DONE, 0 },
+		    250, false, LOAD_ACTION_FINISH, 0 },
 		{ "too late to wait", LOAD_RETRY_POLITE, 2, false, false, 250,
 		    LOAD_END_REFUSED, true, LOOM_OVERLOAD, LOOM_OUTCOME_NOT_RUN,
-		    250, false, LOAD_STEP_DONE, 0 },
+		    250, false, LOAD_ACTION_FINISH, 0 },
 		{ "ticket offered", LOAD_RETRY_NONE, 0, true, false, 1000,
 		    LOAD_END_REFUSED, true, LOOM_TICKET_NEEDED,
-		    LOOM_OUTCOME_NOT_RUN, 0, true, LOAD_STEP_TICKET, 0 },
+		    LOOM_OUTCOME_NOT_RUN, 0, true, LOAD_ACTION_SEND_TICKET, 0 },
 		{ "unknown, with ticket", LOAD_RETRY_POLITE, 2, true, true,
 		    1000, LOAD_END_REFUSED, true, LOOM_DEADLINE,
-		    LOOM_OUTCOME_UNKNOWN, 0, false, LOAD_STEP_SAME, 100 },
+		    LOOM_OUTCOME_UNKNOWN, 0, false, LOAD_ACTION_RESEND, 100 },
 		{ "unknown, may not be repeated", LOAD_RETRY_IMPATIENT, 2, true,
-		    false, 1000, LOAD_END_BROKEN, true, LOOM_OK,
-		    LOOM_OUTCOME_NONE, 0, false, LOAD_STEP_DONE, 0 },
+		    false, 1000, LOAD_END_INCOMPLETE, true, LOOM_OK,
+		    LOOM_OUTCOME_NONE, 0, false, LOAD_ACTION_FINISH, 0 },
 		{ "unknown, idempotent", LOAD_RETRY_POLITE, 2, false, false,
-		    1000, LOAD_END_BROKEN, true, LOOM_OK, LOOM_OUTCOME_NONE, 0,
-		    false, LOAD_STEP_FRESH, 100 },
+		    1000, LOAD_END_INCOMPLETE, true, LOOM_OK, LOOM_OUTCOME_NONE,
+		    0, false, LOAD_ACTION_START_OVER, 100 },
 		{ "not-run, with ticket", LOAD_RETRY_POLITE, 2, true, true,
 		    1000, LOAD_END_REFUSED, true, LOOM_TICKET_SPENT,
-		    LOOM_OUTCOME_NOT_RUN, 0, false, LOAD_STEP_FRESH, 100 },
+		    LOOM_OUTCOME_NOT_RUN, 0, false, LOAD_ACTION_START_OVER,
+		    100 },
 		{ "no connection, with ticket", LOAD_RETRY_POLITE, 2, true,
-		    true, 1000, LOAD_END_BROKEN, false, LOOM_OK,
-		    LOOM_OUTCOME_NONE, 0, false, LOAD_STEP_SAME, 100 },
+		    true, 1000, LOAD_END_INCOMPLETE, false, LOOM_OK,
+		    LOOM_OUTCOME_NONE, 0, false, LOAD_ACTION_RESEND, 100 },
 		{ "ran", LOAD_RETRY_IMPATIENT, 2, true, true, 1000,
 		    LOAD_END_REFUSED, true, LOOM_TICKET_RAN, LOOM_OUTCOME_RAN,
-		    0, false, LOAD_STEP_DONE, 0 },
+		    0, false, LOAD_ACTION_FINISH, 0 },
 	};
-	struct load_progress progress;
+	struct load_request_state state;
 	struct load_attempt attempt;
-	struct load_next next;
+	struct load_decision decision;
 	uint32_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
-		progress = (struct load_progress){
+		state = (struct load_request_state){
 			.retry = cases[i].retry,
 			.attempts_left = cases[i].attempts_left,
-			.ticketed = cases[i].ticketed,
+			.needs_ticket = cases[i].needs_ticket,
 			.has_ticket = cases[i].has_ticket,
-			.left_us = cases[i].left_ms * 1000,
+			.remaining_us = cases[i].remaining_ms * 1000,
 		};
 		attempt = (struct load_attempt){
 			.end = cases[i].end,
@@ -222,17 +225,17 @@
 		};
 		if (cases[i].offers_ticket)
 			strcpy(attempt.refusal.ticket, "t");
-		next = load_step_after(&progress, &attempt);
-		TEST_CHECK(next.step == cases[i].step &&
-			next.wait_us == cases[i].wait_ms * 1000,
-		    "%s: step %d wait %u", cases[i].name, next.step,
-		    (unsigned)next.wait_us);
+		decision = load_decide_retry(&state, &attempt);
+		TEST_CHECK(decision.action == cases[i].action &&
+			decision.wait_us == cases[i].wait_ms * 1000,
+		    "%s: action %d wait %u", cases[i].name, decision.action,
+		    (unsigned)decision.wait_us);
 	}
 }
 
 /*
- * The caller is told something and the ledgers of the upstreams say something
- * else: each kind of lie is found, and what is honest is not blamed.
+ * Each kind of contradiction between claims and ledgers is found, and
+ * consistent claims cause no violation.
  */
 static void
 test_ledger(void)
@@ -250,11 +253,11 @@
 		    { "start r.1 GET /a t", "cancelled r.1 GET /a t" },
 		    { { (char *)"r.1", "GET", "/a", true, 0 } },
 		    "answer-missing r.1" },
-		{ "answered, only a deeper one done",
+		{ "answered, only an inner call done",
 		    { "start r.1 GET /b t", "done r.1 GET /b t" },
 		    { { (char *)"r.1", "GET", "/a", true, 0 } },
 		    "answer-missing r.1" },
-		{ "kept answer of another attempt",
+		{ "stored answer of another attempt",
 		    { "start r.1 POST /orders t", "done r.1 POST /orders t" },
 		    { { (char *)"r.1", "POST", "/orders", false,
 			  LOOM_OUTCOME_UNKNOWN },
@@ -268,7 +271,8 @@
 		    { { (char *)"r.1", "GET", "/a", false,
 			LOOM_OUTCOME_NOT_RUN } },
 		    "not-run-ran r.1" },
-		{ "not-run, yet started deeper", { "start r.1 GET /b t" },
+		{ "not-run, yet started by an inner call",
+		    { "start r.1 GET /b t" },
 		    { { (char *)"r.1", "GET", "/a", false,
 			LOOM_OUTCOME_NOT_RUN } },
 		    "not-run-ran r.1" },
@@ -289,7 +293,7 @@
 			  LOOM_OUTCOME_UNKNOWN },
 			{ (char *)"r.2", "POST", "/orders", true, 0 } },
 		    "ran-twice r POST /orders" },
-		{ "ran twice deeper",
+		{ "inner call ran twice",
 		    { "start r.1 POST /pay t", "start r.1 POST /pay t" },
 		    { { (char *)"r.1", "GET", "/a", false,
 			LOOM_OUTCOME_UNKNOWN } },
@@ -298,7 +302,7 @@
 		    { "start r.1 GET /a t", "start r.2 GET /a t",
 			"done r.2 GET /a t" },
 		    { { (char *)"r.2", "GET", "/a", true, 0 } }, "" },
-		{ "another run's lines, and no line at all",
+		{ "lines of another run, and malformed lines",
 		    { "start x.1 POST /pay t", "start x.1 POST /pay t", "",
 			"start - POST /pay", "nonsense" },
 		    { { (char *)"r.1", "GET", "/a", false,
@@ -382,9 +386,9 @@
 	}
 }
 
-/* People begin by copying the example of the page. */
+/* The example in docs/LOAD.md, which users copy, must be valid settings. */
 static void
-test_page(void)
+test_documented_example(void)
 {
 	static const char fence[] = "```jsonc\n";
 	struct loom_problem *problems = NULL;
@@ -412,12 +416,12 @@
 	g_free(page);
 }
 
-/* Windows of a quarter of a second: all good until 1 s, a surge until 2 s. */
+/* Windows of 0.25 s; the surge lasts from 1 s to 2 s. */
 static void
 test_recovery(void)
 {
 	static const struct {
-		const char *good; /* one digit a window: good of ten */
+		const char *good; /* one digit per window: good of ten */
 		int64_t expected_ms;
 	} cases[] = {
 		{ "9999"
@@ -455,7 +459,7 @@
 		results = load_results_new(&settings);
 		for (window = cases[i].good; *window != '\0'; window++) {
 			for (j = 0; j < 10; j++)
-				load_results_finish(results, 0, route,
+				load_results_count_finished(results, 0, route,
 				    j < (uint32_t)(*window - '0')
 					? LOAD_FINISH_GOOD
 					: LOAD_FINISH_REFUSED,
@@ -471,10 +475,10 @@
 	loom_fields_free(load_fields, &settings);
 }
 
-/* Refused because of its rate: wrongful when an ideal bucket of the granted
- * rate had let it in, deserved when not. */
+/* A refusal because of the team's rate is wrongful if the reference bucket had
+ * a token for the attempt.  A refusal because of overload is not. */
 static void
-test_wrongful(void)
+test_wrongful_refusals(void)
 {
 	const struct loom_refusal rate = loom_refusal_of(LOOM_TEAM_RATE);
 	const struct loom_refusal overload = loom_refusal_of(LOOM_OVERLOAD);
@@ -484,12 +488,12 @@
 
 	read_settings("a", 2000, &settings);
 	results = load_results_new(&settings);
-	within = load_results_attempt(results, 0, 0);
-	load_results_refused(results, 0, &rate, within);
-	within = load_results_attempt(results, 0, 1);
-	load_results_refused(results, 0, &rate, within);
-	within = load_results_attempt(results, 0, S);
-	load_results_refused(results, 0, &overload, within);
+	within = load_results_count_attempt(results, 0, 0);
+	load_results_count_refusal(results, 0, &rate, within);
+	within = load_results_count_attempt(results, 0, 1);
+	load_results_count_refusal(results, 0, &rate, within);
+	within = load_results_count_attempt(results, 0, US_PER_S);
+	load_results_count_refusal(results, 0, &overload, within);
 	TEST_CHECK(results->teams[0].within == 2, "within");
 	TEST_CHECK(results->teams[0].wrongful == 1, "wrongful");
 	load_results_free(results);
@@ -499,14 +503,14 @@
 static const struct test_case tests[] = {
 	{ "percentiles", test_percentiles },
 	{ "arrivals", test_arrivals },
-	{ "arrivals without a rate", test_arrivals_end },
-	{ "ideal bucket", test_ideal_bucket },
-	{ "steps of a caller", test_steps },
+	{ "arrivals without a rate", test_arrivals_without_rate },
+	{ "token bucket", test_token_bucket },
+	{ "retry decisions", test_retry_decisions },
 	{ "ledger", test_ledger },
 	{ "settings", test_settings },
-	{ "the page's example", test_page },
+	{ "documented example", test_documented_example },
 	{ "recovery", test_recovery },
-	{ "wrongful refusals", test_wrongful },
+	{ "wrongful refusals", test_wrongful_refusals },
 };
 
 TEST_MAIN("load", tests)
