--- a/src/trace/export.c
+++ b/src/trace/export.c
@@ -13,7 +13,7 @@
 #include "loom/multi.h"
 #include "trace/export.h"
 
-/* Bound of the collector's queue: about 10 s of spans of a busy daemon. */
+/* Maximum length of the queue: about 10 s of spans of a busy daemon. */
 #define QUEUE_MAX_SPANS 4096
 
 #define FLUSH_MS 1000
--- a/src/trace/export.h
+++ b/src/trace/export.h
@@ -4,7 +4,8 @@
 /*
  * Exports spans to the log, one line per span, or in batches as JSON to an
  * OTLP/HTTP collector.  The queue for the collector is bounded: when it is
- * full, new spans are dropped and counted.
+ * full, new spans are dropped and counted.  A batch that could not be sent is
+ * logged and not sent again.
  */
 
 #include <glib.h>
--- a/src/trace/span.h
+++ b/src/trace/span.h
@@ -31,7 +31,7 @@
 	enum loom_outcome outcome; /* of the refusal */
 };
 
-/* Starts a span.  If traceparent is NULL or malformed, so does a new trace. */
+/* Starts a span, in a new trace if traceparent is NULL or malformed. */
 void span_begin(struct span *, const char *traceparent, uint64_t now_us);
 
 /* Formats the "traceparent" header for the next hop. */
--- a/src/trace/tally.c
+++ b/src/trace/tally.c
@@ -103,8 +103,7 @@
 	return g_strdup(end);
 }
 
-/* Only lines of the entry tell whether a caller or an upstream made the call.
- */
+/* Only the entry's lines tell whether a caller or an upstream made the call. */
 static const char *
 call_scope(struct json_object *line)
 {
