--- a/src/load/run.c
+++ b/src/load/run.c
@@ -22,8 +22,7 @@
 	GRand *arrivals_rand; /* owned */
 	GRand *routes_rand; /* owned */
 	double total_weight;
-	uint64_t
-	    next_us; /* the next arrival; LOAD_NEVER when there are no more */
+	uint64_t next_us; /* the next arrival; LOAD_NEVER if none */
 };
 
 static bool
