--- a/src/platform/answer.c
+++ b/src/platform/answer.c
@@ -1,8 +1,8 @@
 /*
- * The platform that docs/PLATFORM.md describes: one call that lists the values
- * under a prefix which changed after a revision.  The whole answer is checked
- * before the first value is handed over, so that a malformed one changes
- * nothing.
+ * Source for the product's own platform API (docs/PLATFORM.md): one HTTP call
+ * lists the values under a prefix that changed after a given revision. The
+ * whole response is validated before the first value is delivered, so that a
+ * malformed response changes nothing.
  */
 
 #include <curl/curl.h>
@@ -14,7 +14,7 @@
 #include "loom/platform.h"
 
 static bool
-read_revision(struct json_object *object, uint64_t *revision)
+get_revision(struct json_object *object, uint64_t *revision)
 {
 	struct json_object *field;
 	int64_t number;
@@ -28,7 +28,7 @@
 }
 
 static bool
-read_string(struct json_object *object, const char *name, size_t max,
+get_string(struct json_object *object, const char *name, size_t max,
     const char **text, size_t *len)
 {
 	struct json_object *field;
@@ -41,24 +41,25 @@
 	return *len <= max;
 }
 
+/* Parses one element of "values". Names outside the prefix are malformed. */
 static bool
-read_value(struct json_object *object, const char *prefix,
+parse_value(struct json_object *object, const char *prefix,
     struct loom_platform_value *value)
 {
 	size_t name_len;
 
 	return json_object_is_type(object, json_type_object) &&
-	    read_revision(object, &value->revision) &&
-	    read_string(object, "name", LOOM_PLATFORM_NAME_MAX, &value->name,
+	    get_revision(object, &value->revision) &&
+	    get_string(object, "name", LOOM_PLATFORM_NAME_MAX, &value->name,
 		&name_len) &&
 	    strlen(value->name) == name_len &&
 	    g_str_has_prefix(value->name, prefix) &&
-	    read_string(object, "value", LOOM_PLATFORM_VALUE_MAX, &value->text,
+	    get_string(object, "value", LOOM_PLATFORM_VALUE_MAX, &value->text,
 		&value->len);
 }
 
 static bool
-read_values(struct json_object *list, const char *prefix, GArray *values,
+parse_values(struct json_object *list, const char *prefix, GArray *values,
     GError **error)
 {
 	struct loom_platform_value value;
@@ -66,7 +67,7 @@
 
 	n = json_object_array_length(list);
 	for (i = 0; i < n; i++) {
-		if (!read_value(
+		if (!parse_value(
 			json_object_array_get_idx(list, i), prefix, &value))
 			return loom_fail(error, LOOM_PLATFORM_ANSWER,
 			    "values[%zu] is malformed", i);
@@ -80,43 +81,43 @@
     void (*value)(void *arg, const struct loom_platform_value *), void *arg,
     uint64_t *revision, GError **error)
 {
-	struct json_object *answer, *list;
+	struct json_object *response, *list;
 	const char *message;
 	GArray *values = NULL;
 	bool ok = false;
 	unsigned line;
 	guint i;
 
-	answer = loom_json_parse(text, len, &line, &message);
-	if (answer == NULL) {
+	response = loom_json_parse(text, len, &line, &message);
+	if (response == NULL) {
 		loom_fail(
 		    error, LOOM_PLATFORM_ANSWER, "line %u: %s", line, message);
 		return false;
 	}
-	if (!json_object_is_type(answer, json_type_object) ||
-	    !read_revision(answer, revision) ||
-	    !json_object_object_get_ex(answer, "values", &list) ||
+	if (!json_object_is_type(response, json_type_object) ||
+	    !get_revision(response, revision) ||
+	    !json_object_object_get_ex(response, "values", &list) ||
 	    !json_object_is_type(list, json_type_array)) {
 		loom_fail(error, LOOM_PLATFORM_ANSWER,
-		    "no revision or no list of values");
+		    "\"revision\" or \"values\" is missing or has the wrong type");
 		goto done;
 	}
 	values = g_array_new(FALSE, FALSE, sizeof(struct loom_platform_value));
-	ok = read_values(list, prefix, values, error);
+	ok = parse_values(list, prefix, values, error);
 	for (i = 0; ok && i < values->len; i++)
 		value(
 		    arg, &g_array_index(values, struct loom_platform_value, i));
 	g_array_free(values, TRUE);
 done:
-	json_object_put(answer);
+	json_object_put(response);
 	return ok;
 }
 
 struct values_state {
 	char *prefix; /* owned */
-	uint64_t after; /* the revision that was read last */
-	bool read_once; /* a first answer came; now calls may wait */
-	struct loom_counter *went_back; /* borrowed */
+	uint64_t last_revision; /* as of the last response */
+	bool has_response; /* a valid response was read; calls may wait */
+	struct loom_counter *revision_decreases; /* borrowed */
 };
 
 static void *
@@ -128,53 +129,59 @@
 	if (state == NULL)
 		return NULL;
 	state->prefix = talloc_strdup(state, prefix);
-	state->went_back = loom_counter("loom_platform_went_back_total", NULL,
-	    "Answers with a lower revision than the one before.");
+	state->revision_decreases =
+	    loom_counter("loom_platform_went_back_total", NULL,
+		"Answers with a lower revision than the one before.");
 	return state;
 }
 
-/* A reader that has read nothing yet asks without waiting: an empty prefix
- * must count as an answer at once. */
+/*
+ * Builds a long-poll call. The first call doesn't wait: the owner must get a
+ * response at once even when no value exists under the prefix.
+ */
 static void
-values_call(void *arg, uint32_t wait_ms, struct loom_platform_call *call)
+values_build_call(void *arg, uint32_t wait_ms, struct loom_platform_call *call)
 {
 	struct values_state *state = arg;
 	char *prefix = curl_easy_escape(NULL, state->prefix, 0);
 
-	call->wait_ms = state->read_once ? wait_ms : 0;
+	call->wait_ms = state->has_response ? wait_ms : 0;
 	call->path =
 	    g_strdup_printf("/v1/values?prefix=%s&after=%" PRIu64 "&wait_ms=%u",
-		prefix, state->after, call->wait_ms);
+		prefix, state->last_revision, call->wait_ms);
 	curl_free(prefix);
 }
 
 static enum loom_platform_next
-values_answer(void *arg, const struct loom_platform_answer *answer,
-    loom_platform_take take, void *take_arg, GError **error)
+values_handle_response(void *arg, const struct loom_platform_answer *response,
+    loom_platform_take deliver, void *deliver_arg, GError **error)
 {
 	struct values_state *state = arg;
 	uint64_t revision;
 
-	if (answer->status != 200) {
+	if (response->status != 200) {
 		loom_fail(
-		    error, LOOM_PLATFORM_STATUS, "status %u", answer->status);
+		    error, LOOM_PLATFORM_STATUS, "status %u", response->status);
 		return LOOM_PLATFORM_FAILED;
 	}
-	if (!loom_platform_answer(answer->text, answer->len, state->prefix,
-		take, take_arg, &revision, error))
+	if (!loom_platform_answer(response->text, response->len, state->prefix,
+		deliver, deliver_arg, &revision, error))
 		return LOOM_PLATFORM_FAILED;
-	/* A stale or restored platform counts from a lower revision.  It is
-	 * followed from there: waiting for the old number again would miss
-	 * every change until then, and the owner refuses what is older. */
-	if (revision < state->after)
-		loom_counter_add(state->went_back, 1);
-	state->after = revision;
-	state->read_once = true;
+	/*
+	 * The revision decreases when the platform serves a stale copy or was
+	 * restored from a backup. The reader continues from the lower number:
+	 * waiting for the old one to be reached again would miss every change
+	 * until then. The owner rejects values that are older than its own.
+	 */
+	if (revision < state->last_revision)
+		loom_counter_add(state->revision_decreases, 1);
+	state->last_revision = revision;
+	state->has_response = true;
 	return LOOM_PLATFORM_WHOLE;
 }
 
 const struct loom_platform_source loom_platform_values = {
 	.open = values_open,
-	.call = values_call,
-	.answer = values_answer,
+	.call = values_build_call,
+	.answer = values_handle_response,
 };
--- a/src/platform/reader.c
+++ b/src/platform/reader.c
@@ -1,9 +1,9 @@
 /*
- * A reader of the platform: one long poll at a time over libcurl.
+ * Platform reader: long polls over libcurl, one at a time.
  *
- * The platform counts calls, about 2,000 a second over all readers of a
- * fleet.  The pace of calls (loom/pace.h) and the owner's choice of who
- * watches at all (loom/spread.h) keep to it.
+ * The platform allows about 2,000 calls a second for all readers of a fleet.
+ * The delays between calls (loom/pace.h) and the owner's choice of which hosts
+ * watch at all (loom/spread.h) keep the fleet below this rate.
  */
 
 #include <curl/curl.h>
@@ -14,36 +14,36 @@
 #include "loom/log.h"
 #include "loom/platform.h"
 
-#define CONNECT_MS 2000
-/* All host lists of 17,000 hosts are about 4 MB. */
-#define ANSWER_MAX_BYTES (UINT32_C(32) * 1024 * 1024)
+#define CONNECT_TIMEOUT_MS 2000
+/* The host lists of a fleet of 17,000 hosts are about 4 MB in total. */
+#define RESPONSE_MAX_BYTES (UINT32_C(32) * 1024 * 1024)
 
 struct loom_platform_reader {
 	struct tevent_context *ev; /* borrowed */
 	struct loom_multi *multi; /* borrowed */
 	const struct loom_platform_events *events; /* borrowed */
 	void *arg; /* borrowed */
-	/* strings owned; the pace has its defaults filled in */
+	/* strings are owned; defaults are filled in */
 	struct loom_platform_options options;
 	CURL *easy; /* owned */
-	GString *body; /* owned: the answer as it comes in */
-	struct tevent_timer *due; /* owned: the next call, or NULL */
-	void *state; /* owned: the source's */
-	uint32_t failures; /* in a row */
-	uint64_t sent_us; /* when the first call of this reading began */
-	bool busy; /* a call is under way */
+	GString *body; /* owned; response body received so far */
+	struct tevent_timer *call_timer; /* owned; NULL if not scheduled */
+	void *state; /* owned; belongs to the source */
+	uint32_t failures; /* consecutive */
+	uint64_t reading_started_us; /* start of its first call */
+	bool in_flight; /* a call is running */
 	bool watching;
-	bool oversized; /* the running call's answer is too long */
-	struct loom_counter *calls; /* borrowed, like the next two */
-	struct loom_counter *failed;
+	bool oversized; /* the running call's response is too long */
+	struct loom_counter *calls; /* borrowed, as the next two */
+	struct loom_counter *failed_calls;
 	struct loom_counter *bytes;
 };
 
-static void start_call(struct loom_platform_reader *);
-static void call_again(struct loom_platform_reader *);
+static void start_reading(struct loom_platform_reader *);
+static void send_call(struct loom_platform_reader *);
 
 static void
-due_now(struct tevent_context *ev, struct tevent_timer *timer,
+on_call_timer(struct tevent_context *ev, struct tevent_timer *timer,
     struct timeval now, void *arg)
 {
 	struct loom_platform_reader *reader = arg;
@@ -51,31 +51,34 @@
 	(void)ev;
 	(void)timer;
 	(void)now;
-	reader->due = NULL;
-	start_call(reader);
+	reader->call_timer = NULL;
+	start_reading(reader);
 }
 
-/* The next call, after an answer or a failure. */
+/* Schedules the next reading after a response or a failure. */
 static void
-schedule(struct loom_platform_reader *reader)
+schedule_reading(struct loom_platform_reader *reader)
 {
 	uint32_t delay_ms = loom_pace_delay_ms(
 	    &reader->options.pace, reader->failures, &reader->options.random);
 
-	TALLOC_FREE(reader->due);
-	reader->due = tevent_add_timer(reader->ev, reader,
+	TALLOC_FREE(reader->call_timer);
+	reader->call_timer = tevent_add_timer(reader->ev, reader,
 	    tevent_timeval_current_ofs(
 		delay_ms / 1000, delay_ms % 1000 * LOOM_US_PER_MS),
-	    due_now, reader);
+	    on_call_timer, reader);
 }
 
-/* Refuse the rest of an answer that is too long: libcurl then fails. */
+/*
+ * libcurl's write callback. Returning 0 for a response that is too long makes
+ * libcurl abort the transfer.
+ */
 static size_t
-take_body(char *data, size_t size, size_t n, void *arg)
+on_body(char *data, size_t size, size_t n, void *arg)
 {
 	struct loom_platform_reader *reader = arg;
 
-	if (reader->body->len + size * n > ANSWER_MAX_BYTES) {
+	if (reader->body->len + size * n > RESPONSE_MAX_BYTES) {
 		reader->oversized = true;
 		return 0;
 	}
@@ -84,12 +87,12 @@
 }
 
 static bool
-transfer_error(
+set_transfer_error(
     const struct loom_platform_reader *reader, CURLcode result, GError **error)
 {
 	if (reader->oversized)
 		return loom_fail(error, LOOM_PLATFORM_OVERSIZED,
-		    "answer over %u bytes", ANSWER_MAX_BYTES);
+		    "response exceeds %u bytes", RESPONSE_MAX_BYTES);
 	if (result == CURLE_PARTIAL_FILE)
 		return loom_fail(
 		    error, LOOM_PLATFORM_CUT, "%s", curl_easy_strerror(result));
@@ -98,7 +101,7 @@
 }
 
 static void
-deliver(void *arg, const struct loom_platform_value *value)
+deliver_value(void *arg, const struct loom_platform_value *value)
 {
 	struct loom_platform_reader *reader = arg;
 
@@ -107,10 +110,10 @@
 }
 
 static enum loom_platform_next
-take_answer(
+handle_response(
     struct loom_platform_reader *reader, CURLcode result, GError **error)
 {
-	struct loom_platform_answer answer = {
+	struct loom_platform_answer response = {
 		.text = reader->body->str,
 		.len = reader->body->len,
 		.failures = reader->failures,
@@ -119,18 +122,18 @@
 	long status = 0;
 
 	if (result != CURLE_OK) {
-		transfer_error(reader, result, error);
+		set_transfer_error(reader, result, error);
 		return LOOM_PLATFORM_FAILED;
 	}
 	curl_easy_getinfo(reader->easy, CURLINFO_RESPONSE_CODE, &status);
-	answer.status = (unsigned)status;
-	loom_counter_add(reader->bytes, (int64_t)answer.len);
+	response.status = (unsigned)status;
+	loom_counter_add(reader->bytes, (int64_t)response.len);
 	return reader->options.source->answer(
-	    reader->state, &answer, deliver, reader, error);
+	    reader->state, &response, deliver_value, reader, error);
 }
 
 static const char *
-prefix_name(const struct loom_platform_reader *reader)
+prefix_label(const struct loom_platform_reader *reader)
 {
 	const char *prefix = reader->options.prefix;
 
@@ -138,11 +141,11 @@
 }
 
 static void
-report(const struct loom_platform_reader *reader, const char *what,
+write_event(const struct loom_platform_reader *reader, const char *what,
     const GError *error)
 {
 	const struct loom_event_field fields[] = {
-		LOOM_F_TEXT("prefix", prefix_name(reader)),
+		LOOM_F_TEXT("prefix", prefix_label(reader)),
 		LOOM_F_TEXT("what", what),
 		LOOM_F_INT("failures", reader->failures),
 		LOOM_F_INT("code", error == NULL ? 0 : error->code),
@@ -155,51 +158,56 @@
 }
 
 static void
-call_done(void *arg, CURL *easy, CURLcode result)
+on_transfer_done(void *arg, CURL *easy, CURLcode result)
 {
 	struct loom_platform_reader *reader = arg;
 	enum loom_platform_next next;
 	GError *error = NULL;
 
 	(void)easy;
-	reader->busy = false;
-	next = take_answer(reader, result, &error);
+	reader->in_flight = false;
+	next = handle_response(reader, result, &error);
 	if (next == LOOM_PLATFORM_MORE) {
-		call_again(reader);
+		send_call(reader);
 		return;
 	}
 	if (next == LOOM_PLATFORM_WHOLE) {
 		if (reader->failures > 0)
-			report(reader, "regained", NULL);
+			write_event(reader, "regained", NULL);
 		reader->failures = 0;
 		if (reader->watching)
-			schedule(reader);
+			schedule_reading(reader);
 		if (reader->events->answered != NULL)
-			reader->events->answered(reader->arg, reader->sent_us);
+			reader->events->answered(
+			    reader->arg, reader->reading_started_us);
 		return;
 	}
 	if (reader->failures++ == 0)
-		report(reader, "lost", error);
-	loom_counter_add(reader->failed, 1);
+		write_event(reader, "lost", error);
+	loom_counter_add(reader->failed_calls, 1);
 	loom_log(LOOM_LOG_DEBUG, "platform", (enum loom_result)error->code,
-	    "%s: %s", prefix_name(reader), error->message);
+	    "%s: %s", prefix_label(reader), error->message);
 	if (reader->watching)
-		schedule(reader);
+		schedule_reading(reader);
 	if (reader->events->failed != NULL)
 		reader->events->failed(reader->arg, error);
 	g_error_free(error);
 }
 
-/* A reading may take several calls: what it brings is as of the first. */
+/*
+ * A reading may take several calls. Its result counts as of the start of the
+ * first: a change during the later calls may be missing from it.
+ */
 static void
-start_call(struct loom_platform_reader *reader)
+start_reading(struct loom_platform_reader *reader)
 {
-	reader->sent_us = loom_now_us();
-	call_again(reader);
+	reader->reading_started_us = loom_now_us();
+	send_call(reader);
 }
 
+/* Sends the next call of the running reading. */
 static void
-call_again(struct loom_platform_reader *reader)
+send_call(struct loom_platform_reader *reader)
 {
 	struct loom_platform_call call = { .path = NULL };
 	uint32_t wait_ms = 0;
@@ -218,19 +226,19 @@
 	g_string_truncate(reader->body, 0);
 	reader->oversized = false;
 	loom_counter_add(reader->calls, 1);
-	reader->busy =
-	    loom_multi_add(reader->multi, reader->easy, call_done, reader);
-	if (!reader->busy && reader->watching) {
+	reader->in_flight = loom_multi_add(
+	    reader->multi, reader->easy, on_transfer_done, reader);
+	if (!reader->in_flight && reader->watching) {
 		reader->failures++;
-		schedule(reader);
+		schedule_reading(reader);
 	}
 }
 
 void
 loom_platform_fetch(struct loom_platform_reader *reader)
 {
-	if (!reader->busy && reader->due == NULL)
-		start_call(reader);
+	if (!reader->in_flight && reader->call_timer == NULL)
+		start_reading(reader);
 }
 
 void
@@ -243,16 +251,16 @@
 		loom_platform_fetch(reader);
 		return;
 	}
-	TALLOC_FREE(reader->due);
-	if (reader->busy)
+	TALLOC_FREE(reader->call_timer);
+	if (reader->in_flight)
 		loom_multi_remove(reader->multi, reader->easy);
-	reader->busy = false;
+	reader->in_flight = false;
 }
 
 static int
 reader_destroy(struct loom_platform_reader *reader)
 {
-	if (reader->busy)
+	if (reader->in_flight)
 		loom_multi_remove(reader->multi, reader->easy);
 	curl_easy_cleanup(reader->easy);
 	g_string_free(reader->body, TRUE);
@@ -260,43 +268,46 @@
 }
 
 static void
-set_options(struct loom_platform_reader *reader,
+copy_options(struct loom_platform_reader *reader,
     const struct loom_platform_options *options)
 {
-	struct loom_platform_options *own = &reader->options;
-
-	*own = *options;
-	if (own->source == NULL)
-		own->source = &loom_platform_values;
-	own->url = talloc_strdup(reader, options->url);
-	own->prefix = talloc_strdup(reader, options->prefix);
-	own->pace = loom_pace_with_defaults(&options->pace);
+	struct loom_platform_options *copied = &reader->options;
+
+	*copied = *options;
+	if (copied->source == NULL)
+		copied->source = &loom_platform_values;
+	copied->url = talloc_strdup(reader, options->url);
+	copied->prefix = talloc_strdup(reader, options->prefix);
+	copied->pace = loom_pace_with_defaults(&options->pace);
 }
 
 static void
-set_transfer(struct loom_platform_reader *reader)
+configure_transfer(struct loom_platform_reader *reader)
 {
 	CURL *easy = reader->easy;
 
-	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, take_body);
+	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, on_body);
 	curl_easy_setopt(easy, CURLOPT_WRITEDATA, reader);
-	curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, (long)CONNECT_MS);
+	curl_easy_setopt(
+	    easy, CURLOPT_CONNECTTIMEOUT_MS, (long)CONNECT_TIMEOUT_MS);
 	curl_easy_setopt(easy, CURLOPT_PROTOCOLS_STR, "http,https");
-	/* Signals would interrupt other threads' calls. */
+	/* libcurl's signals would interrupt system calls of other threads. */
 	curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
-	/* Hosts talk by IP numbers; a proxy from the environment would make
-	 * every reader depend on one machine. */
+	/*
+	 * Ignore proxy settings of the environment: hosts are addressed by IP,
+	 * and a proxy would be a single point of failure for every reader.
+	 */
 	curl_easy_setopt(easy, CURLOPT_PROXY, "");
 	loom_multi_set_source(easy, reader->options.address);
 }
 
 static void
-set_counters(struct loom_platform_reader *reader)
+register_counters(struct loom_platform_reader *reader)
 {
 	reader->calls = loom_counter(
 	    "loom_platform_calls_total", NULL, "Calls made to the platform.");
-	reader->failed = loom_counter("loom_platform_failures_total", NULL,
-	    "Calls to the platform that failed.");
+	reader->failed_calls = loom_counter("loom_platform_failures_total",
+	    NULL, "Calls to the platform that failed.");
 	reader->bytes = loom_counter("loom_platform_bytes_total", NULL,
 	    "Bytes of answers read from the platform.");
 }
@@ -315,7 +326,7 @@
 	reader->multi = multi;
 	reader->events = events;
 	reader->arg = arg;
-	set_options(reader, options);
+	copy_options(reader, options);
 	reader->easy = curl_easy_init();
 	reader->state = reader->options.source->open(
 	    reader, reader->options.prefix, options->source_arg);
@@ -327,7 +338,7 @@
 	}
 	reader->body = g_string_new(NULL);
 	talloc_set_destructor(reader, reader_destroy);
-	set_transfer(reader);
-	set_counters(reader);
+	configure_transfer(reader);
+	register_counters(reader);
 	return reader;
 }
--- a/tests/platform/test_reader.c
+++ b/tests/platform/test_reader.c
@@ -1,6 +1,6 @@
 /*
- * Contract of the platform reader against the stand-in, with its faults, and
- * of the answers' parser.
+ * Tests the platform reader against the platform stand-in, including injected
+ * faults, and the parser of its responses.
  */
 
 #include <inttypes.h>
@@ -17,7 +17,7 @@
 	struct tevent_context *ev;
 	struct loom_platform_reader *reader;
 	struct loom_random random;
-	char text[64]; /* the last value of manifest/a */
+	char text[64]; /* last value received */
 	uint64_t revision;
 	unsigned values;
 	unsigned answers;
@@ -59,7 +59,7 @@
 };
 
 static void
-setup_pace(struct fixture *f, uint32_t wait_ms, uint32_t answer_ms)
+setup_with_timing(struct fixture *f, uint32_t wait_ms, uint32_t answer_ms)
 {
 	struct loom_platform_options options = {
 		.prefix = "manifest/",
@@ -85,7 +85,7 @@
 static void
 setup(struct fixture *f)
 {
-	setup_pace(f, 100, 500);
+	setup_with_timing(f, 100, 500);
 }
 
 static void
@@ -119,7 +119,7 @@
 
 	setup(&f);
 	put(&f, "one");
-	call(&f, "PUT", "/test/values/other", "not ours");
+	call(&f, "PUT", "/test/values/other", "outside the prefix");
 	loom_platform_fetch(f.reader);
 	WAIT(&f, f.answers == 1);
 	CU_ASSERT_EQUAL(f.values, 1);
@@ -145,9 +145,9 @@
 }
 
 /*
- * An operator ships a change while the platform fails.  The reader reports
- * the failure by its code, keeps what it had, and reads the change once the
- * platform is back, because a watch is repeated after a backoff.
+ * Changes a value while the platform fails. The reader must report the result
+ * code of the failure, keep the values that it has read, retry the watch after
+ * a backoff and read the change once the platform is available again.
  */
 static void
 test_faults(void)
@@ -179,16 +179,19 @@
 	}
 }
 
-/* Guards against a watch that is sent during an outage and keeps the reader
- * from the changes after it for as long as a healthy watch may wait. */
+/*
+ * A watch that is sent during an outage may never be answered. Guards against a
+ * reader that waits for it as long as for a watch on a healthy platform, and so
+ * misses the changes after the outage.
+ */
 static void
-test_call_into_outage(void)
+test_call_during_outage(void)
 {
 	const uint32_t wait_ms = 120000; /* longer than a test may take */
 	struct fixture f;
 	unsigned failures;
 
-	setup_pace(&f, wait_ms, 100);
+	setup_with_timing(&f, wait_ms, 100);
 	put(&f, "before");
 	loom_platform_watch(f.reader, true);
 	WAIT(&f, strcmp(f.text, "before") == 0);
@@ -204,11 +207,11 @@
 }
 
 /*
- * The platform answers, but from an old copy.  Nothing tells the reader so;
- * it must neither fail nor miss the change when the platform recovers.
+ * The platform serves an old copy, which the reader can't detect. It must not
+ * fail, and must read the change once the platform has recovered.
  */
 static void
-test_stale(void)
+test_stale_copy(void)
 {
 	struct fixture f;
 	unsigned answers;
@@ -229,12 +232,12 @@
 }
 
 /*
- * The platform was restored from an older copy and counts from a lower
- * revision.  A reader that waited on for its old number would miss every
- * change until then; it must follow the platform from where it is.
+ * The platform was restored from a backup and its revision is lower than
+ * before. Guards against a reader that keeps waiting for its old revision to be
+ * passed and misses every change until then.
  */
 static void
-test_revision_goes_back(void)
+test_revision_decreases(void)
 {
 	struct fixture f;
 	unsigned answers;
@@ -260,10 +263,12 @@
 	teardown(&f);
 }
 
-/* Two operators put the same version: the last put is what readers end
- * with, and an old text may come again under a new revision. */
+/*
+ * Two operators write the same version. Readers must end with the last write,
+ * and must accept that an old text returns under a new revision.
+ */
 static void
-test_race_and_older(void)
+test_concurrent_writes(void)
 {
 	struct fixture f;
 	uint64_t revision;
@@ -281,7 +286,7 @@
 }
 
 static void
-test_switch_off(void)
+test_stop_watching(void)
 {
 	struct fixture f;
 	char *calls;
@@ -291,7 +296,7 @@
 	WAIT(&f, f.answers == 1);
 	loom_platform_watch(f.reader, false);
 	put(&f, "one");
-	CU_ASSERT_EQUAL(tevent_loop_wait(f.ev), 0); /* nothing left to do */
+	CU_ASSERT_EQUAL(tevent_loop_wait(f.ev), 0); /* no event is left */
 	CU_ASSERT_EQUAL(f.values, 0);
 	calls = test_standin_call(&f.standin, "GET", "/v1/calls", NULL);
 	TEST_CHECK(strcmp(calls, "{\"calls\":1}") == 0 ||
@@ -308,10 +313,10 @@
 	++*(unsigned *)arg;
 }
 
-#define GOOD "{\"name\":\"m/a\",\"revision\":1,\"value\":\"x\"}"
+#define VALID_VALUE "{\"name\":\"m/a\",\"revision\":1,\"value\":\"x\"}"
 
 static void
-test_answers(void)
+test_parse_responses(void)
 {
 	static const struct {
 		const char *text;
@@ -319,15 +324,16 @@
 		unsigned values;
 	} cases[] = {
 		{ "{\"revision\":1,\"values\":[]}", true, 0 },
-		{ "{\"revision\":1,\"values\":[" GOOD "]}", true, 1 },
+		{ "{\"revision\":1,\"values\":[" VALID_VALUE "]}", true, 1 },
 		{ "", false, 0 },
 		{ "[]", false, 0 },
 		{ "{\"revision\":1}", false, 0 },
 		{ "{\"revision\":-1,\"values\":[]}", false, 0 },
 		{ "{\"revision\":\"1\",\"values\":[]}", false, 0 },
 		{ "{\"revision\":1,\"values\":{}}", false, 0 },
-		{ "{\"revision\":1,\"values\":[" GOOD ",1]}", false, 0 },
-		{ "{\"revision\":1,\"values\":[" GOOD ",{}]}", false, 0 },
+		{ "{\"revision\":1,\"values\":[" VALID_VALUE ",1]}", false, 0 },
+		{ "{\"revision\":1,\"values\":[" VALID_VALUE ",{}]}", false,
+		    0 },
 		{ "{\"revision\":1,\"values\":[{\"name\":\"n/a\","
 		  "\"revision\":1,\"value\":\"x\"}]}",
 		    false, 0 },
@@ -361,12 +367,12 @@
 	{ "fetch", test_fetch },
 	{ "watch", test_watch },
 	{ "faults", test_faults },
-	{ "call into an outage", test_call_into_outage },
-	{ "stale", test_stale },
-	{ "revision goes back", test_revision_goes_back },
-	{ "race and older", test_race_and_older },
-	{ "switch off", test_switch_off },
-	{ "answers", test_answers },
+	{ "call sent during an outage", test_call_during_outage },
+	{ "stale", test_stale_copy },
+	{ "revision decreases", test_revision_decreases },
+	{ "concurrent writes", test_concurrent_writes },
+	{ "stop watching", test_stop_watching },
+	{ "responses", test_parse_responses },
 };
 
 TEST_MAIN("platform reader", tests)
