--- a/tests/adapter/test_adapter.c
+++ b/tests/adapter/test_adapter.c
@@ -1,6 +1,6 @@
 /*
- * The adapter without a network: what the platform publishes, also what makes
- * no sense, and what becomes of it.
+ * Tests how the adapter translates what the platform publishes, including
+ * malformed input, without a network.
  */
 
 #include <sodium.h>
@@ -11,7 +11,7 @@
 #include "platform/adapter.h"
 #include "support/test.h"
 
-static const char good_config[] =
+static const char valid_config[] =
     "{\"version\":7,\"routes\":["
     "{\"name\":\"r-1\",\"host\":\"a.example\",\"prefix\":\"/x/\","
     "\"kind\":\"safe\",\"timeout_s\":1.25,\"aim_s\":0.5,\"priority\":2,"
@@ -31,7 +31,7 @@
     "{\"name\":\"t2\",\"api_keys\":[],\"rate_per_s\":0}]}";
 
 static struct loom_manifest *
-manifest_of(const char *config)
+build_manifest(const char *config)
 {
 	struct loom_problem *problems = NULL;
 	struct loom_manifest *manifest = NULL;
@@ -39,7 +39,7 @@
 	GError *error = NULL;
 	char *text;
 
-	text = adapter_document(config, strlen(config), &error);
+	text = adapter_translate_config(config, strlen(config), &error);
 	if (text == NULL) {
 		g_error_free(error);
 		return NULL;
@@ -56,14 +56,14 @@
 
 static const struct {
 	const char *host, *path;
-	const char *route; /* NULL: none matches */
+	const char *route; /* NULL if none matches */
 } routing[] = {
 	{ "a.example", "/x/1", "r-1" },
 	{ "a.example:8080", "/x/1?q=/x/y/", "r-1" },
 	{ "a.example", "/x/y/1", "r-2" }, /* the longest prefix */
 	{ "a.example", "/x/y", "r-1" },
 	{ "b.example", "/x/y/1", "r-3" },
-	/* as they were sent: an upstream gets the same bytes */
+	/* not normalized: the upstream receives the path as it was sent */
 	{ "a.example", "/x//y/../1", "r-1" },
 	{ "a.example", "/x/%79/1", "r-1" },
 	{ "a.example", "/x", NULL },
@@ -75,7 +75,7 @@
 static void
 test_config(void)
 {
-	struct loom_manifest *manifest = manifest_of(good_config);
+	struct loom_manifest *manifest = build_manifest(valid_config);
 	const struct loom_route *route;
 	uint8_t digest[LOOM_DIGEST_SIZE];
 	const struct loom_key *key;
@@ -116,43 +116,44 @@
 	loom_manifest_release(manifest);
 }
 
-/* What is wrong, and of a good text what is put in its place. */
+/* Each case replaces one part of valid_config. */
 static const struct {
 	const char *name, *from, *to;
-} bad_configs[] = {
-	{ "cut short", "\"burst\":40},", "" },
+} invalid_configs[] = {
+	{ "truncated", "\"burst\":40},", "" },
 	{ "no version", "\"version\":7", "\"other\":7" },
-	{ "version as text", "\"version\":7", "\"version\":\"7\"" },
-	{ "a route without a kind", "\"kind\":\"safe\",", "" },
-	{ "a route without a service", "\"service\":\"s1\",\"max_attempts\":1",
+	{ "version is a string", "\"version\":7", "\"version\":\"7\"" },
+	{ "route without a kind", "\"kind\":\"safe\",", "" },
+	{ "route without a service", "\"service\":\"s1\",\"max_attempts\":1",
 	    "\"max_attempts\":1" },
-	{ "an unknown service", "\"service\":\"s1\",\"max_attempts\":1",
+	{ "unknown service", "\"service\":\"s1\",\"max_attempts\":1",
 	    "\"service\":\"s9\",\"max_attempts\":1" },
 	{ "no attempts", "\"max_attempts\":3", "\"max_attempts\":0" },
-	{ "a split without a weight", "\"weight\":10", "\"w\":10" },
-	{ "a prefix without a slash", "\"prefix\":\"/x/\"",
-	    "\"prefix\":\"x\"" },
+	{ "split without a weight", "\"weight\":10", "\"w\":10" },
+	{ "prefix without a slash", "\"prefix\":\"/x/\"", "\"prefix\":\"x\"" },
 	{ "no routes", "\"routes\":[", "\"r\":[" },
 	{ "no services", "\"services\":[", "\"s\":[" },
-	{ "a team without a name", "{\"name\":\"t1\",", "{" },
+	{ "team without a name", "{\"name\":\"t1\",", "{" },
 };
 
-/* A configuration that cannot be used as a whole is refused as a whole: the
- * one before it stays in force. */
+/*
+ * A configuration with any malformed part is rejected as a whole, so that the
+ * previous one stays in force.
+ */
 static void
-test_bad_configs(void)
+test_invalid_configs(void)
 {
 	struct loom_manifest *manifest;
 	char **parts, *text;
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(bad_configs); i++) {
-		parts = g_strsplit(good_config, bad_configs[i].from, 2);
-		text = g_strjoinv(bad_configs[i].to, parts);
-		TEST_CHECK(
-		    strcmp(text, good_config) != 0, "%s", bad_configs[i].name);
-		manifest = manifest_of(text);
-		TEST_CHECK(manifest == NULL, "%s", bad_configs[i].name);
+	for (i = 0; i < G_N_ELEMENTS(invalid_configs); i++) {
+		parts = g_strsplit(valid_config, invalid_configs[i].from, 2);
+		text = g_strjoinv(invalid_configs[i].to, parts);
+		TEST_CHECK(strcmp(text, valid_config) != 0, "%s",
+		    invalid_configs[i].name);
+		manifest = build_manifest(text);
+		TEST_CHECK(manifest == NULL, "%s", invalid_configs[i].name);
 		if (manifest != NULL)
 			loom_manifest_release(manifest);
 		g_free(text);
@@ -172,12 +173,12 @@
 } entries[] = {
 	{ "ready", ENTRY("s1", "10.0.0.1", "ready", "5"), true },
 	{ "draining", ENTRY("s1", "10.0.0.1", "draining", "5"), true },
-	{ "an unknown state", ENTRY("s1", "10.0.0.1", "odd", "5"), false },
+	{ "unknown state", ENTRY("s1", "10.0.0.1", "odd", "5"), false },
 	{ "no address", ENTRY("s1", "", "ready", "5"), false },
-	{ "no object", "[1]", false },
-	{ "no text", "\xff\xfe", false },
-	{ "nothing", "", false },
-	{ "a service of another type",
+	{ "not an object", "[1]", false },
+	{ "not UTF-8", "\xff\xfe", false },
+	{ "empty", "", false },
+	{ "service is not a string",
 	    "{\"service\":7,\"address\":\"10.0.0.1:1\",\"zone\":\"a\","
 	    "\"slots\":1,\"state\":\"ready\"}",
 	    false },
@@ -190,41 +191,41 @@
 static void
 test_entries(void)
 {
-	struct adapter_target *target;
+	struct adapter_upstream *upstream;
 	GError *error;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(entries); i++) {
 		error = NULL;
-		target = adapter_target_parse(NULL, "i-1", entries[i].text,
+		upstream = adapter_upstream_parse(NULL, "i-1", entries[i].text,
 		    strlen(entries[i].text), &error);
-		TEST_CHECK(
-		    (target != NULL) == entries[i].good, "%s", entries[i].name);
+		TEST_CHECK((upstream != NULL) == entries[i].good, "%s",
+		    entries[i].name);
 		TEST_CHECK(
 		    (error == NULL) == entries[i].good, "%s", entries[i].name);
 		g_clear_error(&error);
-		talloc_free(target);
+		talloc_free(upstream);
 	}
 }
 
-struct told {
+struct published {
 	GHashTable *values; /* name to text, owned */
 	uint32_t n;
 };
 
 static void
-take(void *arg, const struct loom_platform_value *value)
+on_value(void *arg, const struct loom_platform_value *value)
 {
-	struct told *told = arg;
+	struct published *published = arg;
 
-	told->n++;
-	g_hash_table_replace(told->values, g_strdup(value->name),
+	published->n++;
+	g_hash_table_replace(published->values, g_strdup(value->name),
 	    g_strndup(value->text, value->len));
 }
 
-/* {"key":K,"value":base64,...}; a NULL value makes a deletion. */
+/* Formats an item of the store. A NULL value formats a deletion. */
 static char *
-item(const char *key, const char *value, unsigned revision)
+format_item(const char *key, const char *value, unsigned revision)
 {
 	char *encoded, *text;
 
@@ -241,11 +242,12 @@
 	return text;
 }
 
-/* One answer of the store, and what the reader then knows and asks. */
+/* A response of the store, and what is expected after it. */
 struct step {
 	const char *name;
 	unsigned status;
-	const char *list; /* "items" or "events"; NULL: text is the answer */
+	const char
+	    *list; /* "items" or "events"; NULL if text is the response */
 	const char *text;
 	struct {
 		const char *key, *value;
@@ -254,59 +256,60 @@
 	bool has_more;
 	unsigned current;
 	enum loom_platform_next next;
-	const char *asks; /* a part of the next call */
-	const char *service; /* whose hosts then are */
-	const char *holds; /* a part of that list; NULL: not looked at */
+	const char *next_call; /* substring of the next call's path */
+	const char *service; /* whose host list is checked; or NULL */
+	const char *hosts_contain; /* substring of that list */
 };
 
 #define S1_READY ENTRY("s1", "10.0.0.1", "ready", "5")
-#define S1_LEAVES ENTRY("s1", "10.0.0.1", "draining", "5")
-#define S1_OTHER ENTRY("s1", "10.0.0.2", "ready", "5")
-#define S2_TAKES ENTRY("s2", "10.0.0.1", "ready", "9")
+#define S1_DRAINING ENTRY("s1", "10.0.0.1", "draining", "5")
+#define S1_SECOND ENTRY("s1", "10.0.0.2", "ready", "5")
+#define S2_REUSES_IP ENTRY("s2", "10.0.0.1", "ready", "9")
 
 static const struct step steps[] = {
 	{ "first page", 200, "items", NULL, { { "servers/i-1", S1_READY, 3 } },
 	    true, 10, LOOM_PLATFORM_MORE, "/kv-range?prefix=&after=servers/i-1",
 	    NULL, NULL },
-	{ "last page", 200, "items", NULL, { { "servers/i-2", S1_OTHER, 4 } },
+	{ "last page", 200, "items", NULL, { { "servers/i-2", S1_SECOND, 4 } },
 	    false, 12, LOOM_PLATFORM_WHOLE, "/kv-watch?prefix=&after=10&", "s1",
 	    "\"i-2\"" },
-	{ "nothing new", 200, "events", NULL, { { NULL, NULL, 0 } }, false, 12,
+	{ "no changes", 200, "events", NULL, { { NULL, NULL, 0 } }, false, 12,
 	    LOOM_PLATFORM_WHOLE, "after=12&", "s1", "\"i-1\"" },
-	{ "one leaves", 200, "events", NULL,
-	    { { "servers/i-1", S1_LEAVES, 13 } }, false, 13,
+	{ "an upstream drains", 200, "events", NULL,
+	    { { "servers/i-1", S1_DRAINING, 13 } }, false, 13,
 	    LOOM_PLATFORM_WHOLE, "after=13&", "s1", "\"leaving\"" },
-	{ "its address goes to another service", 200, "events", NULL,
-	    { { "servers/i-9", S2_TAKES, 14 } }, false, 14, LOOM_PLATFORM_WHOLE,
-	    "after=14&", "s2", "s2/10.0.0.1" },
-	{ "and is that one's alone", 200, "events", NULL, { { NULL, NULL, 0 } },
-	    false, 14, LOOM_PLATFORM_WHOLE, "after=14&", "s1",
-	    "[{\"name\":\"s1/10.0.0.2\"" },
-	{ "an entry of another writer", 200, "events", NULL,
+	{ "its IP is reassigned to another service", 200, "events", NULL,
+	    { { "servers/i-9", S2_REUSES_IP, 14 } }, false, 14,
+	    LOOM_PLATFORM_WHOLE, "after=14&", "s2", "s2/10.0.0.1" },
+	{ "the previous service loses the IP", 200, "events", NULL,
+	    { { NULL, NULL, 0 } }, false, 14, LOOM_PLATFORM_WHOLE, "after=14&",
+	    "s1", "[{\"name\":\"s1/10.0.0.2\"" },
+	{ "a malformed entry", 200, "events", NULL,
 	    { { "servers/odd", "\x01", 15 } }, false, 15, LOOM_PLATFORM_WHOLE,
 	    "after=15&", "s1", "i-2" },
-	{ "a configuration among them", 200, "events", NULL,
-	    { { "op/config", good_config, 15 }, { "op/other", "x", 15 } },
+	{ "a configuration among the events", 200, "events", NULL,
+	    { { "op/config", valid_config, 15 }, { "op/other", "x", 15 } },
 	    false, 15, LOOM_PLATFORM_WHOLE, "after=15&", "s1", "i-2" },
-	{ "the revision goes back", 200, "events", NULL, { { NULL, NULL, 0 } },
+	{ "the revision decreases", 200, "events", NULL, { { NULL, NULL, 0 } },
 	    false, 4, LOOM_PLATFORM_FAILED, "after=15&", "s1", "i-2" },
-	{ "busy", 503, NULL, "", { { NULL, NULL, 0 } }, false, 0,
+	{ "unavailable", 503, NULL, "", { { NULL, NULL, 0 } }, false, 0,
 	    LOOM_PLATFORM_FAILED, "/kv-watch", "s1", "i-2" },
-	{ "no JSON", 200, NULL, "<html>", { { NULL, NULL, 0 } }, false, 0,
+	{ "not JSON", 200, NULL, "<html>", { { NULL, NULL, 0 } }, false, 0,
 	    LOOM_PLATFORM_FAILED, "/kv-watch", "s1", "i-2" },
 	{ "no list", 200, NULL, "{\"current_rev\":20}", { { NULL, NULL, 0 } },
 	    false, 0, LOOM_PLATFORM_FAILED, "after=15&", "s1", "i-2" },
-	{ "history is gone", 410, NULL, "", { { NULL, NULL, 0 } }, false, 0,
-	    LOOM_PLATFORM_MORE, "/kv-range?prefix=", "s1", "i-2" },
-	{ "the new scan misses one", 200, "items", NULL,
-	    { { "servers/i-9", S2_TAKES, 14 } }, false, 30, LOOM_PLATFORM_WHOLE,
-	    "after=30&", "s1", "[]" },
-	{ "gone", 200, "events", NULL, { { "servers/i-9", NULL, 31 } }, false,
-	    31, LOOM_PLATFORM_WHOLE, "after=31&", "s2", "[]" },
+	{ "the history was discarded", 410, NULL, "", { { NULL, NULL, 0 } },
+	    false, 0, LOOM_PLATFORM_MORE, "/kv-range?prefix=", "s1", "i-2" },
+	{ "an upstream is missing in the new scan", 200, "items", NULL,
+	    { { "servers/i-9", S2_REUSES_IP, 14 } }, false, 30,
+	    LOOM_PLATFORM_WHOLE, "after=30&", "s1", "[]" },
+	{ "an upstream is deleted", 200, "events", NULL,
+	    { { "servers/i-9", NULL, 31 } }, false, 31, LOOM_PLATFORM_WHOLE,
+	    "after=31&", "s2", "[]" },
 };
 
 static char *
-answer_of(const struct step *step)
+build_response(const struct step *step)
 {
 	GString *text;
 	char *one;
@@ -319,7 +322,7 @@
 	for (i = 0; i < G_N_ELEMENTS(step->items); i++) {
 		if (step->items[i].key == NULL)
 			break;
-		one = item(step->items[i].key, step->items[i].value,
+		one = format_item(step->items[i].key, step->items[i].value,
 		    step->items[i].revision);
 		g_string_append_printf(text, "%s%s", i > 0 ? "," : "", one);
 		g_free(one);
@@ -340,8 +343,9 @@
 		.data_centres = data_centres,
 		.region = "south",
 	};
-	struct told told = { .values = g_hash_table_new_full(
-				 g_str_hash, g_str_equal, g_free, g_free) };
+	struct published published = { .values =
+					   g_hash_table_new_full(g_str_hash,
+					       g_str_equal, g_free, g_free) };
 	void *state = adapter_source.open(NULL, "", &fleet);
 	struct loom_platform_answer answer;
 	struct loom_platform_call call;
@@ -352,15 +356,15 @@
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(steps); i++) {
-		text = answer_of(&steps[i]);
+		text = build_response(&steps[i]);
 		answer = (struct loom_platform_answer){
 			.status = steps[i].status,
 			.text = text,
 			.len = strlen(text),
 		};
 		error = NULL;
-		next =
-		    adapter_source.answer(state, &answer, take, &told, &error);
+		next = adapter_source.answer(
+		    state, &answer, on_value, &published, &error);
 		TEST_CHECK(
 		    next == steps[i].next, "%s: %d", steps[i].name, (int)next);
 		TEST_CHECK((error != NULL) == (next == LOOM_PLATFORM_FAILED),
@@ -368,24 +372,25 @@
 		g_clear_error(&error);
 		call = (struct loom_platform_call){ .path = NULL };
 		adapter_source.call(state, 500, &call);
-		TEST_CHECK(strstr(call.path, steps[i].asks) != NULL, "%s: %s",
-		    steps[i].name, call.path);
+		TEST_CHECK(strstr(call.path, steps[i].next_call) != NULL,
+		    "%s: %s", steps[i].name, call.path);
 		g_free(call.path);
 		g_free(text);
 		if (steps[i].service == NULL)
 			continue;
 		name = g_strconcat("hosts/", steps[i].service, NULL);
-		hosts = g_hash_table_lookup(told.values, name);
-		TEST_CHECK(hosts != NULL && strstr(hosts, steps[i].holds),
+		hosts = g_hash_table_lookup(published.values, name);
+		TEST_CHECK(
+		    hosts != NULL && strstr(hosts, steps[i].hosts_contain),
 		    "%s: %s", steps[i].name, hosts);
 		g_free(name);
 	}
-	CU_ASSERT(g_hash_table_contains(told.values, "manifest/fleet"));
+	CU_ASSERT(g_hash_table_contains(published.values, "manifest/fleet"));
 	talloc_free(state);
-	g_hash_table_unref(told.values);
+	g_hash_table_unref(published.values);
 }
 
-/* The list that the adapter writes is one that the product reads. */
+/* The product can parse the list that the adapter writes. */
 static void
 test_hosts(void)
 {
@@ -395,15 +400,15 @@
 		.data_centres = data_centres,
 		.region = "south",
 	};
-	GHashTable *targets = g_hash_table_new(g_str_hash, g_str_equal);
+	GHashTable *upstreams = g_hash_table_new(g_str_hash, g_str_equal);
 	GArray *hosts = g_array_new(FALSE, TRUE, sizeof(struct loom_host));
-	struct adapter_target *target =
-	    adapter_target_parse(NULL, "i-1", S1_READY, strlen(S1_READY), NULL);
+	struct adapter_upstream *upstream = adapter_upstream_parse(
+	    NULL, "i-1", S1_READY, strlen(S1_READY), NULL);
 	const struct loom_host *host;
 	char *text;
 
-	g_hash_table_insert(targets, target->instance, target);
-	text = adapter_hosts(&fleet, targets, "s1");
+	g_hash_table_insert(upstreams, upstream->instance, upstream);
+	text = adapter_build_host_list(&fleet, upstreams, "s1");
 	TEST_CHECK(loom_hosts_parse("s1", text, strlen(text), hosts, NULL) &&
 		hosts->len == 1,
 	    "%s", text);
@@ -414,9 +419,9 @@
 	TEST_CHECK(strcmp(host->instance, "i-1") == 0, "%s", host->instance);
 	TEST_CHECK(host->slots == 36 && host->cold_ms == 1500, "numbers");
 	g_free(text);
-	talloc_free(target);
+	talloc_free(upstream);
 	g_array_free(hosts, TRUE);
-	g_hash_table_unref(targets);
+	g_hash_table_unref(upstreams);
 }
 
 static const struct {
@@ -432,7 +437,7 @@
 	{ LOOM_KEY_UNKNOWN, LOOM_OUTCOME_NOT_RUN, 401 },
 	{ LOOM_ROUTE_UNKNOWN, LOOM_OUTCOME_NOT_RUN, 404 },
 	{ LOOM_BODY_TOO_LARGE, LOOM_OUTCOME_NOT_RUN, 413 },
-	/* no promise, or a caller would send again what may have run */
+	/* the caller must not retry a request that may have run */
 	{ LOOM_OVERLOAD, LOOM_OUTCOME_UNKNOWN, 502 },
 	{ LOOM_TEAM_RATE, LOOM_OUTCOME_UNKNOWN, 502 },
 	{ LOOM_BODY_TOO_LARGE, LOOM_OUTCOME_UNKNOWN, 502 },
@@ -464,11 +469,11 @@
 }
 
 static const struct test_case tests[] = {
-	{ "a configuration", test_config },
-	{ "configurations that make no sense", test_bad_configs },
-	{ "entries of upstreams", test_entries },
-	{ "the store's answers", test_store },
-	{ "a list of hosts", test_hosts },
+	{ "configuration", test_config },
+	{ "invalid configurations", test_invalid_configs },
+	{ "upstream entries", test_entries },
+	{ "store responses", test_store },
+	{ "host list", test_hosts },
 	{ "refusals", test_refusals },
 };
 
--- a/tests/adapter/test_deploy.c
+++ b/tests/adapter/test_deploy.c
@@ -1,5 +1,6 @@
 /*
- * The settings that deploy/ ships, against the bounds of the users' platform.
+ * Checks the settings in deploy/ against the time limits of the users'
+ * platform.
  */
 
 #include <string.h>
@@ -9,25 +10,31 @@
 
 #define SETTINGS "deploy/loomd.jsonc"
 
-/* A host is held to the bounds again 3 s after its connections broke or the
- * store came back; a tick and the gap between two joins go before a manifest
- * is in force. */
-#define HELD_TO_BOUNDS_MS 3000
+/*
+ * The platform's limits apply to a host again 3 s after its connections broke
+ * or the store became available. Within this time, one tick and one minimum
+ * interval between two applications of the manifest pass before a change is in
+ * force.
+ */
+#define BOUNDS_APPLY_AGAIN_MS 3000
 #define TICK_MS 100
 #define JOIN_GAP_MS 250
-/* The reader's first delay after a failure, at its longest. */
+/* Longest first delay of the reader after a failure. */
 #define BACKOFF_MS 200
 
-/* Guards against a watch that is lost with its connection, or sent while the
- * store is away, and hides changes for longer than the bounds allow, whatever
- * the deployment's bound for a change is. */
+/*
+ * A watch may be lost with its connection or be sent while the store is
+ * unavailable. Guards against time-outs with which a lost watch hides changes
+ * for longer than the platform allows, for each limit that a deployment may set
+ * for a change.
+ */
 static void
 test_lost_watch(void)
 {
-	static const uint32_t within_ms[] = { 1500, 2000, 2500, 3000, 4000,
-		5000 };
+	static const uint32_t change_within_ms[] = { 1500, 2000, 2500, 3000,
+		4000, 5000 };
 	struct loom_age_plan plan;
-	uint64_t blind_ms;
+	uint64_t hidden_ms;
 	char *text;
 	size_t i;
 
@@ -35,37 +42,40 @@
 	TEST_CHECK(
 	    strstr(text, "\"change_within_s\": {{bounds.config_apply_s}}") !=
 		NULL,
-	    "the time for a change is not the platform's");
+	    "change_within_s is not taken from the platform's bounds");
 	g_free(text);
-	for (i = 0; i < G_N_ELEMENTS(within_ms); i++) {
-		plan = loom_age_plan(within_ms[i] * LOOM_US_PER_MS);
-		blind_ms = (plan.wait_us + plan.answer_us) / LOOM_US_PER_MS +
+	for (i = 0; i < G_N_ELEMENTS(change_within_ms); i++) {
+		plan = loom_age_plan(change_within_ms[i] * LOOM_US_PER_MS);
+		hidden_ms = (plan.wait_us + plan.answer_us) / LOOM_US_PER_MS +
 		    BACKOFF_MS + TICK_MS + JOIN_GAP_MS;
-		TEST_CHECK(blind_ms < HELD_TO_BOUNDS_MS,
-		    "within %u ms a lost watch hides changes for %u ms",
-		    within_ms[i], (unsigned)blind_ms);
+		TEST_CHECK(hidden_ms < BOUNDS_APPLY_AGAIN_MS,
+		    "change limit %u ms: a lost watch hides changes for %u ms",
+		    change_within_ms[i], (unsigned)hidden_ms);
 	}
 }
 
-/* Guards against a daemon that ends by one deployment's time until the kill on
- * another: it cut uploads after 5.2 s where it had 10. */
+/*
+ * The time between SIGTERM and SIGKILL differs between deployments. Guards
+ * against a fixed value in the settings: the daemon cut uploads after 5.2 s
+ * where it had 10 s.
+ */
 static void
-test_time_until_kill(void)
+test_kill_delay(void)
 {
 	char *text;
 
 	CU_ASSERT_FATAL(g_file_get_contents(SETTINGS, &text, NULL, NULL));
 	TEST_CHECK(
 	    strstr(text, "\"stop_within_s\": {{bounds.grace_s}}") != NULL,
-	    "the time until the kill is not the platform's");
+	    "stop_within_s is not taken from the platform's bounds");
 	TEST_CHECK(strstr(text, "drain_timeout_s") == NULL,
-	    "a time until the end is set besides");
+	    "drain_timeout_s must not be set as well");
 	g_free(text);
 }
 
 static const struct test_case tests[] = {
-	{ "time until the kill", test_time_until_kill },
-	{ "a lost watch", test_lost_watch },
+	{ "time until SIGKILL", test_kill_delay },
+	{ "lost watch", test_lost_watch },
 };
 
 TEST_MAIN("deploy", tests)
