--- a/tests/adapter/test_adapter.c
+++ b/tests/adapter/test_adapter.c
@@ -246,9 +246,8 @@
 struct step {
 	const char *name;
 	unsigned status;
-	const char
-	    *list; /* "items" or "events"; NULL if text is the response */
-	const char *text;
+	const char *list; /* "items" or "events"; NULL to send text */
+	const char *text; /* response body if list is NULL */
 	struct {
 		const char *key, *value;
 		unsigned revision;
@@ -303,9 +302,8 @@
 	{ "an upstream is missing in the new scan", 200, "items", NULL,
 	    { { "servers/i-9", S2_REUSES_IP, 14 } }, false, 30,
 	    LOOM_PLATFORM_WHOLE, "after=30&", "s1", "[]" },
-	{ "an upstream is deleted", 200, "events", NULL,
-	    { { "servers/i-9", NULL, 31 } }, false, 31, LOOM_PLATFORM_WHOLE,
-	    "after=31&", "s2", "[]" },
+	{ "gone", 200, "events", NULL, { { "servers/i-9", NULL, 31 } }, false,
+	    31, LOOM_PLATFORM_WHOLE, "after=31&", "s2", "[]" },
 };
 
 static char *
@@ -343,11 +341,12 @@
 		.data_centres = data_centres,
 		.region = "south",
 	};
-	struct published published = { .values =
-					   g_hash_table_new_full(g_str_hash,
-					       g_str_equal, g_free, g_free) };
+	struct published published = {
+		.values = g_hash_table_new_full(
+		    g_str_hash, g_str_equal, g_free, g_free),
+	};
 	void *state = adapter_source.open(NULL, "", &fleet);
-	struct loom_platform_answer answer;
+	struct loom_platform_answer response;
 	struct loom_platform_call call;
 	enum loom_platform_next next;
 	GError *error;
@@ -357,14 +356,14 @@
 
 	for (i = 0; i < G_N_ELEMENTS(steps); i++) {
 		text = build_response(&steps[i]);
-		answer = (struct loom_platform_answer){
+		response = (struct loom_platform_answer){
 			.status = steps[i].status,
 			.text = text,
 			.len = strlen(text),
 		};
 		error = NULL;
 		next = adapter_source.answer(
-		    state, &answer, on_value, &published, &error);
+		    state, &response, on_value, &published, &error);
 		TEST_CHECK(
 		    next == steps[i].next, "%s: %d", steps[i].name, (int)next);
 		TEST_CHECK((error != NULL) == (next == LOOM_PLATFORM_FAILED),
--- a/tests/adapter/test_deploy.c
+++ b/tests/adapter/test_deploy.c
@@ -18,7 +18,7 @@
  */
 #define BOUNDS_APPLY_AGAIN_MS 3000
 #define TICK_MS 100
-#define JOIN_GAP_MS 250
+#define APPLY_INTERVAL_MS 250
 /* Longest first delay of the reader after a failure. */
 #define BACKOFF_MS 200
 
@@ -47,7 +47,7 @@
 	for (i = 0; i < G_N_ELEMENTS(change_within_ms); i++) {
 		plan = loom_age_plan(change_within_ms[i] * LOOM_US_PER_MS);
 		hidden_ms = (plan.wait_us + plan.answer_us) / LOOM_US_PER_MS +
-		    BACKOFF_MS + TICK_MS + JOIN_GAP_MS;
+		    BACKOFF_MS + TICK_MS + APPLY_INTERVAL_MS;
 		TEST_CHECK(hidden_ms < BOUNDS_APPLY_AGAIN_MS,
 		    "change limit %u ms: a lost watch hides changes for %u ms",
 		    change_within_ms[i], (unsigned)hidden_ms);
--- a/tests/platform/test_reader.c
+++ b/tests/platform/test_reader.c
@@ -20,7 +20,7 @@
 	char text[64]; /* last value received */
 	uint64_t revision;
 	unsigned values;
-	unsigned answers;
+	unsigned responses;
 	unsigned failures;
 	enum loom_result error;
 	bool limit_passed;
@@ -37,10 +37,10 @@
 }
 
 static void
-on_answered(void *arg, uint64_t sent_us)
+on_reading_complete(void *arg, uint64_t sent_us)
 {
 	(void)sent_us;
-	((struct fixture *)arg)->answers++;
+	((struct fixture *)arg)->responses++;
 }
 
 static void
@@ -54,7 +54,7 @@
 
 static const struct loom_platform_events events = {
 	.value = on_value,
-	.answered = on_answered,
+	.answered = on_reading_complete,
 	.failed = on_failed,
 };
 
@@ -100,10 +100,10 @@
 static void
 call(struct fixture *f, const char *method, const char *path, const char *body)
 {
-	char *answer = test_standin_call(&f->standin, method, path, body);
+	char *response = test_standin_call(&f->standin, method, path, body);
 
-	CU_ASSERT_PTR_NOT_NULL(answer);
-	g_free(answer);
+	CU_ASSERT_PTR_NOT_NULL(response);
+	g_free(response);
 }
 
 static void
@@ -121,7 +121,7 @@
 	put(&f, "one");
 	call(&f, "PUT", "/test/values/other", "outside the prefix");
 	loom_platform_fetch(f.reader);
-	WAIT(&f, f.answers == 1);
+	WAIT(&f, f.responses == 1);
 	CU_ASSERT_EQUAL(f.values, 1);
 	CU_ASSERT_STRING_EQUAL(f.text, "one");
 	teardown(&f);
@@ -134,7 +134,7 @@
 
 	setup(&f);
 	loom_platform_watch(f.reader, true);
-	WAIT(&f, f.answers == 1);
+	WAIT(&f, f.responses == 1);
 	CU_ASSERT_EQUAL(f.values, 0);
 	put(&f, "one");
 	WAIT(&f, strcmp(f.text, "one") == 0);
@@ -214,7 +214,7 @@
 test_stale_copy(void)
 {
 	struct fixture f;
-	unsigned answers;
+	unsigned responses;
 
 	setup(&f);
 	put(&f, "one");
@@ -222,8 +222,8 @@
 	WAIT(&f, f.values == 1);
 	call(&f, "POST", "/test/fault?mode=stale", "");
 	put(&f, "two");
-	answers = f.answers;
-	WAIT(&f, f.answers >= answers + 2);
+	responses = f.responses;
+	WAIT(&f, f.responses >= responses + 2);
 	CU_ASSERT_STRING_EQUAL(f.text, "one");
 	CU_ASSERT_EQUAL(f.failures, 0);
 	call(&f, "POST", "/test/fault?mode=none", "");
@@ -240,7 +240,7 @@
 test_revision_decreases(void)
 {
 	struct fixture f;
-	unsigned answers;
+	unsigned responses;
 
 	setup(&f);
 	put(&f, "one");
@@ -252,11 +252,11 @@
 	call(&f, "POST", "/test/fault?mode=none", "");
 	WAIT(&f, f.values == 2 && f.revision == 3);
 	test_standin_stop(&f.standin);
-	answers = f.answers;
+	responses = f.responses;
 	CU_ASSERT_FATAL(test_standin_start(&f.standin, "platform",
 	    (const char *const[]){
 		"--port", g_strrstr(f.standin.url, ":") + 1, NULL }));
-	WAIT(&f, f.answers > answers);
+	WAIT(&f, f.responses > responses);
 	put(&f, "restored");
 	WAIT(&f, strcmp(f.text, "restored") == 0);
 	CU_ASSERT_EQUAL(f.revision, 1);
@@ -293,7 +293,7 @@
 
 	setup(&f);
 	loom_platform_watch(f.reader, true);
-	WAIT(&f, f.answers == 1);
+	WAIT(&f, f.responses == 1);
 	loom_platform_watch(f.reader, false);
 	put(&f, "one");
 	CU_ASSERT_EQUAL(tevent_loop_wait(f.ev), 0); /* no event is left */
