--- a/include/loom/platform.h
+++ b/include/loom/platform.h
@@ -46,16 +46,13 @@
 	void (*failed)(void *arg, const GError *error);
 };
 
-/*
- * A source implements the protocol of one kind of platform: it builds calls and
- * parses responses. State that must survive between calls belongs to the source
- * and is created by open().
- */
+/* A call, built by the source. */
 struct loom_platform_call {
 	char *path; /* path and query; owned, freed with g_free() */
-	uint32_t wait_ms; /* for which the platform may hold the response */
+	uint32_t wait_ms; /* the platform may hold the response this long */
 };
 
+/* A response, passed to the source for parsing. */
 struct loom_platform_answer {
 	unsigned status; /* HTTP status */
 	const char *text; /* borrowed */
@@ -75,6 +72,11 @@
 typedef void (*loom_platform_take)(
     void *arg, const struct loom_platform_value *);
 
+/*
+ * A source implements the protocol of one kind of platform: it builds calls and
+ * parses responses. State that must survive between calls belongs to the source
+ * and is created by open().
+ */
 struct loom_platform_source {
 	/*
 	 * One reader with the prefix "" receives all values, which saves the
--- a/tests/adapter/test_deploy.c
+++ b/tests/adapter/test_deploy.c
@@ -12,9 +12,8 @@
 
 /*
  * The platform's limits apply to a host again 3 s after its connections broke
- * or the store became available. Within this time, one tick and one minimum
- * interval between two applications of the manifest pass before a change is in
- * force.
+ * or the store became available. Before a change is in force, one tick and one
+ * minimum interval between two applications of the manifest pass as well.
  */
 #define BOUNDS_APPLY_AGAIN_MS 3000
 #define TICK_MS 100
