--- a/tests/adapter/test_adapter.c
+++ b/tests/adapter/test_adapter.c
@@ -137,8 +137,8 @@
 };
 
 /*
- * A configuration with any malformed part is rejected as a whole, so that the
- * previous one stays in force.
+ * A configuration that can't be applied completely is rejected as a whole, so
+ * that the previous one stays in force.
  */
 static void
 test_invalid_configs(void)
