--- a/include/loom/buffer.h
+++ b/include/loom/buffer.h
@@ -2,8 +2,9 @@
 #define LOOM_BUFFER_H
 
 /*
- * A byte queue: appended at its end, consumed from its start.  What is
- * consumed can be kept for a replay (see loom_buffer_rewind).
+ * A FIFO queue of bytes: data is appended at the end and consumed from the
+ * start.  Consumed bytes can be kept, so that they can be read again (see
+ * loom_buffer_rewind()).
  */
 
 #include <stdbool.h>
@@ -11,28 +12,36 @@
 #include <stdint.h>
 
 struct loom_buffer {
-	uint8_t *data; /* owned, talloc child of the buffer's owner */
+	uint8_t *data; /* owned, talloc child of the owner given on append */
 	size_t start; /* first byte not yet consumed */
 	size_t end;
 	size_t capacity;
-	bool keep; /* consumed bytes stay for a rewind */
+	bool keep; /* keeps consumed bytes for loom_buffer_rewind() */
 };
 
-/* Append a copy; false when memory is out (nothing is appended).  owner is
- * the talloc parent of the bytes. */
+/*
+ * Appends a copy of data.  owner is the talloc parent of the storage.  Returns
+ * false, with nothing appended, when out of memory.
+ */
 bool loom_buffer_append(
     struct loom_buffer *, void *owner, const void *data, size_t len);
 
-/* Bytes that wait, and where they are (borrowed until the next append). */
+/*
+ * The number of bytes not yet consumed, and a pointer to the first of them
+ * (borrowed, valid until the next append or clear).
+ */
 size_t loom_buffer_length(const struct loom_buffer *);
 const uint8_t *loom_buffer_peek(const struct loom_buffer *);
 
 void loom_buffer_consume(struct loom_buffer *, size_t len);
 
-/* Back to the first byte; only meaningful while keep was set throughout. */
+/*
+ * Makes all bytes readable again, from the first one.  Only valid if consumed
+ * bytes were kept throughout.
+ */
 void loom_buffer_rewind(struct loom_buffer *);
 
-/* Release the bytes. */
+/* Frees the storage and leaves the buffer empty. */
 void loom_buffer_clear(struct loom_buffer *);
 
 #endif
--- a/include/loom/mailbox.h
+++ b/include/loom/mailbox.h
@@ -2,7 +2,8 @@
 #define LOOM_MAILBOX_H
 
 /*
- * Work handed to the thread of an event loop by any other thread.
+ * A queue through which any thread can run functions on the thread of an event
+ * loop.
  */
 
 #include <stdbool.h>
@@ -11,12 +12,18 @@
 
 struct loom_mailbox;
 
-/* Owned by the caller (talloc); must be freed by the loop's thread, after
- * the last post.  NULL when out of memory or descriptors. */
+/*
+ * Returns a mailbox owned by the caller (talloc), or NULL when out of memory or
+ * file descriptors.  Must be freed on the thread of the loop, after the last
+ * post.
+ */
 struct loom_mailbox *loom_mailbox_new(TALLOC_CTX *, struct tevent_context *);
 
-/* Run work(arg) on the loop's thread, in the order of the posts.  Any
- * thread; the memory of a post is the mailbox's. */
+/*
+ * Runs work(arg) on the thread of the loop, in the order of the posts.  Can be
+ * called from any thread.  arg is borrowed; the mailbox owns what else a post
+ * needs.
+ */
 void loom_mailbox_post(
     struct loom_mailbox *, void (*work)(void *arg), void *arg);
 
--- a/src/base/buffer.c
+++ b/src/base/buffer.c
@@ -1,7 +1,8 @@
 /*
- * The byte queue is one block that grows by doubling and is moved to the
- * front when at least half of it was consumed.  The callers bound its length
- * (high-water marks), so that one block is simpler than a chain and as good.
+ * The queue is one contiguous block that grows by doubling.  When an append
+ * lacks space and at least half of the block was consumed, the remaining bytes
+ * are moved to the front first.  Callers bound the length (high-water marks),
+ * so a chain of blocks would add complexity without a gain.
  */
 
 #include <glib.h>
@@ -10,8 +11,11 @@
 
 #include "loom/buffer.h"
 
-/* With talloc's own header the largest block that glibc keeps for a thread. */
-#define CAPACITY_MIN 928
+/*
+ * Together with talloc's header, the largest block that glibc's malloc keeps in
+ * its per-thread cache.
+ */
+#define CAPACITY_MIN_BYTES 928
 
 static void
 compact(struct loom_buffer *buffer)
@@ -31,7 +35,7 @@
 	size_t capacity = buffer->capacity;
 	uint8_t *data;
 
-	capacity = MAX(2 * capacity, CAPACITY_MIN);
+	capacity = MAX(2 * capacity, CAPACITY_MIN_BYTES);
 	capacity = MAX(capacity, needed);
 	data = talloc_realloc(owner, buffer->data, uint8_t, capacity);
 	if (data == NULL)
--- a/src/base/clock.c
+++ b/src/base/clock.c
@@ -1,5 +1,5 @@
 /*
- * The clocks of the machine and the system's source of randomness.
+ * System clocks and random numbers.
  */
 
 #include <sodium.h>
@@ -12,7 +12,7 @@
 #define NS_PER_US UINT64_C(1000)
 
 static uint64_t
-read_ns(clockid_t clock)
+read_clock_ns(clockid_t clock)
 {
 	struct timespec ts;
 
@@ -21,59 +21,62 @@
 }
 
 /*
- * CLOCK_BOOTTIME and not CLOCK_MONOTONIC: a lease must also run out while a
- * machine is suspended, or a daemon would wake with rights that others have
- * already taken over.
+ * CLOCK_BOOTTIME rather than CLOCK_MONOTONIC: a lease must also expire while
+ * the machine is suspended.  Otherwise a daemon would resume with rights that
+ * others have already taken over.
  */
 uint64_t
 loom_now_us(void)
 {
-	return read_ns(CLOCK_BOOTTIME) / NS_PER_US;
+	return read_clock_ns(CLOCK_BOOTTIME) / NS_PER_US;
 }
 
 uint64_t
 loom_wall_ns(void)
 {
-	return read_ns(CLOCK_REALTIME);
+	return read_clock_ns(CLOCK_REALTIME);
 }
 
 /*
- * A call draws six numbers: ids, spans, two hosts to choose from.  Asking the
- * kernel for each is a quarter of the system calls of a call (6 of 25 counted
- * at an entry), so each thread asks for many bytes at once.  Bytes are wiped as
- * they are handed out: none is used twice, and none can be read again later.
+ * A call draws six random numbers: ids, span ids and two candidate hosts.
+ * Asking the kernel for each one was a quarter of the system calls of a call (6
+ * of 25, counted at an entry daemon), so each thread reads random bytes in
+ * blocks.  Bytes are wiped as they are handed out: none is used twice, and none
+ * can be read from memory later.
+ *
+ * The block serves about 15 calls of 72 bytes each, so that a call costs less
+ * than a tenth of a system call.
  */
-/* Some 15 calls of 72 bytes: less than a tenth of a system call for each. */
-#define POOL_BYTES 1024
+#define RANDOM_POOL_BYTES 1024
 
-struct pool {
-	uint8_t bytes[POOL_BYTES];
-	size_t left;
+struct random_pool {
+	uint8_t bytes[RANDOM_POOL_BYTES];
+	size_t remaining;
 };
 
-static _Thread_local struct pool pool;
+static _Thread_local struct random_pool random_pool;
 
 void
 loom_random_bytes(void *buf, size_t len)
 {
 	uint8_t *from;
 
-	if (len > sizeof(pool.bytes)) {
+	if (len > sizeof(random_pool.bytes)) {
 		randombytes_buf(buf, len);
 		return;
 	}
-	if (pool.left < len) {
-		randombytes_buf(pool.bytes, sizeof(pool.bytes));
-		pool.left = sizeof(pool.bytes);
+	if (random_pool.remaining < len) {
+		randombytes_buf(random_pool.bytes, sizeof(random_pool.bytes));
+		random_pool.remaining = sizeof(random_pool.bytes);
 	}
-	pool.left -= len;
-	from = pool.bytes + pool.left;
+	random_pool.remaining -= len;
+	from = random_pool.bytes + random_pool.remaining;
 	memcpy(buf, from, len);
 	sodium_memzero(from, len);
 }
 
 static uint64_t
-system_next(void *arg)
+system_random_next(void *arg)
 {
 	uint64_t value;
 
@@ -82,7 +85,7 @@
 	return value;
 }
 
-const struct loom_random loom_random_system = { .next = system_next };
+const struct loom_random loom_random_system = { .next = system_random_next };
 
 uint64_t
 loom_random_below(const struct loom_random *random, uint64_t bound)
--- a/src/base/counter.c
+++ b/src/base/counter.c
@@ -1,7 +1,8 @@
 /*
- * Counters: a grow-only list under one lock for naming and reading, and a
- * relaxed atomic for each value.  A reader may see two counters a moment
- * apart; nothing decides by them.
+ * Counters are kept in a grow-only list.  One lock covers lookup, creation and
+ * formatting; each value is a relaxed atomic.  Values of different counters may
+ * be read at slightly different times, which is harmless because no decision
+ * depends on them.
  */
 
 #include <glib.h>
@@ -21,7 +22,7 @@
 }
 
 static struct loom_counter *
-find(const char *name, const char *labels)
+find_counter(const char *name, const char *labels)
 {
 	struct loom_counter *counter;
 
@@ -40,7 +41,7 @@
 	struct loom_counter *counter;
 
 	g_mutex_lock(&list_lock);
-	counter = find(name, labels);
+	counter = find_counter(name, labels);
 	if (counter == NULL) {
 		counter = aligned_alloc(
 		    _Alignof(struct loom_counter), sizeof(*counter));
@@ -88,7 +89,7 @@
 }
 
 static bool
-first_of_name(const struct loom_counter *counter)
+is_first_of_name(const struct loom_counter *counter)
 {
 	const struct loom_counter *other;
 
@@ -125,7 +126,7 @@
 
 	g_mutex_lock(&list_lock);
 	for (counter = list_head; counter != NULL; counter = counter->next) {
-		if (first_of_name(counter))
+		if (is_first_of_name(counter))
 			append_family(text, counter);
 	}
 	g_mutex_unlock(&list_lock);
--- a/src/base/histogram.c
+++ b/src/base/histogram.c
@@ -1,7 +1,7 @@
 /*
- * Histograms: a grow-only list under one lock, and relaxed atomics for what is
- * counted.  A reader may see a duration in its bucket a moment before it is in
- * the sum.
+ * Histograms are kept in a grow-only list under one lock; bucket counts and
+ * sums are relaxed atomics.  A reader may see a duration counted in its bucket
+ * shortly before it is added to the sum.
  */
 
 #include <glib.h>
@@ -12,15 +12,19 @@
 #include "loom/clock.h"
 #include "loom/histogram.h"
 
-/* From an answer out of memory to the longest that callers wait, in steps that
- * tell a service's 50 ms from 100 ms. */
+/*
+ * Upper bounds of the buckets.  They reach from a response out of memory to the
+ * longest time that callers wait, in steps that distinguish a 50 ms service
+ * from a 100 ms one.
+ */
 static const uint32_t bounds_ms[] = { 1, 2, 5, 10, 20, 50, 100, 200, 500, 1000,
 	2000, 5000, 10000 };
 
-#define BOUNDS G_N_ELEMENTS(bounds_ms)
+#define BOUND_COUNT G_N_ELEMENTS(bounds_ms)
 
 struct loom_histogram {
-	atomic_uint_fast64_t counts[BOUNDS + 1]; /* the last: longer ones */
+	/* by bucket; the last one is for durations above all bounds */
+	atomic_uint_fast64_t counts[BOUND_COUNT + 1];
 	atomic_uint_fast64_t sum_us;
 	const char *name; /* borrowed, static, like help */
 	const char *help;
@@ -34,7 +38,7 @@
 static uint32_t list_length;
 
 static struct loom_histogram *
-find(const char *name, const char *labels)
+find_histogram(const char *name, const char *labels)
 {
 	struct loom_histogram *each;
 
@@ -47,35 +51,35 @@
 }
 
 static struct loom_histogram *
-make(const char *name, const char *labels, const char *help)
+create_histogram(const char *name, const char *labels, const char *help)
 {
-	struct loom_histogram *made;
+	struct loom_histogram *created;
 
 	if (list_length == LOOM_HISTOGRAMS_MAX)
 		return NULL;
-	made = g_new0(struct loom_histogram, 1);
-	made->name = name;
-	made->help = help;
-	made->labels = g_strdup(labels);
-	*list_tail = made;
-	list_tail = &made->next;
+	created = g_new0(struct loom_histogram, 1);
+	created->name = name;
+	created->help = help;
+	created->labels = g_strdup(labels);
+	*list_tail = created;
+	list_tail = &created->next;
 	list_length++;
-	return made;
+	return created;
 }
 
 struct loom_histogram *
 loom_histogram(const char *name, const char *labels, const char *help)
 {
-	struct loom_histogram *found;
+	struct loom_histogram *histogram;
 
 	if (labels == NULL)
 		labels = "";
 	g_mutex_lock(&list_lock);
-	found = find(name, labels);
-	if (found == NULL)
-		found = make(name, labels, help);
+	histogram = find_histogram(name, labels);
+	if (histogram == NULL)
+		histogram = create_histogram(name, labels, help);
 	g_mutex_unlock(&list_lock);
-	return found;
+	return histogram;
 }
 
 void
@@ -85,7 +89,7 @@
 
 	if (histogram == NULL)
 		return;
-	while (i < BOUNDS && duration_us > bounds_ms[i] * LOOM_US_PER_MS)
+	while (i < BOUND_COUNT && duration_us > bounds_ms[i] * LOOM_US_PER_MS)
 		i++;
 	atomic_fetch_add_explicit(
 	    &histogram->counts[i], 1, memory_order_relaxed);
@@ -103,12 +107,12 @@
 	    count);
 }
 
-/* "NAME_sum{LABELS} ", or without the braces. */
+/* Appends "NAME_SUFFIX{LABELS} ", without the braces if there are no labels. */
 static void
 append_name(
-    GString *text, const struct loom_histogram *histogram, const char *what)
+    GString *text, const struct loom_histogram *histogram, const char *suffix)
 {
-	g_string_append_printf(text, "%s_%s", histogram->name, what);
+	g_string_append_printf(text, "%s_%s", histogram->name, suffix);
 	if (histogram->labels[0] != '\0')
 		g_string_append_printf(text, "{%s}", histogram->labels);
 	g_string_append_c(text, ' ');
@@ -121,13 +125,13 @@
 	uint64_t count = 0;
 	size_t i;
 
-	for (i = 0; i < BOUNDS; i++) {
+	for (i = 0; i < BOUND_COUNT; i++) {
 		count += atomic_load(&histogram->counts[i]);
 		g_ascii_formatd(
 		    number, sizeof(number), "%g", bounds_ms[i] / 1e3);
 		append_bucket(text, histogram, number, count);
 	}
-	count += atomic_load(&histogram->counts[BOUNDS]);
+	count += atomic_load(&histogram->counts[BOUND_COUNT]);
 	append_bucket(text, histogram, "+Inf", count);
 	g_ascii_formatd(number, sizeof(number), "%.6f",
 	    (double)atomic_load(&histogram->sum_us) / LOOM_US_PER_S);
--- a/src/base/mailbox.c
+++ b/src/base/mailbox.c
@@ -1,7 +1,8 @@
 /*
- * A list under a lock and an eventfd that tevent watches.  tevent's own
- * threaded immediates need one allocation owned by each posting thread; a
- * post here is one small block and one write for each empty list.
+ * A list of tasks under a lock, and an eventfd that wakes the event loop.
+ * tevent's threaded immediates would need an allocation owned by each posting
+ * thread.  Here a task is one small array element, and the eventfd is written
+ * only when the list was empty.
  */
 
 #include <glib.h>
@@ -11,53 +12,53 @@
 
 #include "loom/mailbox.h"
 
-struct post {
+struct task {
 	void (*work)(void *arg);
 	void *arg; /* borrowed */
 };
 
 struct loom_mailbox {
 	GMutex lock;
-	GArray *posts; /* owned: struct post; under lock */
-	GArray *spare; /* owned: the list that was run last */
+	GArray *tasks; /* owned: struct task; guarded by lock */
+	GArray *spare; /* owned: the list run last, for reuse */
 	int event_fd;
 	struct tevent_fd *fde;
 };
 
 static GArray *
-take_posts(struct loom_mailbox *mailbox)
+swap_tasks(struct loom_mailbox *mailbox)
 {
-	GArray *posts;
+	GArray *tasks;
 
 	g_mutex_lock(&mailbox->lock);
-	posts = mailbox->posts;
-	mailbox->posts = mailbox->spare;
-	mailbox->spare = posts;
+	tasks = mailbox->tasks;
+	mailbox->tasks = mailbox->spare;
+	mailbox->spare = tasks;
 	g_mutex_unlock(&mailbox->lock);
-	return posts;
+	return tasks;
 }
 
 static void
-run_posts(
+run_tasks(
     struct tevent_context *ev, struct tevent_fd *fde, uint16_t flags, void *arg)
 {
 	struct loom_mailbox *mailbox = arg;
-	uint64_t rung;
-	GArray *posts;
+	uint64_t count;
+	GArray *tasks;
 	guint i;
 
 	(void)ev;
 	(void)fde;
 	(void)flags;
-	if (read(mailbox->event_fd, &rung, sizeof(rung)) < 0)
+	if (read(mailbox->event_fd, &count, sizeof(count)) < 0)
 		return;
-	posts = take_posts(mailbox);
-	for (i = 0; i < posts->len; i++) {
-		struct post post = g_array_index(posts, struct post, i);
+	tasks = swap_tasks(mailbox);
+	for (i = 0; i < tasks->len; i++) {
+		struct task task = g_array_index(tasks, struct task, i);
 
-		post.work(post.arg);
+		task.work(task.arg);
 	}
-	g_array_set_size(posts, 0);
+	g_array_set_size(tasks, 0);
 }
 
 static int
@@ -66,7 +67,7 @@
 	TALLOC_FREE(mailbox->fde);
 	if (mailbox->event_fd >= 0)
 		close(mailbox->event_fd);
-	g_array_free(mailbox->posts, TRUE);
+	g_array_free(mailbox->tasks, TRUE);
 	g_array_free(mailbox->spare, TRUE);
 	g_mutex_clear(&mailbox->lock);
 	return 0;
@@ -80,14 +81,14 @@
 	if (mailbox == NULL)
 		return NULL;
 	g_mutex_init(&mailbox->lock);
-	mailbox->posts = g_array_new(FALSE, FALSE, sizeof(struct post));
-	mailbox->spare = g_array_new(FALSE, FALSE, sizeof(struct post));
+	mailbox->tasks = g_array_new(FALSE, FALSE, sizeof(struct task));
+	mailbox->spare = g_array_new(FALSE, FALSE, sizeof(struct task));
 	mailbox->event_fd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
 	talloc_set_destructor(mailbox, mailbox_destructor);
 	if (mailbox->event_fd < 0)
 		goto error;
 	mailbox->fde = tevent_add_fd(
-	    ev, mailbox, mailbox->event_fd, TEVENT_FD_READ, run_posts, mailbox);
+	    ev, mailbox, mailbox->event_fd, TEVENT_FD_READ, run_tasks, mailbox);
 	if (mailbox->fde == NULL)
 		goto error;
 	return mailbox;
@@ -101,16 +102,16 @@
 loom_mailbox_post(
     struct loom_mailbox *mailbox, void (*work)(void *arg), void *arg)
 {
-	struct post post = { .work = work, .arg = arg };
+	struct task task = { .work = work, .arg = arg };
 	uint64_t one = 1;
-	bool first;
+	bool was_empty;
 	ssize_t written = 0;
 
 	g_mutex_lock(&mailbox->lock);
-	first = mailbox->posts->len == 0;
-	g_array_append_val(mailbox->posts, post);
+	was_empty = mailbox->tasks->len == 0;
+	g_array_append_val(mailbox->tasks, task);
 	g_mutex_unlock(&mailbox->lock);
-	if (first)
+	if (was_empty)
 		written = write(mailbox->event_fd, &one, sizeof(one));
-	(void)written; /* it cannot fail: the count never overflows */
+	(void)written; /* cannot fail: the eventfd's counter never overflows */
 }
--- a/tests/base/test_buffer.c
+++ b/tests/base/test_buffer.c
@@ -1,5 +1,5 @@
 /*
- * The byte queue and the mailbox.
+ * Tests of the byte queue and the mailbox.
  */
 
 #include <stdatomic.h>
@@ -10,11 +10,13 @@
 #include "loom/mailbox.h"
 #include "support/test.h"
 
-#define POSTS 1000
-#define POSTERS 4
+#define MESSAGES_PER_THREAD 1000
+#define THREADS 4
 
-/* Pieces of all lengths come out as they went in, whatever was consumed in
- * between; kept bytes can be read again. */
+/*
+ * Pieces of various lengths are read back in order, however much was consumed
+ * in between; kept bytes can be read again.
+ */
 static void
 test_buffer(void)
 {
@@ -61,64 +63,67 @@
 	}
 }
 
-struct letter {
-	unsigned poster;
+struct message {
+	unsigned sender;
 	unsigned number;
 };
 
 static struct {
 	struct loom_mailbox *mailbox;
-	unsigned next[POSTERS]; /* the number expected from each */
-	unsigned taken;
+	unsigned next_number[THREADS]; /* expected from each thread */
+	unsigned total;
 	bool in_order;
-} box;
+} received;
 
-static struct letter letters[POSTERS][POSTS];
+static struct message messages[THREADS][MESSAGES_PER_THREAD];
 
 static void
-take(void *arg)
+receive(void *arg)
 {
-	const struct letter *letter = arg;
+	const struct message *message = arg;
 
-	box.in_order &= letter->number == box.next[letter->poster]++;
-	box.taken++;
+	received.in_order &=
+	    message->number == received.next_number[message->sender]++;
+	received.total++;
 }
 
 static void *
-post(void *arg)
+post_messages(void *arg)
 {
-	struct letter *mine = arg;
+	struct message *mine = arg;
 	unsigned i;
 
-	for (i = 0; i < POSTS; i++)
-		loom_mailbox_post(box.mailbox, take, &mine[i]);
+	for (i = 0; i < MESSAGES_PER_THREAD; i++)
+		loom_mailbox_post(received.mailbox, receive, &mine[i]);
 	return NULL;
 }
 
-/* Posts of four threads all run on the loop's thread, each thread's own in
- * their order. */
+/*
+ * Tasks posted by four threads all run on the thread of the event loop, and
+ * those of each thread in the order of posting.
+ */
 static void
 test_mailbox(void)
 {
 	struct tevent_context *ev = tevent_context_init(NULL);
-	GThread *threads[POSTERS];
+	GThread *threads[THREADS];
 	unsigned i, j;
 
-	memset(&box, 0, sizeof(box));
-	box.in_order = true;
-	box.mailbox = loom_mailbox_new(ev, ev);
-	for (i = 0; i < POSTERS; i++) {
-		for (j = 0; j < POSTS; j++)
-			letters[i][j] =
-			    (struct letter){ .poster = i, .number = j };
-		threads[i] = g_thread_new("poster", post, letters[i]);
+	memset(&received, 0, sizeof(received));
+	received.in_order = true;
+	received.mailbox = loom_mailbox_new(ev, ev);
+	for (i = 0; i < THREADS; i++) {
+		for (j = 0; j < MESSAGES_PER_THREAD; j++)
+			messages[i][j] =
+			    (struct message){ .sender = i, .number = j };
+		threads[i] = g_thread_new("poster", post_messages, messages[i]);
 	}
-	while (box.taken < POSTERS * POSTS)
+	while (received.total < THREADS * MESSAGES_PER_THREAD)
 		tevent_loop_once(ev);
-	for (i = 0; i < POSTERS; i++)
+	for (i = 0; i < THREADS; i++)
 		g_thread_join(threads[i]);
-	CU_ASSERT_TRUE(box.in_order);
-	TALLOC_FREE(box.mailbox);
+	CU_ASSERT_TRUE(received.in_order);
+	TALLOC_FREE(received.mailbox);
 	talloc_free(ev);
 }
 
