--- a/include/loom/event.h
+++ b/include/loom/event.h
@@ -2,16 +2,16 @@
 #define LOOM_EVENT_H
 
 /*
- * Decisions as log lines: one JSON object a line, with the inputs that decided
- * and the outcome.  Fields are typed; nothing is put together as free text.
+ * Structured event log: one JSON object a line, with the inputs of a decision
+ * and its outcome.  Fields are typed; there is no free text.
  *
  *	{"time":"...","event":"call","id":"9c41","stage":"entry",...}
  *
- * The volume is bounded: LOOM_EVENT_LINES_PER_S lines a second of a process
- * about requests, and LOOM_EVENT_STATES_PER_S about what it believes.
- * What goes beyond is left out by the hash of the request's id, so that daemons
- * leave out the same requests, and counted in a line of its own each second.
- * Writing never blocks: a reader that is slow costs lines.
+ * A process writes at most LOOM_EVENT_LINES_PER_S lines a second about requests
+ * and LOOM_EVENT_STATE_LINES_PER_S about changes of its own state.  Requests
+ * beyond that are sampled by the hash of their id, so that all daemons log the
+ * same requests; once a second a line tells how many lines were omitted.
+ * Writing never blocks: lines that a slow reader has no room for are dropped.
  */
 
 #include <stdbool.h>
@@ -20,11 +20,13 @@
 #include "loom/result.h"
 
 #define LOOM_EVENT_LINES_PER_S 100
-/* Lines about no request have their own: a list of all hosts is the longest
- * burst of them. */
-#define LOOM_EVENT_STATES_PER_S 100
+/*
+ * State changes have a bound of their own; the longest burst of them is a list
+ * of all hosts.
+ */
+#define LOOM_EVENT_STATE_LINES_PER_S 100
 
-/* name, meaning; docs/OPERATIONS.md has the same table. */
+/* id, name and meaning; docs/OPERATIONS.md has the same table. */
 #define LOOM_EVENTS(X)                                                        \
 	X(CALL, "call", "a request or call ended at this daemon")             \
 	X(CONFIG, "config", "a manifest or list of hosts is in force")        \
@@ -46,7 +48,7 @@
 
 enum loom_event_type {
 	LOOM_EVENT_END, /* ends a list of fields */
-	LOOM_EVENT_TEXT, /* NULL: the field is left out */
+	LOOM_EVENT_TEXT, /* omitted if the text is NULL */
 	LOOM_EVENT_INT,
 	LOOM_EVENT_REAL,
 	LOOM_EVENT_BOOL,
@@ -85,13 +87,13 @@
 const char *loom_event_name(enum loom_event);
 
 /*
- * May a line about this request be written now?  Takes one of this second's
- * lines.  id: the request's own, the same at each daemon; NULL for what the
- * daemon believes.  Any thread.
+ * Whether a line may be written now; if so, counts it towards the bound of this
+ * second.  id is the request's id, which is the same at every daemon, or NULL
+ * for a state change of the daemon.  Thread-safe.
  */
 bool loom_event_admit(const char *id, uint64_t now_us);
 
-/* Write a line.  Any thread. */
+/* Writes a line.  Thread-safe. */
 void loom_event_write(enum loom_event, const struct loom_event_field *fields);
 
 #endif
--- a/src/base/event.c
+++ b/src/base/event.c
@@ -1,9 +1,10 @@
 /*
- * Events as lines.
+ * Writes events as log lines.
  *
- * Load pattern: thousands of refusals a second, at the very time when the
- * processor has the least to spare.  So the lines of a second are bounded, and
- * the requests that are written are chosen before their lines are made.
+ * Under overload there are thousands of refusals a second, just when the
+ * processor has the least time to spare.  So the number of lines a second is
+ * bounded, and the requests to log are sampled before their lines are
+ * formatted.
  */
 
 #include <glib.h>
@@ -14,26 +15,27 @@
 #include "loom/event.h"
 #include "loom/log.h"
 
-#define PART_MIN_SHIFT 16
+#define SAMPLING_SHIFT_MAX 16
 
-static const char *const names[] = {
+static const char *const event_names[] = {
 #define LOOM_EVENT_NAME(id, name, meaning) [LOOM_EVENT_##id] = (name),
 	LOOM_EVENTS(LOOM_EVENT_NAME)
 #undef LOOM_EVENT_NAME
 };
 
-static GMutex lock; /* guards all below */
-static uint64_t second; /* that the counts are of */
-static uint32_t offered; /* in this second, about requests */
-static uint32_t written;
-static uint32_t states; /* lines of this second about no request */
-static uint32_t left_out;
-static uint32_t shift; /* one request in 1 << shift is written */
+static GMutex lock; /* guards all variables below */
+static uint64_t current_s; /* second that the counts below belong to */
+static uint32_t requests_offered; /* in this second, logged or not */
+static uint32_t request_lines; /* written in this second, like those below */
+static uint32_t state_lines; /* about no request */
+static uint32_t omitted_lines;
+/* 1 in (1 << sampling_shift) requests is logged. */
+static uint32_t sampling_shift;
 
 const char *
 loom_event_name(enum loom_event event)
 {
-	return names[event];
+	return event_names[event];
 }
 
 static void
@@ -68,7 +70,7 @@
 	struct json_object *line = loom_log_line(LOOM_LOG_INFO, NULL);
 
 	json_object_object_add(
-	    line, "event", json_object_new_string(names[event]));
+	    line, "event", json_object_new_string(event_names[event]));
 	for (; fields->type != LOOM_EVENT_END; fields++)
 		add_field(line, fields);
 	loom_log_write(line);
@@ -85,44 +87,50 @@
 	return hash;
 }
 
-/* The part that would have fitted into the second before is written of this
- * one.  Returns how many lines that one left out. */
+/*
+ * Starts counting a new second.  Its sampling rate is the largest power of 1/2
+ * at which the requests of the previous second would have fitted into the
+ * bound.  Returns the number of lines omitted in the previous second.
+ */
 static uint32_t
 begin_second(uint64_t now_s)
 {
-	uint32_t missed = left_out;
-
-	shift = 0;
-	while (
-	    shift < PART_MIN_SHIFT && offered >> shift > LOOM_EVENT_LINES_PER_S)
-		shift++;
-	second = now_s;
-	offered = 0;
-	written = 0;
-	states = 0;
-	left_out = 0;
-	return missed;
+	uint32_t omitted = omitted_lines;
+
+	sampling_shift = 0;
+	while (sampling_shift < SAMPLING_SHIFT_MAX &&
+	    requests_offered >> sampling_shift > LOOM_EVENT_LINES_PER_S)
+		sampling_shift++;
+	current_s = now_s;
+	requests_offered = 0;
+	request_lines = 0;
+	state_lines = 0;
+	omitted_lines = 0;
+	return omitted;
 }
 
 static bool
-admit_request(const char *id)
+admit_request_line(const char *id)
 {
-	offered++;
-	if (written >= LOOM_EVENT_LINES_PER_S ||
-	    hash_id(id) % (UINT32_C(1) << shift) != 0)
+	requests_offered++;
+	if (request_lines >= LOOM_EVENT_LINES_PER_S ||
+	    hash_id(id) % (UINT32_C(1) << sampling_shift) != 0)
 		return false;
-	written++;
+	request_lines++;
 	return true;
 }
 
-/* What the daemon believes decides about all requests: a flood of their lines
- * must not cost the one that explains them. */
+/*
+ * State changes of the daemon affect all requests, so they have a bound of
+ * their own: a flood of request lines must not displace the line that explains
+ * it.
+ */
 static bool
-admit_state(void)
+admit_state_line(void)
 {
-	if (states >= LOOM_EVENT_STATES_PER_S)
+	if (state_lines >= LOOM_EVENT_STATE_LINES_PER_S)
 		return false;
-	states++;
+	state_lines++;
 	return true;
 }
 
@@ -130,22 +138,22 @@
 loom_event_admit(const char *id, uint64_t now_us)
 {
 	const uint64_t now_s = now_us / LOOM_US_PER_S;
-	uint32_t missed = 0;
+	uint32_t omitted = 0;
 	bool admit;
 
 	g_mutex_lock(&lock);
-	if (now_s != second)
-		missed = begin_second(now_s);
+	if (now_s != current_s)
+		omitted = begin_second(now_s);
 	if (id == NULL)
-		admit = admit_state();
+		admit = admit_state_line();
 	else
-		admit = admit_request(id);
+		admit = admit_request_line(id);
 	if (!admit)
-		left_out++;
+		omitted_lines++;
 	g_mutex_unlock(&lock);
-	if (missed > 0) {
+	if (omitted > 0) {
 		const struct loom_event_field fields[] = {
-			LOOM_F_INT("lines", missed),
+			LOOM_F_INT("lines", omitted),
 			LOOM_F_END,
 		};
 
--- a/tests/base/test_event.c
+++ b/tests/base/test_event.c
@@ -1,6 +1,6 @@
 /*
- * Events: whole lines of known fields, a bounded number of them, and a reader
- * that has stopped.
+ * Tests of the event log: the form of a line, the bound on lines a second, and
+ * a reader that has stopped.
  */
 
 #include <fcntl.h>
@@ -58,7 +58,7 @@
 }
 
 static uint32_t
-admitted(uint64_t second, uint32_t offered)
+count_admitted(uint64_t second, uint32_t offered)
 {
 	uint32_t n = 0, i;
 	char id[32];
@@ -70,8 +70,11 @@
 	return n;
 }
 
-/* Ten thousand refusals a second: no more lines than the bound, those of the
- * same requests once the part has settled, and all again when it is calm. */
+/*
+ * With ten thousand refusals a second, no more lines are written than the bound
+ * allows, but still more than a few once the sampling rate has settled.  When
+ * the load ends, every request is logged again.
+ */
 static void
 test_bound(void)
 {
@@ -79,19 +82,20 @@
 
 	open_pipe();
 	for (second = 1; second < 10; second++) {
-		n = admitted(second, 10000);
+		n = count_admitted(second, 10000);
 		TEST_CHECK(n <= LOOM_EVENT_LINES_PER_S, "%u: %u", second, n);
 	}
 	TEST_CHECK(n > 10, "%u", n);
 	for (; second < 40; second++)
-		n = admitted(second, 10);
+		n = count_admitted(second, 10);
 	CU_ASSERT_EQUAL(n, 10);
 	close_pipe();
 }
 
 /*
- * A limit falls in the middle of a flood of refusals, which have taken all
- * lines of the second: the line that tells why they came must be there.
+ * A lowered limit causes a flood of refusals, which use up all request lines of
+ * the second.  The line about the limit, which explains them, must still be
+ * written.
  */
 static void
 test_states_in_a_flood(void)
@@ -100,15 +104,18 @@
 	uint32_t n = 0, i;
 
 	open_pipe();
-	admitted(100, 10000);
+	count_admitted(100, 10000);
 	CU_ASSERT_FALSE(loom_event_admit("a", now_us));
-	for (i = 0; i < 2 * LOOM_EVENT_STATES_PER_S; i++)
+	for (i = 0; i < 2 * LOOM_EVENT_STATE_LINES_PER_S; i++)
 		n += loom_event_admit(NULL, now_us);
-	CU_ASSERT_EQUAL(n, LOOM_EVENT_STATES_PER_S);
+	CU_ASSERT_EQUAL(n, LOOM_EVENT_STATE_LINES_PER_S);
 	close_pipe();
 }
 
-/* Nobody reads: lines are lost and counted, and the writer goes on. */
+/*
+ * When nobody reads the pipe, lines are dropped and counted, and the writer
+ * does not block.
+ */
 static void
 test_stopped_reader(void)
 {
@@ -126,7 +133,7 @@
 	close_pipe();
 }
 
-/* The page of on-call engineers names each event, with its meaning. */
+/* docs/OPERATIONS.md lists each event with its meaning. */
 static void
 test_page(void)
 {
