--- a/include/loom/json.h
+++ b/include/loom/json.h
@@ -2,8 +2,9 @@
 #define LOOM_JSON_H
 
 /*
- * JSON with comments, read by json-c.  A reader walks an object by a table of
- * fields; unknown names are refused with the nearest known one.
+ * JSON with comments, parsed with json-c, and helpers to suggest the nearest
+ * known name and to build objects.  loom/fields.h reads a parsed object into a
+ * struct.
  */
 
 #include <json-c/json.h>
@@ -14,21 +15,26 @@
 #include "loom/result.h"
 
 /*
- * Parse text of len bytes.  Returns an owned object, or NULL with *line
- * (from 1) and a message (borrowed, static) of the place that is wrong.
+ * Parses len bytes of text.  Returns an owned object.  On failure returns NULL
+ * and sets *line (starting at 1) and *message (borrowed, static) to the
+ * location and the reason.
  */
 struct json_object *loom_json_parse(
     const char *text, size_t len, unsigned *line, const char **message);
 
-/* Read and parse a whole file.  Owned; NULL with LOOM_FILE_UNREADABLE or
- * LOOM_JSON_SYNTAX. */
+/*
+ * Reads and parses a whole file.  Returns an owned object, or NULL with the
+ * error LOOM_FILE_UNREADABLE or LOOM_JSON_SYNTAX.
+ */
 struct json_object *loom_json_load(const char *file, GError **error);
 
-/* The name in names (NULL-terminated) that is nearest to word by edit
- * distance; NULL when none is near.  Borrowed. */
+/*
+ * Returns the name in names (NULL-terminated) with the smallest edit distance
+ * to word, or NULL if none is close.  The result is borrowed.
+ */
 const char *loom_nearest_name(const char *word, const char *const *names);
 
-/* Members of an object that is being made. */
+/* Add a member to an object. */
 void loom_json_add_text(
     struct json_object *, const char *name, const char *text);
 void loom_json_add_int(struct json_object *, const char *name, int64_t number);
--- a/include/loom/lines.h
+++ b/include/loom/lines.h
@@ -2,17 +2,18 @@
 #define LOOM_LINES_H
 
 /*
- * Lines of logs for programs that read them.
+ * Reads log files line by line, for programs that analyse logs.
  */
 
 #include <stdbool.h>
 
 /*
- * Hand each line of the files to take, or of the standard input when none is
- * named.  A file that cannot be read is told on the standard error under the
- * program's name, and the others are read; false then.
+ * Calls handle_line for each line of the files, or of standard input if n is 0.
+ * A file that cannot be opened is reported on standard error under the name of
+ * the program, and the remaining files are still read; the result is false
+ * then.
  */
 bool loom_lines_read(const char *program, const char *const *files, int n,
-    void (*take)(void *arg, const char *line), void *arg);
+    void (*handle_line)(void *arg, const char *line), void *arg);
 
 #endif
--- a/include/loom/log.h
+++ b/include/loom/log.h
@@ -2,9 +2,11 @@
 #define LOOM_LOG_H
 
 /*
- * Levelled logs, one JSON object a line on standard error:
- * {"time":"...","level":"info","component":"platform","code":4000,"msg":"..."}
- * Safe from any thread; a line is written with one call.
+ * Levelled logging, one JSON object a line on standard error:
+ *
+ *	{"time":"...","level":"info","component":"platform","code":4000,"msg":"..."}
+ *
+ * Thread-safe; each line is written with a single write().
  */
 
 #include <glib.h>
@@ -19,30 +21,37 @@
 	LOOM_LOG_ERROR,
 };
 
-/* Lines below this level are dropped; the default is info. */
+/* Messages below this level are not logged; the default is LOOM_LOG_INFO. */
 void loom_log_set_level(enum loom_log_level);
 
-/* Parse "debug", "info", "warn" or "error"; false for any other word. */
+/*
+ * Parses "debug", "info", "warn" or "error"; returns false for any other word.
+ */
 bool loom_log_level_parse(const char *word, enum loom_log_level *level);
 
-/* Write a line.  component is a short package name; code LOOM_OK for none. */
+/*
+ * Logs a message.  component is a short package name; code is LOOM_OK for none.
+ */
 void loom_log(enum loom_log_level, const char *component, enum loom_result code,
     const char *fmt, ...) G_GNUC_PRINTF(4, 5);
 
-/* Write a line with a JSON value as its member name; value is released. */
+/* Logs a JSON value as the member called name; releases value. */
 void loom_log_object(enum loom_log_level, const char *component,
     const char *name, struct json_object *value);
 
-/* Where lines go: standard error unless set. */
+/* Sets the descriptor that lines are written to, instead of standard error. */
 void loom_log_set_fd(int fd);
 
-/* A line to add fields to, owned (json_object_put); component may be NULL. */
+/*
+ * A new line to which the caller adds members; owned (json_object_put()).
+ * component may be NULL.
+ */
 struct json_object *loom_log_line(enum loom_log_level, const char *component);
 
-/* Write it; never blocks. */
+/* Writes a line, whatever its level; never blocks. */
 void loom_log_write(struct json_object *line);
 
-/* Lines that could not be written since the start. */
+/* Number of lines since the start that could not be written. */
 uint64_t loom_log_dropped(void);
 
 #endif
--- a/include/loom/problem.h
+++ b/include/loom/problem.h
@@ -2,15 +2,15 @@
 #define LOOM_PROBLEM_H
 
 /*
- * A list of all that is wrong with a text, so that a person mends it in one
- * go instead of one error at a time.
+ * A list of all errors in a document, so that the user can correct them in one
+ * pass instead of one at a time.
  */
 
 #include <glib.h>
 
 #include "loom/result.h"
 
-/* One thing wrong with a document or a settings file. */
+/* One error in a document or a settings file. */
 struct loom_problem {
 	enum loom_result code;
 	char *where; /* owned: "file:line", or "file:routes[2].path" */
@@ -18,23 +18,25 @@
 	struct loom_problem *next;
 };
 
-/* Append to *problems (owned by the caller); where is copied. */
+/* Appends a problem to *problems (owned by the caller); where is copied. */
 void loom_problem_add(struct loom_problem **problems, enum loom_result,
     const char *where, const char *fmt, ...) G_GNUC_PRINTF(4, 5);
 
-/* How many of them there are. */
+/* The number of problems in the list. */
 size_t loom_problems_count(const struct loom_problem *);
 
 /*
- * All as text, owned by the caller (g_free): one a line,
- * "where: code NAME: message".
+ * The list as text, one problem a line: "where: code NAME: message".  Owned by
+ * the caller, g_free().
  */
 char *loom_problems_text(const struct loom_problem *);
 
 void loom_problems_free(struct loom_problem *);
 
-/* For a program that ends by them: print all on standard error and free them.
- * Returns EXIT_FAILURE. */
+/*
+ * Prints all problems on standard error and frees them, for a program that
+ * exits because of them.  Returns EXIT_FAILURE.
+ */
 int loom_problems_print(struct loom_problem *);
 
 #endif
--- a/include/loom/ref.h
+++ b/include/loom/ref.h
@@ -2,24 +2,24 @@
 #define LOOM_REF_H
 
 /*
- * Reference counts for objects that several threads own.  The object holds a
- * struct loom_ref; the last release calls the function given at the start.
+ * Reference counts for objects shared by several threads.  The object embeds a
+ * struct loom_ref; the last release calls the destroy function.
  */
 
 #include <stdatomic.h>
 
 struct loom_ref {
 	atomic_uint count;
-	void (*destroy)(void *object); /* called once, by the last owner */
+	void (*destroy)(void *object); /* called once, on the last release */
 };
 
-/* Start with one owner: the caller. */
+/* Initializes the count to 1; the caller owns that reference. */
 void loom_ref_init(struct loom_ref *, void (*destroy)(void *object));
 
-/* One owner more. */
+/* Adds a reference. */
 void loom_ref_acquire(struct loom_ref *);
 
-/* One owner less; object is destroyed when it was the last. */
+/* Drops a reference; destroys object if it was the last. */
 void loom_ref_release(struct loom_ref *, void *object);
 
 #endif
--- a/include/loom/result.h
+++ b/include/loom/result.h
@@ -2,26 +2,26 @@
 #define LOOM_RESULT_H
 
 /*
- * Numbered result codes.  Each package keeps its rows in
- * loom/results/PACKAGE.def; this header only joins them.  docs/RESULTS.md
- * prints the same table and a test holds the two against each other.
+ * Numbered result codes.  Each package defines its codes in
+ * loom/results/PACKAGE.def; this header combines them.  docs/RESULTS.md has the
+ * same table, and a test checks that both agree.
  */
 
 #include <glib.h>
 #include <stdbool.h>
 #include <stdint.h>
 
-/* What a caller may conclude about its request from a refusal. */
+/* What a caller may conclude about its request from an error response. */
 enum loom_outcome {
-	LOOM_OUTCOME_NONE, /* the code never reaches a caller */
-	LOOM_OUTCOME_NOT_RUN, /* no byte of it reached any upstream */
+	LOOM_OUTCOME_NONE, /* the code is never sent to a caller */
+	LOOM_OUTCOME_NOT_RUN, /* no byte of the request reached any upstream */
 	LOOM_OUTCOME_RAN, /* the upstream ran it */
-	LOOM_OUTCOME_UNKNOWN, /* it may have run; nobody can tell now */
+	LOOM_OUTCOME_UNKNOWN, /* it may or may not have run */
 };
 
 /*
- * LOOM_RESULT(name, number, http_status, outcome, text); http_status is 0
- * for codes that never reach a caller.
+ * LOOM_RESULT(name, number, http_status, outcome, text); http_status is 0 for
+ * codes that are never sent to a caller.
  */
 enum loom_result {
 #define LOOM_RESULT(name, number, http_status, outcome, text) \
@@ -30,7 +30,7 @@
 #undef LOOM_RESULT
 };
 
-/* A row of the table. */
+/* Description of a result code. */
 struct loom_result_info {
 	enum loom_result code;
 	const char *name; /* borrowed, static: "TEAM_RATE" */
@@ -39,22 +39,26 @@
 	const char *text; /* borrowed, static: one English sentence */
 };
 
-/* The row of a code; the row of LOOM_INTERNAL for an unknown one. */
+/* The description of a code, or that of LOOM_INTERNAL for an unknown code. */
 const struct loom_result_info *loom_result_info(enum loom_result);
 
-/* All rows, package by package; *n receives the count. */
+/* All codes, package by package; sets *n to their number. */
 const struct loom_result_info *loom_result_table(size_t *n);
 
-/* The word on the wire: "not-run", "ran", "unknown", "none". */
+/* The name used on the wire: "not-run", "ran", "unknown" or "none". */
 const char *loom_outcome_name(enum loom_outcome);
 
-/* The GError domain of every error raised here; the code is loom_result. */
+/*
+ * GError domain of all errors reported by this project; error codes are enum
+ * loom_result.
+ */
 #define LOOM_ERROR (loom_error_quark())
 GQuark loom_error_quark(void);
 
 /*
- * Set *error (may be NULL) to a code and a formatted message, and return
- * false, so that a failing step can end in "return loom_fail(...)".
+ * Sets *error, unless error is NULL or already set, to a code and a formatted
+ * message.  Always returns false, so that a failing function can end with
+ * "return loom_fail(...)".
  */
 bool loom_fail(GError **error, enum loom_result, const char *fmt, ...)
     G_GNUC_PRINTF(3, 4);
--- a/src/base/json.c
+++ b/src/base/json.c
@@ -1,6 +1,6 @@
 /*
- * JSON with comments.  json-c's tokener takes both kinds of comment unless it
- * is told to be strict; what it lacks is the line of an error, which is
+ * JSON with comments.  json-c's tokener accepts both kinds of comment unless it
+ * is in strict mode.  It does not report the line of an error, so the line is
  * counted here.
  */
 
@@ -10,10 +10,10 @@
 
 #define JSON_DEPTH_MAX 32
 #define NAME_LENGTH_MAX 64
-#define NEAR_DISTANCE 3
+#define SUGGESTION_DISTANCE_MAX 3
 
 static unsigned
-line_of(const char *text, size_t offset)
+line_at(const char *text, size_t offset)
 {
 	unsigned line = 1;
 	size_t i;
@@ -26,7 +26,7 @@
 }
 
 static bool
-only_blank(const char *text, size_t len)
+is_whitespace(const char *text, size_t len)
 {
 	size_t i;
 
@@ -38,7 +38,7 @@
 }
 
 static const char *
-describe(enum json_tokener_error error)
+parse_error_text(enum json_tokener_error error)
 {
 	if (error == json_tokener_continue)
 		return "the text ends too early";
@@ -59,13 +59,13 @@
 	*message = NULL;
 	*line = 0;
 	if (json_tokener_get_error(tokener) != json_tokener_success)
-		*message = describe(json_tokener_get_error(tokener));
+		*message = parse_error_text(json_tokener_get_error(tokener));
 	else if (object == NULL)
-		*message = "null is no value here";
-	else if (!only_blank(text + end, len - end))
+		*message = "null is not allowed here";
+	else if (!is_whitespace(text + end, len - end))
 		*message = "text after the end of the value";
 	if (*message != NULL) {
-		*line = line_of(text, end < len ? end : len);
+		*line = line_at(text, end < len ? end : len);
 		json_object_put(object);
 		object = NULL;
 	}
@@ -130,7 +130,7 @@
 loom_nearest_name(const char *word, const char *const *names)
 {
 	const char *nearest = NULL;
-	unsigned distance, best = NEAR_DISTANCE + 1;
+	unsigned distance, best = SUGGESTION_DISTANCE_MAX + 1;
 
 	for (; *names != NULL; names++) {
 		distance = edit_distance(word, *names);
--- a/src/base/lines.c
+++ b/src/base/lines.c
@@ -1,5 +1,5 @@
 /*
- * Lines of logs; see the header.
+ * Reads log files line by line; see the header.
  */
 
 #include <errno.h>
@@ -10,26 +10,27 @@
 #include "loom/lines.h"
 
 static void
-read_stream(FILE *stream, void (*take)(void *arg, const char *line), void *arg)
+read_stream(
+    FILE *stream, void (*handle_line)(void *arg, const char *line), void *arg)
 {
 	char *line = NULL;
 	size_t size = 0;
 
 	while (getline(&line, &size, stream) >= 0)
-		take(arg, line);
+		handle_line(arg, line);
 	free(line);
 }
 
 bool
 loom_lines_read(const char *program, const char *const *files, int n,
-    void (*take)(void *arg, const char *line), void *arg)
+    void (*handle_line)(void *arg, const char *line), void *arg)
 {
 	bool ok = true;
 	FILE *stream;
 	int i;
 
 	if (n == 0)
-		read_stream(stdin, take, arg);
+		read_stream(stdin, handle_line, arg);
 	for (i = 0; i < n; i++) {
 		stream = fopen(files[i], "r");
 		if (stream == NULL) {
@@ -38,7 +39,7 @@
 			ok = false;
 			continue;
 		}
-		read_stream(stream, take, arg);
+		read_stream(stream, handle_line, arg);
 		fclose(stream);
 	}
 	return ok;
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -1,6 +1,6 @@
 /*
- * The logger.  JSON is produced by json-c so that a hostile header in a
- * message can neither break a line nor forge a second one.
+ * The logger.  Lines are serialized by json-c, so that a hostile header in a
+ * message can neither break a line nor inject another one.
  */
 
 #include <json-c/json.h>
@@ -17,7 +17,7 @@
 
 static atomic_int min_level = LOOM_LOG_INFO;
 static atomic_int log_fd = STDERR_FILENO;
-static atomic_uint_fast64_t dropped; /* lines that nobody took */
+static atomic_uint_fast64_t dropped; /* lines that could not be written */
 
 static const char *const level_names[] = {
 	[LOOM_LOG_DEBUG] = "debug",
@@ -67,9 +67,9 @@
 }
 
 /*
- * A reader that has stopped would block the daemon at its next line.  A pipe
- * that can be written to takes a line of up to PIPE_BUF bytes at once; what
- * cannot be written now is dropped and counted.
+ * A reader that has stopped reading must not block the daemon.  A pipe that
+ * polls as writable takes a line of up to PIPE_BUF bytes without blocking; a
+ * line that cannot be written now is dropped and counted.
  */
 void
 loom_log_write(struct json_object *line)
@@ -79,17 +79,17 @@
 		.events = POLLOUT,
 	};
 	const char *text;
-	char *whole;
+	char *terminated;
 
 	if (poll(&poll_fd, 1, 0) != 1 || (poll_fd.revents & POLLOUT) == 0) {
 		atomic_fetch_add(&dropped, 1);
 		return;
 	}
 	text = json_object_to_json_string_ext(line, JSON_C_TO_STRING_PLAIN);
-	whole = g_strconcat(text, "\n", NULL);
-	if (write(poll_fd.fd, whole, strlen(whole)) < 0)
+	terminated = g_strconcat(text, "\n", NULL);
+	if (write(poll_fd.fd, terminated, strlen(terminated)) < 0)
 		atomic_fetch_add(&dropped, 1);
-	g_free(whole);
+	g_free(terminated);
 }
 
 uint64_t
@@ -115,7 +115,7 @@
 }
 
 static bool
-is_dropped(enum loom_log_level level)
+is_below_min_level(enum loom_log_level level)
 {
 	return (int)level <
 	    atomic_load_explicit(&min_level, memory_order_relaxed);
@@ -129,7 +129,7 @@
 	char *message;
 	va_list ap;
 
-	if (is_dropped(level))
+	if (is_below_min_level(level))
 		return;
 	va_start(ap, fmt);
 	message = g_strdup_vprintf(fmt, ap);
@@ -150,7 +150,7 @@
 {
 	struct json_object *line;
 
-	if (is_dropped(level)) {
+	if (is_below_min_level(level)) {
 		json_object_put(value);
 		return;
 	}
--- a/src/base/problem.c
+++ b/src/base/problem.c
@@ -1,6 +1,6 @@
 /*
- * The list of problems.  Order is that of discovery, which is the order of
- * the text for everything that a table of fields reads.
+ * A linked list of problems in the order in which they were found.  For
+ * everything that is read by a table of fields, that is the order of the text.
  */
 
 #include <stdio.h>
--- a/src/base/ref.c
+++ b/src/base/ref.c
@@ -1,6 +1,7 @@
 /*
- * Atomic reference counts: the release is ordered after every use by the
- * owner that gives up, and the destroyer sees all of them.
+ * Atomic reference counts.  Releasing uses acquire-release ordering: each
+ * owner's accesses happen before its release, and the thread that destroys the
+ * object sees the accesses of all owners.
  */
 
 #include "loom/ref.h"
--- a/src/base/result.c
+++ b/src/base/result.c
@@ -1,7 +1,6 @@
 /*
- * The table behind the numbered result codes.  It is made from the same .def
- * rows as the enumeration, so that a code cannot exist without its HTTP
- * status, outcome and sentence.
+ * The table of result codes.  It is generated from the same .def rows as the
+ * enumeration, so that every code has an HTTP status, an outcome and a text.
  */
 
 #include <stdarg.h>
--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -1,6 +1,6 @@
 /*
- * Settings files: one call for a program's start, which either gives a whole
- * struct or says everything that is wrong at once.
+ * Loads settings files.  A load either fills the whole struct or reports every
+ * error in the file at once.
  */
 
 #include <arpa/inet.h>
@@ -10,7 +10,7 @@
 
 #define PORT_MAX 65535
 
-static const struct loom_field_codes codes = {
+static const struct loom_field_codes setting_codes = {
 	.syntax = LOOM_JSON_SYNTAX,
 	.unknown = LOOM_SETTING_UNKNOWN,
 	.type = LOOM_SETTING_TYPE,
@@ -22,7 +22,10 @@
 loom_settings_parse(const char *text, size_t len, const char *file,
     const struct loom_field *fields, void *out, struct loom_problem **problems)
 {
-	struct loom_field_source source = { .file = file, .codes = &codes };
+	struct loom_field_source source = {
+		.file = file,
+		.codes = &setting_codes,
+	};
 	struct json_object *object;
 	bool ok;
 
@@ -57,7 +60,7 @@
 }
 
 static bool
-ip_is_valid(const char *text, size_t len)
+is_ip(const char *text, size_t len)
 {
 	struct in6_addr address;
 	char ip[INET6_ADDRSTRLEN];
@@ -96,7 +99,7 @@
 	    !g_ascii_string_to_unsigned(
 		colon + 1, 10, 0, PORT_MAX, &port, NULL))
 		return LOOM_SETTING_RANGE;
-	if (!ip_is_valid(text, (size_t)(colon - text)))
+	if (!is_ip(text, (size_t)(colon - text)))
 		return LOOM_SETTING_RANGE;
 	return LOOM_OK;
 }
