--- a/src/base/field_types.c
+++ b/src/base/field_types.c
@@ -1,5 +1,5 @@
 /*
- * One reader for each type of field, chosen from a table.
+ * Readers for the values of each field type, selected from a table.
  */
 
 #include <math.h>
@@ -8,25 +8,27 @@
 #include "base/fields_internal.h"
 
 static void
-report_type(struct walk *walk, const char *wanted, struct json_object *value)
+report_type(struct field_context *context, const char *expected,
+    struct json_object *value)
 {
-	field_report(walk, walk->source->codes->type, "%s expected, not %s",
-	    wanted, json_type_to_name(json_object_get_type(value)));
+	field_report(context, context->source->codes->type,
+	    "%s expected, not %s", expected,
+	    json_type_to_name(json_object_get_type(value)));
 }
 
-/* The text of a JSON string, or NULL and a problem. */
+/* Returns the text of a JSON string, or NULL after reporting a problem. */
 static const char *
-string_of(struct walk *walk, struct json_object *value)
+get_string(struct field_context *context, struct json_object *value)
 {
 	const char *text;
 
 	if (!json_object_is_type(value, json_type_string)) {
-		report_type(walk, "a string", value);
+		report_type(context, "a string", value);
 		return NULL;
 	}
 	text = json_object_get_string(value);
 	if (strlen(text) != (size_t)json_object_get_string_len(value)) {
-		field_report(walk, walk->source->codes->range,
+		field_report(context, context->source->codes->range,
 		    "a string must not hold a zero byte");
 		return NULL;
 	}
@@ -34,72 +36,73 @@
 }
 
 static bool
-passes_check(
-    struct walk *walk, const struct loom_field *field, const char *text)
+passes_check(struct field_context *context, const struct loom_field *field,
+    const char *text)
 {
 	enum loom_result code;
 
 	code = field->check == NULL ? LOOM_OK : field->check(text);
 	if (code == LOOM_OK)
 		return true;
-	field_report(walk, code, "%s expected",
+	field_report(context, code, "%s expected",
 	    field->expects == NULL ? "another value" : field->expects);
 	return false;
 }
 
 static void
-read_string(struct walk *walk, const struct loom_field *field,
+read_string(struct field_context *context, const struct loom_field *field,
     struct json_object *value, void *member)
 {
-	const char *text = string_of(walk, value);
+	const char *text = get_string(context, value);
 	char **target = member;
 
-	if (text == NULL || !passes_check(walk, field, text))
+	if (text == NULL || !passes_check(context, field, text))
 		return;
 	g_free(*target);
 	*target = g_strdup(text);
 }
 
 static void
-read_text(struct walk *walk, const struct loom_field *field,
+read_text(struct field_context *context, const struct loom_field *field,
     struct json_object *value, void *member)
 {
-	const char *text = string_of(walk, value);
+	const char *text = get_string(context, value);
 
 	if (text == NULL)
 		return;
 	if (strlen(text) >= field->size) {
-		field_report(walk, walk->source->codes->range,
+		field_report(context, context->source->codes->range,
 		    "longer than %zu characters", field->size - 1);
 		return;
 	}
-	if (passes_check(walk, field, text))
+	if (passes_check(context, field, text))
 		g_strlcpy(member, text, field->size);
 }
 
 static bool
-in_range(struct walk *walk, const struct loom_field *field, double number)
+check_range(struct field_context *context, const struct loom_field *field,
+    double number)
 {
 	bool bounded = field->min != 0 || field->max != 0;
 
 	if (!bounded || (number >= field->min && number <= field->max))
 		return true;
-	field_report(walk, walk->source->codes->range,
+	field_report(context, context->source->codes->range,
 	    "must be from %.15g to %.15g", field->min, field->max);
 	return false;
 }
 
 static bool
-whole_number(struct walk *walk, struct json_object *value, uint64_t limit,
-    uint64_t *number)
+get_integer(struct field_context *context, struct json_object *value,
+    uint64_t limit, uint64_t *number)
 {
 	if (!json_object_is_type(value, json_type_int)) {
-		report_type(walk, "a whole number", value);
+		report_type(context, "a whole number", value);
 		return false;
 	}
 	*number = json_object_get_uint64(value);
 	if (json_object_get_int64(value) < 0 || *number > limit) {
-		field_report(walk, walk->source->codes->range,
+		field_report(context, context->source->codes->range,
 		    "must be from 0 to %" G_GUINT64_FORMAT, (guint64)limit);
 		return false;
 	}
@@ -107,67 +110,67 @@
 }
 
 static void
-read_u32(struct walk *walk, const struct loom_field *field,
+read_u32(struct field_context *context, const struct loom_field *field,
     struct json_object *value, void *member)
 {
 	uint64_t number;
 
-	if (whole_number(walk, value, UINT32_MAX, &number) &&
-	    in_range(walk, field, (double)number))
+	if (get_integer(context, value, UINT32_MAX, &number) &&
+	    check_range(context, field, (double)number))
 		*(uint32_t *)member = (uint32_t)number;
 }
 
 static void
-read_u64(struct walk *walk, const struct loom_field *field,
+read_u64(struct field_context *context, const struct loom_field *field,
     struct json_object *value, void *member)
 {
 	uint64_t number;
 
-	if (whole_number(walk, value, INT64_MAX, &number) &&
-	    in_range(walk, field, (double)number))
+	if (get_integer(context, value, INT64_MAX, &number) &&
+	    check_range(context, field, (double)number))
 		*(uint64_t *)member = number;
 }
 
 static void
-read_double(struct walk *walk, const struct loom_field *field,
+read_double(struct field_context *context, const struct loom_field *field,
     struct json_object *value, void *member)
 {
 	double number;
 
 	if (!json_object_is_type(value, json_type_int) &&
 	    !json_object_is_type(value, json_type_double)) {
-		report_type(walk, "a number", value);
+		report_type(context, "a number", value);
 		return;
 	}
 	number = json_object_get_double(value);
 	if (!isfinite(number)) {
-		field_report(walk, walk->source->codes->range,
+		field_report(context, context->source->codes->range,
 		    "a finite number expected");
 		return;
 	}
-	if (in_range(walk, field, number))
+	if (check_range(context, field, number))
 		*(double *)member = number;
 }
 
 static void
-read_bool(struct walk *walk, const struct loom_field *field,
+read_bool(struct field_context *context, const struct loom_field *field,
     struct json_object *value, void *member)
 {
 	(void)field;
 	if (!json_object_is_type(value, json_type_boolean)) {
-		report_type(walk, "true or false", value);
+		report_type(context, "true or false", value);
 		return;
 	}
 	*(bool *)member = json_object_get_boolean(value) != 0;
 }
 
 static void
-read_choice(struct walk *walk, const struct loom_field *field,
+read_choice(struct field_context *context, const struct loom_field *field,
     struct json_object *value, void *member)
 {
-	const char *word = string_of(walk, value);
+	const char *word = get_string(context, value);
 	uint32_t i;
-	char *all;
+	char *choices;
 
 	if (word == NULL)
 		return;
@@ -177,39 +180,39 @@
 			return;
 		}
 	}
-	all = g_strjoinv(", ", (char **)field->words);
-	field_report(walk, walk->source->codes->range, "\"%s\" is none of %s",
-	    word, all);
-	g_free(all);
+	choices = g_strjoinv(", ", (char **)field->words);
+	field_report(context, context->source->codes->range,
+	    "\"%s\" is none of %s", word, choices);
+	g_free(choices);
 }
 
 static bool
-is_array(struct walk *walk, struct json_object *value)
+check_array(struct field_context *context, struct json_object *value)
 {
 	if (json_object_is_type(value, json_type_array))
 		return true;
-	report_type(walk, "a list", value);
+	report_type(context, "a list", value);
 	return false;
 }
 
 static void
-read_strings(struct walk *walk, const struct loom_field *field,
+read_strings(struct field_context *context, const struct loom_field *field,
     struct json_object *value, void *member)
 {
-	size_t i, n, parent = walk->path->len;
+	size_t i, n, parent = context->path->len;
 	const char *text;
 	GPtrArray *list;
 
-	if (!is_array(walk, value))
+	if (!check_array(context, value))
 		return;
 	list = g_ptr_array_new();
 	n = json_object_array_length(value);
 	for (i = 0; i < n; i++) {
-		g_string_append_printf(walk->path, "[%zu]", i);
-		text = string_of(walk, json_object_array_get_idx(value, i));
-		if (text != NULL && passes_check(walk, field, text))
+		g_string_append_printf(context->path, "[%zu]", i);
+		text = get_string(context, json_object_array_get_idx(value, i));
+		if (text != NULL && passes_check(context, field, text))
 			g_ptr_array_add(list, g_strdup(text));
-		g_string_truncate(walk->path, parent);
+		g_string_truncate(context->path, parent);
 	}
 	g_ptr_array_add(list, NULL);
 	g_strfreev(*(char ***)member);
@@ -217,39 +220,39 @@
 }
 
 static void
-read_object(struct walk *walk, const struct loom_field *field,
+read_object(struct field_context *context, const struct loom_field *field,
     struct json_object *value, void *member)
 {
 	if (!json_object_is_type(value, json_type_object)) {
-		report_type(walk, "an object", value);
+		report_type(context, "an object", value);
 		return;
 	}
-	field_read_members(walk, value, field->fields, member);
+	field_read_members(context, value, field->fields, member);
 }
 
 static void
-read_list(struct walk *walk, const struct loom_field *field,
+read_list(struct field_context *context, const struct loom_field *field,
     struct json_object *value, void *member)
 {
-	size_t i, n, parent = walk->path->len;
+	size_t i, n, parent = context->path->len;
 	GArray *list = *(GArray **)member;
 	void *element;
 
-	if (!is_array(walk, value))
+	if (!check_array(context, value))
 		return;
 	n = json_object_array_length(value);
 	g_array_set_size(list, (guint)n);
 	for (i = 0; i < n; i++) {
 		element = list->data + i * field->size;
 		field_set_defaults(field->fields, element);
-		g_string_append_printf(walk->path, "[%zu]", i);
-		read_object(
-		    walk, field, json_object_array_get_idx(value, i), element);
-		g_string_truncate(walk->path, parent);
+		g_string_append_printf(context->path, "[%zu]", i);
+		read_object(context, field, json_object_array_get_idx(value, i),
+		    element);
+		g_string_truncate(context->path, parent);
 	}
 }
 
-typedef void (*read_function)(struct walk *, const struct loom_field *,
+typedef void (*read_function)(struct field_context *, const struct loom_field *,
     struct json_object *, void *member);
 
 static const read_function readers[] = {
@@ -266,8 +269,8 @@
 };
 
 void
-field_read(struct walk *walk, const struct loom_field *field,
+field_read(struct field_context *context, const struct loom_field *field,
     struct json_object *value, void *member)
 {
-	readers[field->type](walk, field, value, member);
+	readers[field->type](context, field, value, member);
 }
--- a/src/base/fields.c
+++ b/src/base/fields.c
@@ -1,9 +1,9 @@
 /*
- * The table-driven reader: the walk over an object's members.  How one value
- * is read is the business of field_types.c.
+ * Reads the members of an object by a table of fields.  field_types.c reads the
+ * values.
  *
- * json-c keeps only the last of two members with one name, so a name that
- * stands twice in an object cannot be seen here.
+ * json-c keeps only the last of several members with the same name, so
+ * duplicate names within an object are not detected.
  */
 
 #include <string.h>
@@ -13,7 +13,8 @@
 #define KNOWN_NAMES_MAX 64
 
 void
-field_report(struct walk *walk, enum loom_result code, const char *fmt, ...)
+field_report(
+    struct field_context *context, enum loom_result code, const char *fmt, ...)
 {
 	char *message, *where;
 	va_list ap;
@@ -21,10 +22,10 @@
 	va_start(ap, fmt);
 	message = g_strdup_vprintf(fmt, ap);
 	va_end(ap);
-	where = g_strdup_printf("%s%s%s", walk->source->file,
-	    walk->path->len > 0 ? ":" : "", walk->path->str);
-	loom_problem_add(walk->problems, code, where, "%s", message);
-	walk->ok = false;
+	where = g_strdup_printf("%s%s%s", context->source->file,
+	    context->path->len > 0 ? ":" : "", context->path->str);
+	loom_problem_add(context->problems, code, where, "%s", message);
+	context->ok = false;
 	g_free(where);
 	g_free(message);
 }
@@ -98,8 +99,8 @@
 }
 
 static void
-report_unknown(
-    struct walk *walk, const struct loom_field *fields, const char *name)
+report_unknown(struct field_context *context, const struct loom_field *fields,
+    const char *name)
 {
 	const char *known[KNOWN_NAMES_MAX + 1];
 	const char *nearest;
@@ -110,64 +111,66 @@
 	known[n] = NULL;
 	nearest = loom_nearest_name(name, known);
 	if (nearest != NULL)
-		field_report(walk, walk->source->codes->unknown,
+		field_report(context, context->source->codes->unknown,
 		    "unknown name, did you mean \"%s\"?", nearest);
 	else
 		field_report(
-		    walk, walk->source->codes->unknown, "unknown name");
+		    context, context->source->codes->unknown, "unknown name");
 }
 
 static void
-push_name(struct walk *walk, const char *name)
+push_name(struct field_context *context, const char *name)
 {
-	if (walk->path->len > 0)
-		g_string_append_c(walk->path, '.');
-	g_string_append(walk->path, name);
+	if (context->path->len > 0)
+		g_string_append_c(context->path, '.');
+	g_string_append(context->path, name);
 }
 
 static void
-report_missing(struct walk *walk, struct json_object *object,
+report_missing(struct field_context *context, struct json_object *object,
     const struct loom_field *fields)
 {
-	size_t parent = walk->path->len;
+	size_t parent = context->path->len;
 
 	for (; fields->name != NULL; fields++) {
 		if (!fields->required ||
 		    json_object_object_get_ex(object, fields->name, NULL))
 			continue;
-		push_name(walk, fields->name);
-		field_report(walk, walk->source->codes->missing, "missing");
-		g_string_truncate(walk->path, parent);
+		push_name(context, fields->name);
+		field_report(
+		    context, context->source->codes->missing, "missing");
+		g_string_truncate(context->path, parent);
 	}
 }
 
 void
-field_read_members(struct walk *walk, struct json_object *object,
+field_read_members(struct field_context *context, struct json_object *object,
     const struct loom_field *fields, void *out)
 {
-	struct json_object_iterator at = json_object_iter_begin(object);
+	struct json_object_iterator iter = json_object_iter_begin(object);
 	struct json_object_iterator end = json_object_iter_end(object);
-	size_t parent = walk->path->len;
+	size_t parent = context->path->len;
 	const struct loom_field *field;
 	const char *name;
 
-	for (; !json_object_iter_equal(&at, &end); json_object_iter_next(&at)) {
-		name = json_object_iter_peek_name(&at);
+	for (; !json_object_iter_equal(&iter, &end);
+	     json_object_iter_next(&iter)) {
+		name = json_object_iter_peek_name(&iter);
 		field = find_field(fields, name);
-		push_name(walk, name);
+		push_name(context, name);
 		if (field == NULL) {
-			report_unknown(walk, fields, name);
+			report_unknown(context, fields, name);
 		} else {
 			if (field->seen_offset != 0)
 				*(bool *)((char *)out + field->seen_offset) =
 				    true;
-			field_read(walk, field,
-			    json_object_iter_peek_value(&at),
+			field_read(context, field,
+			    json_object_iter_peek_value(&iter),
 			    member_of(field, out));
 		}
-		g_string_truncate(walk->path, parent);
+		g_string_truncate(context->path, parent);
 	}
-	report_missing(walk, object, fields);
+	report_missing(context, object, fields);
 }
 
 struct json_object *
@@ -193,7 +196,7 @@
     struct json_object *object, const struct loom_field *fields, void *out,
     struct loom_problem **problems)
 {
-	struct walk walk = {
+	struct field_context context = {
 		.source = source,
 		.problems = problems,
 		.path = g_string_new(NULL),
@@ -202,11 +205,12 @@
 
 	field_set_defaults(fields, out);
 	if (json_object_is_type(object, json_type_object))
-		field_read_members(&walk, object, fields, out);
+		field_read_members(&context, object, fields, out);
 	else
-		field_report(&walk, source->codes->type, "an object expected");
-	g_string_free(walk.path, TRUE);
-	return walk.ok;
+		field_report(
+		    &context, source->codes->type, "an object expected");
+	g_string_free(context.path, TRUE);
+	return context.ok;
 }
 
 static void
--- a/src/base/fields_internal.h
+++ b/src/base/fields_internal.h
@@ -2,31 +2,32 @@
 #define LOOM_FIELDS_INTERNAL_H
 
 /*
- * What the walk over an object and the readers of single types share.
+ * Shared by fields.c, which traverses objects, and field_types.c, which reads
+ * values.
  */
 
 #include "loom/fields.h"
 
-/* One reading of a whole object. */
-struct walk {
+/* State of reading a whole object. */
+struct field_context {
 	const struct loom_field_source *source; /* borrowed */
 	struct loom_problem **problems; /* borrowed */
-	GString *path; /* owned by the outermost call: "routes[2].path" */
+	GString *path; /* owned by loom_fields_read(): "routes[2].path" */
 	bool ok;
 };
 
-/* Add a problem at the walk's present path. */
-void field_report(struct walk *, enum loom_result, const char *fmt, ...)
-    G_GNUC_PRINTF(3, 4);
+/* Adds a problem at the current path. */
+void field_report(struct field_context *, enum loom_result, const char *fmt,
+    ...) G_GNUC_PRINTF(3, 4);
 
-/* Read the members of an object into out, which has its defaults already. */
-void field_read_members(struct walk *, struct json_object *,
+/* Reads the members of an object into out, which must hold its defaults. */
+void field_read_members(struct field_context *, struct json_object *,
     const struct loom_field *fields, void *out);
 
 void field_set_defaults(const struct loom_field *fields, void *out);
 
-/* Read one value into the member of its field. */
-void field_read(struct walk *, const struct loom_field *, struct json_object *,
-    void *member);
+/* Reads a value into the struct member of its field. */
+void field_read(struct field_context *, const struct loom_field *,
+    struct json_object *, void *member);
 
 #endif
--- a/tests/base/test_base.c
+++ b/tests/base/test_base.c
@@ -1,6 +1,6 @@
 /*
- * The base package: result table, JSON with comments, nearest names,
- * counters, reference counts.
+ * Tests of the base package: random bytes, the table of result codes, JSON with
+ * comments, nearest names, counters, histograms and reference counts.
  */
 
 #include <string.h>
@@ -12,8 +12,7 @@
 #include "loom/ref.h"
 #include "support/test.h"
 
-/* A code's number is what operators search their logs for: it must be one
- * code's alone. */
+/* Operators search logs for a code's number, so no two codes may share one. */
 static void
 test_result_numbers_are_unique(void)
 {
@@ -28,7 +27,10 @@
 	}
 }
 
-/* A refusal with a status tells the caller one outcome; an inner code none. */
+/*
+ * A code with an HTTP status tells the caller an outcome; a code that is never
+ * sent to a caller has none.
+ */
 static void
 test_result_outcomes(void)
 {
@@ -120,14 +122,16 @@
 	g_free(text);
 }
 
-/* Buckets are cumulative and their bounds belong to the lower one, as the text
- * format's readers take them. */
+/*
+ * Buckets are cumulative, and a value equal to a bound counts in the bucket of
+ * that bound, as the Prometheus text format requires.
+ */
 static void
 test_histogram_text(void)
 {
 	static const struct {
-		uint64_t took_us;
-		const char *line; /* that it leads to, after those before it */
+		uint64_t duration_us;
+		const char *line; /* expected after all durations so far */
 	} cases[] = {
 		{ 1000,
 		    "loom_test_seconds_bucket{kind=\"a\",le=\"0.001\"} 1\n" },
@@ -151,7 +155,7 @@
 	    loom_histogram("loom_test_seconds", "kind=\"a\"", "A test."));
 	loom_histogram_add(NULL, 1);
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
-		loom_histogram_add(histogram, cases[i].took_us);
+		loom_histogram_add(histogram, cases[i].duration_us);
 		text = loom_histogram_text();
 		TEST_CHECK(strstr(text, cases[i].line) != NULL, "%s in %s",
 		    cases[i].line, text);
@@ -159,7 +163,9 @@
 	}
 }
 
-/* Names that come from outside make no more series than there is room for. */
+/*
+ * Labels can come from outside the process, so the number of series is bounded.
+ */
 static void
 test_histograms_bounded(void)
 {
@@ -196,23 +202,25 @@
 	CU_ASSERT_EQUAL(destroyed, 1);
 }
 
-/* Draws of any length, also across the end of what a thread asked for ahead,
- * are whole and never the same twice. */
+/*
+ * Random draws of any length, including those that cross the end of a thread's
+ * random pool or exceed it, are filled completely and never repeat.
+ */
 static void
 test_random_bytes(void)
 {
-	static const size_t lengths[] = { 8, 16, 24, 1000, 1024, 5000 };
+	static const size_t draw_sizes[] = { 8, 16, 24, 1000, 1024, 5000 };
 	uint8_t before[5000], bytes[5000];
 	size_t i, round;
 
-	for (i = 0; i < G_N_ELEMENTS(lengths); i++) {
+	for (i = 0; i < G_N_ELEMENTS(draw_sizes); i++) {
 		memset(before, 0, sizeof(before));
 		for (round = 0; round < 200; round++) {
 			memset(bytes, 0, sizeof(bytes));
-			loom_random_bytes(bytes, lengths[i]);
-			TEST_CHECK(memcmp(bytes, before, lengths[i]) != 0,
-			    "%zu bytes, round %zu", lengths[i], round);
-			memcpy(before, bytes, lengths[i]);
+			loom_random_bytes(bytes, draw_sizes[i]);
+			TEST_CHECK(memcmp(bytes, before, draw_sizes[i]) != 0,
+			    "%zu bytes, round %zu", draw_sizes[i], round);
+			memcpy(before, bytes, draw_sizes[i]);
 		}
 	}
 }
--- a/tests/base/test_settings.c
+++ b/tests/base/test_settings.c
@@ -1,6 +1,6 @@
 /*
- * Settings files: every type with its default, every kind of refusal, and
- * that a refused file leaves nothing behind.
+ * Tests of settings files: every field type with its default, every kind of
+ * error, and that a rejected file leaves no memory allocated.
  */
 
 #include <string.h>
