--- a/src/base/counter.c
+++ b/src/base/counter.c
@@ -100,6 +100,7 @@
 	return true;
 }
 
+/* The text format requires that all series of one name are adjacent. */
 static void
 append_family(GString *text, const struct loom_counter *first)
 {
--- a/src/base/event.c
+++ b/src/base/event.c
@@ -26,9 +26,9 @@
 static GMutex lock; /* guards all variables below */
 static uint64_t current_s; /* second that the counts below belong to */
 static uint32_t requests_offered; /* in this second, logged or not */
-static uint32_t request_lines; /* written in this second, like those below */
-static uint32_t state_lines; /* about no request */
-static uint32_t omitted_lines;
+static uint32_t request_lines; /* written in this second */
+static uint32_t state_lines; /* written in this second, about no request */
+static uint32_t omitted_lines; /* in this second */
 /* 1 in (1 << sampling_shift) requests is logged. */
 static uint32_t sampling_shift;
 
--- a/src/base/fields.c
+++ b/src/base/fields.c
@@ -10,6 +10,7 @@
 
 #include "base/fields_internal.h"
 
+/* Fields after these are not suggested for an unknown name. */
 #define KNOWN_NAMES_MAX 64
 
 void
--- a/src/base/histogram.c
+++ b/src/base/histogram.c
@@ -153,6 +153,7 @@
 	return true;
 }
 
+/* The text format requires that all series of one name are adjacent. */
 static void
 append_family(GString *text, const struct loom_histogram *first)
 {
--- a/src/base/json.c
+++ b/src/base/json.c
@@ -31,6 +31,7 @@
 	size_t i;
 
 	for (i = 0; i < len; i++) {
+		/* strchr() also finds the terminator of its string. */
 		if (strchr(" \t\r\n", text[i]) == NULL || text[i] == '\0')
 			return false;
 	}
@@ -102,6 +103,10 @@
 	return MIN(MIN(a, b), c);
 }
 
+/*
+ * Levenshtein distance, computed with a single row of the matrix.  A name
+ * longer than NAME_LENGTH_MAX is treated as unrelated.
+ */
 static unsigned
 edit_distance(const char *a, const char *b)
 {
--- a/src/base/mailbox.c
+++ b/src/base/mailbox.c
@@ -50,6 +50,10 @@
 	(void)ev;
 	(void)fde;
 	(void)flags;
+	/*
+	 * Reset the eventfd before the tasks are taken, so that a task posted
+	 * later signals it again.
+	 */
 	if (read(mailbox->event_fd, &count, sizeof(count)) < 0)
 		return;
 	tasks = swap_tasks(mailbox);
