--- a/tests/base/test_buffer.c
+++ b/tests/base/test_buffer.c
@@ -21,15 +21,18 @@
 test_buffer(void)
 {
 	static const struct {
-		bool keep;
+		bool rewind; /* keep consumed bytes and read them again */
 		size_t piece;
 		size_t consume; /* after each piece */
 		size_t pieces;
 	} cases[] = {
-		{ .keep = false, .piece = 1, .consume = 1, .pieces = 10000 },
-		{ .keep = false, .piece = 5000, .consume = 4999, .pieces = 40 },
-		{ .keep = false, .piece = 7, .consume = 0, .pieces = 3000 },
-		{ .keep = true, .piece = 1000, .consume = 999, .pieces = 64 },
+		{ .rewind = false, .piece = 1, .consume = 1, .pieces = 10000 },
+		{ .rewind = false,
+		    .piece = 5000,
+		    .consume = 4999,
+		    .pieces = 40 },
+		{ .rewind = false, .piece = 7, .consume = 0, .pieces = 3000 },
+		{ .rewind = true, .piece = 1000, .consume = 999, .pieces = 64 },
 	};
 	struct loom_buffer buffer;
 	uint8_t piece[5000];
@@ -39,7 +42,7 @@
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
 		memset(&buffer, 0, sizeof(buffer));
-		buffer.keep = cases[i].keep;
+		buffer.keep = cases[i].rewind;
 		mem = talloc_new(NULL);
 		in = out = 0;
 		for (j = 0; j < cases[i].pieces; j++) {
@@ -54,7 +57,7 @@
 		}
 		TEST_CHECK(loom_buffer_length(&buffer) == in - out,
 		    "case %zu: %zu", i, loom_buffer_length(&buffer));
-		if (cases[i].keep) {
+		if (cases[i].rewind) {
 			loom_buffer_rewind(&buffer);
 			TEST_CHECK(loom_buffer_length(&buffer) == in,
 			    "case %zu: rewound", i);
