--- a/include/loom/hosts.h
+++ b/include/loom/hosts.h
@@ -2,19 +2,20 @@
 #define LOOM_HOSTS_H
 
 /*
- * The hosts as the platform lists them: one value for each service, named
- * "hosts/SERVICE", a JSON array:
+ * The lists of hosts that the platform publishes.  Each service has one value,
+ * named "hosts/SERVICE", which is a JSON array:
  *
  *   [ { "name": "orders-1", "data_centre": "hobart-a", "region": "tas",
  *       "state": "live",            // or "leaving"
- *       "peer": "127.0.0.1:7101",   // data between daemons, HTTP
- *       "control": "127.0.0.1:7201", // control between daemons, ZeroMQ
- *       "instance": "i-7f3a91c2",   // optional: this start of the upstream
- *       "slots": 36,                // optional: goes before the service's
- *       "cold_ms": 3000             // optional: it is still slow so long
+ *       "peer": "127.0.0.1:7101",   // requests between daemons, HTTP
+ *       "control": "127.0.0.1:7201", // control messages, ZeroMQ
+ *       "instance": "i-7f3a91c2",   // optional: the upstream's current run
+ *       "slots": 36,                // optional: overrides the service's
+ *       "cold_ms": 3000             // optional: slow for this long
  *     } ]
  *
- * The list lags; it names who may be asked, not who is well.
+ * The list lags behind the actual state of the hosts.  It says which hosts may
+ * be tried, not which ones are healthy.
  */
 
 #include <stddef.h>
@@ -38,32 +39,34 @@
 	char peer[64]; /* "ip:port" */
 	char control[64]; /* "ip:port" */
 	enum loom_host_state state;
-	char instance[LOOM_NAME_MAX + 1]; /* of its upstream; "" if unknown */
-	uint32_t slots; /* of its upstream; 0: as the service has it */
-	uint32_t cold_ms; /* for so long after its listing it is slow */
+	char instance[LOOM_NAME_MAX + 1]; /* of the upstream; "" if unknown */
+	uint32_t slots; /* of the upstream; 0: use the service's */
+	uint32_t cold_ms; /* cold start: slow for so long after listing */
 };
 
-/* All services' hosts; immutable, counted, shared by all threads. */
+/* The hosts of all services.  Immutable, reference-counted and shared by all
+ * threads. */
 struct loom_hosts {
 	struct loom_ref ref;
 	struct loom_host *hosts; /* owned, sorted by (service_id, id) */
 	uint32_t nhosts;
-	uint32_t *by_id; /* private: indexes in the order of the ids */
+	uint32_t *by_id; /* private: indexes into hosts, sorted by id */
 };
 
 /*
- * Parse one service's value and append its hosts to *hosts, a GArray of
+ * Parses one service's value and appends its hosts to *hosts, a GArray of
  * struct loom_host owned by the caller.  On failure nothing is appended.
  */
 bool loom_hosts_parse(const char *service, const char *text, size_t len,
     GArray *hosts, GError **error);
 
-/* Make the shared list; hosts is copied. */
+/* Builds the shared list from a copy of hosts. */
 struct loom_hosts *loom_hosts_build(const GArray *hosts);
 struct loom_hosts *loom_hosts_acquire(struct loom_hosts *);
 void loom_hosts_release(struct loom_hosts *);
 
-/* The run of a service's hosts; *n receives its length.  Borrowed. */
+/* Returns the service's hosts as a borrowed array, NULL if it has none; *n
+ * receives its length. */
 const struct loom_host *loom_hosts_of_service(
     const struct loom_hosts *, uint64_t service_id, uint32_t *n);
 const struct loom_host *loom_hosts_find(const struct loom_hosts *, uint64_t id);
--- a/include/loom/sign.h
+++ b/include/loom/sign.h
@@ -3,8 +3,9 @@
 
 /*
  * Signed documents.  The operators' pipeline signs a document once, with
- * Ed25519; a daemon that holds the public key then takes a copy from a peer
- * as readily as from the platform.  The signed form is one JSON object:
+ * Ed25519.  A daemon that has the public key can then accept a copy from a peer
+ * as safely as from the platform.  The signed form, the envelope, is one JSON
+ * object:
  *
  *   { "signer": "<64 hex digits: public key>",
  *     "signature": "<base64: Ed25519 over the payload>",
@@ -18,10 +19,10 @@
 
 #include "loom/manifest.h"
 
-/* What the platform holds in one value. */
+/* The largest value that the platform stores. */
 #define LOOM_ENVELOPE_BYTES_MAX 1000000
-/* The largest document whose signed form fits: three quarters of it, less
- * the other members. */
+/* The largest document whose envelope fits in such a value.  Base64 leaves
+ * three quarters of the size, from which the other members are subtracted. */
 #define LOOM_DOCUMENT_BYTES_MAX 740000
 
 struct loom_public_key {
@@ -33,7 +34,7 @@
 };
 
 /*
- * Check a signed document against the trusted keys.  On success *payload is
+ * Verifies an envelope against the trusted keys.  On success *payload is
  * the document's text (owned, g_free, with a zero byte after its end), *len
  * its length and digest its SHA-256.  Errors: LOOM_ENVELOPE_TOO_LARGE,
  * LOOM_ENVELOPE_MALFORMED, LOOM_SIGNER_UNKNOWN, LOOM_MANIFEST_SIGNATURE.
@@ -42,18 +43,19 @@
     const struct loom_public_key *trusted, size_t ntrusted, char **payload,
     size_t *len, uint8_t digest[LOOM_DIGEST_SIZE], GError **error);
 
-/* Sign a document.  Owned text; NULL with LOOM_ENVELOPE_TOO_LARGE. */
+/* Signs a document.  Returns the envelope (owned, g_free), or NULL with
+ * LOOM_ENVELOPE_TOO_LARGE. */
 char *loom_envelope_seal(const struct loom_secret_key *, const char *payload,
     size_t len, GError **error);
 
-/* A new pair from the kernel's randomness. */
+/* Generates a key pair from the kernel's random number generator. */
 void loom_key_pair(struct loom_public_key *, struct loom_secret_key *);
 
-/* 64 hex digits; LOOM_SIGNING_KEY. */
+/* Parses 64 hex digits.  Error: LOOM_SIGNING_KEY. */
 bool loom_public_key_parse(
     const char *hex, struct loom_public_key *, GError **error);
 
-/* A file with the hex digits of a key.  Errors: LOOM_FILE_UNREADABLE,
+/* Read a key from a file with its hex digits.  Errors: LOOM_FILE_UNREADABLE,
  * LOOM_SIGNING_KEY. */
 bool loom_public_key_load(
     const char *file, struct loom_public_key *, GError **error);
@@ -61,9 +63,9 @@
     const char *file, struct loom_secret_key *, GError **error);
 
 /*
- * Write PREFIX.secret (readable by its owner alone) and PREFIX.public.  A
- * file that exists is left as it is, and the call fails: the key that signed
- * what is in force is not lost by a second call.
+ * Writes PREFIX.secret (readable by its owner alone) and PREFIX.public.  The
+ * call fails rather than overwrite an existing file, so that a second call
+ * cannot destroy the key that signed the documents in force.
  */
 bool loom_key_pair_write(const char *prefix, const struct loom_public_key *,
     const struct loom_secret_key *, GError **error);
--- a/src/manifest/document.c
+++ b/src/manifest/document.c
@@ -1,6 +1,6 @@
 /*
- * One document: reading it by its fields, and the checks that need more than
- * one field of it.
+ * Parses one manifest document: reads its fields, then applies the checks and
+ * defaults that depend on more than one field.
  */
 
 #include <sodium.h>
@@ -9,7 +9,8 @@
 #include "loom/fields.h"
 #include "manifest/internal.h"
 
-#define QUEUE_PER_SLOT 4
+/* Default length of a service's queue for each of its slots. */
+#define DEFAULT_QUEUE_PER_SLOT 4
 
 static const struct loom_field_codes codes = {
 	.syntax = LOOM_MANIFEST_SYNTAX,
@@ -26,13 +27,15 @@
 }
 
 /*
- * A route that changes something must say whether it may run twice.  A
- * default would be wrong one way or the other: "idempotent" doubles a payment
- * whose author forgot the field, "not idempotent" makes each lookup take a
+ * Sets the default of "idempotent": true for GET and HEAD.  A route with any
+ * other method must give the field, because either default would be wrong for
+ * some routes: "idempotent" could execute a payment twice when its author
+ * forgot the field, and "not idempotent" would make every lookup take a
  * ticket.
  */
 static bool
-finish_routes(struct loom_document *document, struct loom_problem **problems)
+set_default_idempotence(
+    struct loom_document *document, struct loom_problem **problems)
 {
 	struct route_entry *route;
 	bool ok = true;
@@ -57,9 +60,12 @@
 	return ok;
 }
 
-/* Once here, and not again each time the documents are joined. */
+/*
+ * Decodes the digests at parse time, so that this isn't repeated each time the
+ * documents are merged into a manifest.
+ */
 static void
-finish_keys(struct team_entry *team)
+decode_key_digests(struct team_entry *team)
 {
 	struct key_entry *key;
 	guint i;
@@ -72,17 +78,17 @@
 }
 
 static void
-finish_teams(struct loom_document *document)
+decode_team_keys(struct loom_document *document)
 {
 	guint i;
 
 	for (i = 0; i < document->body.teams->len; i++)
-		finish_keys(
+		decode_key_digests(
 		    &g_array_index(document->body.teams, struct team_entry, i));
 }
 
 static void
-finish_services(struct loom_document *document)
+set_default_queues(struct loom_document *document)
 {
 	struct service_entry *service;
 	guint i;
@@ -91,7 +97,8 @@
 		service = &g_array_index(
 		    document->body.services, struct service_entry, i);
 		if (!service->queue_seen)
-			service->queue = QUEUE_PER_SLOT * service->slots;
+			service->queue =
+			    DEFAULT_QUEUE_PER_SLOT * service->slots;
 	}
 }
 
@@ -128,9 +135,9 @@
 	document->file = g_strdup(file);
 	ok = loom_fields_read(&source, object, manifest_document_fields,
 	    &document->body, problems);
-	ok = finish_routes(document, problems) && ok;
-	finish_services(document);
-	finish_teams(document);
+	ok = set_default_idempotence(document, problems) && ok;
+	set_default_queues(document);
+	decode_team_keys(document);
 	json_object_put(object);
 	if (ok)
 		return document;
--- a/src/manifest/document_fields.c
+++ b/src/manifest/document_fields.c
@@ -1,5 +1,6 @@
 /*
- * The fields that a document may have, with their bounds and defaults.
+ * The field tables of a manifest document: names, types, bounds, defaults and
+ * the syntax checks of single values.
  */
 
 #include <string.h>
@@ -39,6 +40,11 @@
 					     : "?";
 }
 
+/*
+ * For a critical team the result is critical on every route.  For a high team
+ * it is one level below the route's, LOOM_LOW at the lowest.  For all other
+ * teams it is LOOM_LOW.
+ */
 enum loom_importance
 loom_importance_join(enum loom_importance team, enum loom_importance route)
 {
@@ -95,7 +101,7 @@
 	    (c != '\0' && strchr("/._~!$&'()+,;=:@%-", c) != NULL);
 }
 
-/* A "*" is allowed at the end alone; a query never. */
+/* Allows "*" only as the last character, and no query. */
 static enum loom_result
 check_path(const char *path)
 {
--- a/src/manifest/hosts.c
+++ b/src/manifest/hosts.c
@@ -1,6 +1,6 @@
 /*
- * The platform's lists of hosts, one JSON array for each service, joined into
- * one sorted array that all threads read.
+ * Parses the platform's lists of hosts, one JSON array per service, and merges
+ * them into one sorted, immutable array that all threads read.
  */
 
 #include <string.h>
@@ -11,7 +11,7 @@
 #include "manifest/internal.h"
 
 #define SLOTS_MAX 1e6
-#define COLD_MAX_MS 3600e3
+#define COLD_START_MAX_MS 3600e3
 
 struct host_list {
 	GArray *hosts; /* of struct loom_host */
@@ -30,7 +30,7 @@
 	NULL,
 };
 
-#define HOST_TEXT(label, member, check_function, wanted)                    \
+#define TEXT_FIELD(label, member, check_function, wanted)                   \
 	{                                                                   \
 		.name = (label), .type = LOOM_FIELD_TEXT, .required = true, \
 		.offset = offsetof(struct loom_host, member),               \
@@ -39,12 +39,13 @@
 	}
 
 static const struct loom_field host_fields[] = {
-	HOST_TEXT("name", name, manifest_check_name, MANIFEST_NAME_EXPECTS),
-	HOST_TEXT("data_centre", data_centre, manifest_check_name,
+	TEXT_FIELD("name", name, manifest_check_name, MANIFEST_NAME_EXPECTS),
+	TEXT_FIELD("data_centre", data_centre, manifest_check_name,
 	    MANIFEST_NAME_EXPECTS),
-	HOST_TEXT("region", region, manifest_check_name, MANIFEST_NAME_EXPECTS),
-	HOST_TEXT("peer", peer, loom_setting_check_address, "ip:port"),
-	HOST_TEXT("control", control, loom_setting_check_address, "ip:port"),
+	TEXT_FIELD(
+	    "region", region, manifest_check_name, MANIFEST_NAME_EXPECTS),
+	TEXT_FIELD("peer", peer, loom_setting_check_address, "ip:port"),
+	TEXT_FIELD("control", control, loom_setting_check_address, "ip:port"),
 	{ .name = "state",
 	    .type = LOOM_FIELD_CHOICE,
 	    .required = true,
@@ -61,7 +62,7 @@
 	{ .name = "cold_ms",
 	    .type = LOOM_FIELD_U32,
 	    .offset = offsetof(struct loom_host, cold_ms),
-	    .max = COLD_MAX_MS },
+	    .max = COLD_START_MAX_MS },
 	{ .name = NULL },
 };
 
@@ -74,9 +75,9 @@
 	{ .name = NULL },
 };
 
-/* The reader takes objects: the array becomes the one member of one. */
+/* loom_fields_read() needs an object: makes the array its only member. */
 static struct json_object *
-wrap(struct json_object *array)
+wrap_in_object(struct json_object *array)
 {
 	struct json_object *object = json_object_new_object();
 
@@ -101,7 +102,7 @@
 }
 
 static bool
-names_differ(const char *service, const GArray *hosts, GError **error)
+check_unique_names(const char *service, const GArray *hosts, GError **error)
 {
 	GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
 	struct loom_host *host;
@@ -147,14 +148,15 @@
 
 	if (len > LOOM_ENVELOPE_BYTES_MAX)
 		return loom_fail(error, LOOM_HOSTS_MALFORMED,
-		    "hosts of %s: %zu bytes are too many", service, len);
+		    "hosts of %s: %zu bytes exceed the size limit", service,
+		    len);
 	object = loom_json_parse(text, len, &line, &message);
 	if (object == NULL)
 		return loom_fail(error, LOOM_HOSTS_MALFORMED,
 		    "hosts of %s:%u: %s", service, line, message);
-	object = wrap(object);
+	object = wrap_in_object(object);
 	ok = read_list(service, object, &list, error) &&
-	    names_differ(service, list.hosts, error);
+	    check_unique_names(service, list.hosts, error);
 	if (ok)
 		append_hosts(service, list.hosts, hosts);
 	loom_fields_free(list_fields, &list);
@@ -175,7 +177,7 @@
 }
 
 static int
-compare_ids(const void *a, const void *b, void *arg)
+compare_host_ids(const void *a, const void *b, void *arg)
 {
 	const struct loom_hosts *hosts = arg;
 	uint64_t left = hosts->hosts[*(const uint32_t *)a].id;
@@ -211,8 +213,8 @@
 	    hosts->hosts, hosts->nhosts, sizeof(*hosts->hosts), compare_hosts);
 	for (i = 0; i < hosts->nhosts; i++)
 		hosts->by_id[i] = i;
-	qsort_r(hosts->by_id, hosts->nhosts, sizeof(*hosts->by_id), compare_ids,
-	    hosts);
+	qsort_r(hosts->by_id, hosts->nhosts, sizeof(*hosts->by_id),
+	    compare_host_ids, hosts);
 	return hosts;
 }
 
@@ -229,7 +231,7 @@
 	loom_ref_release(&hosts->ref, hosts);
 }
 
-/* The first index whose service is not below service_id. */
+/* Returns the first index whose service id is not less than service_id. */
 static uint32_t
 lower_bound(const struct loom_hosts *hosts, uint64_t service_id)
 {
--- a/src/manifest/load.c
+++ b/src/manifest/load.c
@@ -1,5 +1,5 @@
 /*
- * Documents from files.
+ * Builds a manifest from document files.
  */
 
 #include "loom/explain.h"
--- a/src/manifest/lookup.c
+++ b/src/manifest/lookup.c
@@ -1,10 +1,11 @@
 /*
- * Finding things in a manifest: an index that is made once for each manifest
- * and only read afterwards, so that all threads use it without a lock.
+ * Lookups in a manifest.  The index is built once per manifest and is
+ * read-only afterwards, so that all threads use it without a lock.
  *
- * Routes stand in one hash table by (path, prefix), those of one path in a
- * chain.  A prefix is found by trying the lengths that declared prefixes
- * have, longest first: a few look-ups whatever the number of routes.
+ * One hash table maps (host, path, is_prefix) to the routes of that path, which
+ * form a linked list.  The longest matching prefix is found by trying each
+ * length that a declared prefix has, longest first.  The number of lookups
+ * therefore depends on the number of distinct lengths, not of routes.
  */
 
 #include <sodium.h>
@@ -12,21 +13,22 @@
 
 #include "manifest/internal.h"
 
-/* A path that need not be terminated. */
+/* The key of a path in the hash table; its texts need no terminating zero. */
 struct path_key {
 	const char *host; /* borrowed, like text */
-	size_t host_len; /* 0: for any host */
+	size_t host_len; /* 0: matches any host */
 	const char *text;
 	size_t len;
-	bool prefix;
+	bool is_prefix;
 };
 
 struct loom_manifest_index {
-	GHashTable *paths; /* struct path_key to the path's last route */
-	struct path_key *path_keys; /* owned: one a route */
-	/* of each route: another of the same path, NULL at the end */
+	/* struct path_key to the first route in the list of its path */
+	GHashTable *paths;
+	struct path_key *path_keys; /* owned: one per route */
+	/* by route: the next route of the same path; NULL ends the list */
 	const struct loom_route **next_same_path;
-	GArray *prefix_lengths; /* of size_t, falling, each once */
+	GArray *prefix_lengths; /* of size_t, descending, distinct */
 	GHashTable *route_names; /* to struct loom_route */
 	GHashTable *service_names; /* to struct loom_service */
 	GHashTable *team_ids; /* uint64_t to struct loom_team */
@@ -36,7 +38,7 @@
 hash_path(gconstpointer key)
 {
 	const struct path_key *path = key;
-	guint hash = path->prefix ? 5381 : 5387;
+	guint hash = path->is_prefix ? 5381 : 5387;
 	size_t i;
 
 	for (i = 0; i < path->host_len; i++)
@@ -47,18 +49,18 @@
 }
 
 static gboolean
-equal_paths(gconstpointer a, gconstpointer b)
+paths_equal(gconstpointer a, gconstpointer b)
 {
 	const struct path_key *left = a, *right = b;
 
-	return left->prefix == right->prefix && left->len == right->len &&
+	return left->is_prefix == right->is_prefix && left->len == right->len &&
 	    left->host_len == right->host_len &&
 	    memcmp(left->host, right->host, left->host_len) == 0 &&
 	    memcmp(left->text, right->text, left->len) == 0;
 }
 
 static gint
-compare_lengths_falling(gconstpointer a, gconstpointer b)
+compare_lengths_descending(gconstpointer a, gconstpointer b)
 {
 	size_t left = *(const size_t *)a, right = *(const size_t *)b;
 
@@ -66,7 +68,7 @@
 }
 
 static void
-note_prefix_length(GArray *lengths, size_t len)
+add_prefix_length(GArray *lengths, size_t len)
 {
 	guint i;
 
@@ -79,22 +81,23 @@
 
 static void
 index_route(struct loom_manifest_index *index,
-    const struct loom_manifest *manifest, uint32_t at)
+    const struct loom_manifest *manifest, uint32_t route_index)
 {
-	struct loom_route *route = &manifest->routes[at];
-	struct path_key *key = &index->path_keys[at];
+	struct loom_route *route = &manifest->routes[route_index];
+	struct path_key *key = &index->path_keys[route_index];
 
 	*key = (struct path_key){
 		.host = route->host,
 		.host_len = strlen(route->host),
 		.text = route->path,
 		.len = strlen(route->path),
-		.prefix = route->prefix,
+		.is_prefix = route->prefix,
 	};
-	index->next_same_path[at] = g_hash_table_lookup(index->paths, key);
+	index->next_same_path[route_index] =
+	    g_hash_table_lookup(index->paths, key);
 	g_hash_table_replace(index->paths, key, route);
 	if (route->prefix)
-		note_prefix_length(index->prefix_lengths, key->len);
+		add_prefix_length(index->prefix_lengths, key->len);
 	if (!g_hash_table_contains(index->route_names, route->name))
 		g_hash_table_insert(index->route_names, route->name, route);
 }
@@ -106,7 +109,7 @@
 	    g_new0(struct loom_manifest_index, 1);
 	uint32_t i;
 
-	index->paths = g_hash_table_new(hash_path, equal_paths);
+	index->paths = g_hash_table_new(hash_path, paths_equal);
 	index->path_keys = g_new0(struct path_key, manifest->nroutes);
 	index->next_same_path =
 	    g_new0(const struct loom_route *, manifest->nroutes);
@@ -116,7 +119,7 @@
 	index->team_ids = g_hash_table_new(g_int64_hash, g_int64_equal);
 	for (i = 0; i < manifest->nroutes; i++)
 		index_route(index, manifest, i);
-	g_array_sort(index->prefix_lengths, compare_lengths_falling);
+	g_array_sort(index->prefix_lengths, compare_lengths_descending);
 	for (i = 0; i < manifest->nservices; i++)
 		g_hash_table_insert(index->service_names,
 		    manifest->services[i].name, &manifest->services[i]);
@@ -142,12 +145,13 @@
 }
 
 /*
- * The search narrows by the first eight bytes of the digest only; the whole
- * digest is compared in constant time.  What the search leaks by its timing
- * is a prefix of a SHA-256, from which no caller can work towards a key.
+ * Returns the first eight bytes of a digest, the sort key of the binary
+ * search.  The timing of the search may leak these bytes.  They are a prefix of
+ * a SHA-256, which does not help a caller to guess an API key.  The whole
+ * digest is compared in constant time.
  */
 static uint64_t
-leading_bytes(const uint8_t digest[LOOM_DIGEST_SIZE])
+digest_prefix(const uint8_t digest[LOOM_DIGEST_SIZE])
 {
 	uint64_t value;
 
@@ -159,20 +163,20 @@
 loom_manifest_key(const struct loom_manifest *manifest,
     const uint8_t digest[LOOM_DIGEST_SIZE])
 {
-	uint64_t wanted = leading_bytes(digest);
+	uint64_t prefix = digest_prefix(digest);
 	uint32_t low = 0, high = manifest->nkeys, middle;
 	const struct loom_key *key;
 
 	while (low < high) {
 		middle = low + (high - low) / 2;
-		if (leading_bytes(manifest->keys[middle].digest) < wanted)
+		if (digest_prefix(manifest->keys[middle].digest) < prefix)
 			low = middle + 1;
 		else
 			high = middle;
 	}
 	for (; low < manifest->nkeys; low++) {
 		key = &manifest->keys[low];
-		if (leading_bytes(key->digest) != wanted)
+		if (digest_prefix(key->digest) != prefix)
 			return NULL;
 		if (sodium_memcmp(key->digest, digest, LOOM_DIGEST_SIZE) == 0)
 			return key;
@@ -186,41 +190,44 @@
 	crypto_hash_sha256(digest, (const unsigned char *)key, len);
 }
 
-/* A route of this path: the one for the method itself, else for any. */
+/* Returns the path's route for the method, or else its route for "*". */
 static const struct loom_route *
-route_of_path(const struct loom_manifest *manifest, const char *method,
+find_route_of_path(const struct loom_manifest *manifest, const char *method,
     const struct path_key *key)
 {
 	const struct loom_manifest_index *index = manifest->index;
-	const struct loom_route *route, *any = NULL;
+	const struct loom_route *route, *any_method = NULL;
 
 	route = g_hash_table_lookup(index->paths, key);
 	while (route != NULL) {
 		if (strcmp(route->method, method) == 0)
 			return route;
 		if (strcmp(route->method, "*") == 0)
-			any = route;
+			any_method = route;
 		route = index->next_same_path[route - manifest->routes];
 	}
-	return any;
+	return any_method;
 }
 
-/* The longest match among the routes of the key's host. */
+/*
+ * Returns the route of the key's host that has the same path, or else the one
+ * with the longest prefix of it.
+ */
 static const struct loom_route *
-longest_match(const struct loom_manifest *manifest, const char *method,
+find_longest_match(const struct loom_manifest *manifest, const char *method,
     struct path_key key)
 {
 	const GArray *lengths = manifest->index->prefix_lengths;
 	const struct loom_route *route;
-	size_t whole = key.len;
+	size_t path_len = key.len;
 	guint i;
 
-	route = route_of_path(manifest, method, &key);
-	key.prefix = true;
+	route = find_route_of_path(manifest, method, &key);
+	key.is_prefix = true;
 	for (i = 0; route == NULL && i < lengths->len; i++) {
 		key.len = g_array_index(lengths, size_t, i);
-		if (key.len <= whole)
-			route = route_of_path(manifest, method, &key);
+		if (key.len <= path_len)
+			route = find_route_of_path(manifest, method, &key);
 	}
 	return route;
 }
@@ -237,7 +244,7 @@
 
 	if (!manifest_path_is_plain(path, key.len))
 		return NULL;
-	return longest_match(manifest, method, key);
+	return find_longest_match(manifest, method, key);
 }
 
 const struct loom_route *
@@ -253,7 +260,7 @@
 	const struct loom_route *route = NULL;
 
 	if (key.host_len > 0)
-		route = longest_match(manifest, method, key);
+		route = find_longest_match(manifest, method, key);
 	return route != NULL ? route
 			     : loom_manifest_route(manifest, method, path);
 }
@@ -291,9 +298,9 @@
 }
 
 /*
- * SipHash-2-4 under a key that is no secret: it only has to give the same
- * number in every daemon and every release.  loom_manifest_build() refuses
- * two names with one number.
+ * SipHash-2-4 with a fixed public key, because a name must have the same id in
+ * every daemon and every release.  loom_manifest_build() rejects a manifest in
+ * which two names have the same id.
  */
 uint64_t
 loom_name_id(const char *name)
--- a/src/manifest/path.c
+++ b/src/manifest/path.c
@@ -1,44 +1,50 @@
 /*
- * Which paths may be matched at all.
+ * Rejects paths that an upstream could normalize to another path.
  *
- * A route matches the path as it was sent, but the upstream may tidy it up
- * before it looks at it.  "/photos/../payments" would match a route for
- * "/photos/" that may be repeated, and run as a payment that may not.  So a
- * path that some upstream could read as another is matched by no route:
- * "." and ".." as segments, empty segments but the last, and the same
- * written with %2e, %2f, %5c or a backslash.
+ * A route matches the path as it was sent, but the upstream may normalize the
+ * path before it uses it.  For example, "/photos/../payments" would match an
+ * idempotent route for "/photos/", be retried, and execute as a payment that
+ * must not run twice.  So no route matches a path with a "." or ".." segment,
+ * with an empty segment other than the last, or with either of them written
+ * with %2e, %2f, %5c or a backslash.  A path with a zero byte, plain or as %00,
+ * is rejected as well.
  */
 
 #include <string.h>
 
 #include "manifest/internal.h"
 
-#define ESCAPE_LENGTH 3
+#define PERCENT_ESCAPE_LEN 3
 
-/* The character at text as a tidying upstream may read it; *len receives how
- * many bytes it takes. */
+/*
+ * Returns the character at text as a normalizing upstream may read it: a
+ * percent escape is decoded, and a backslash becomes a slash.  *len receives
+ * the number of bytes read.
+ */
 static char
-plain_character(const char *text, const char *end, size_t *len)
+decode_path_character(const char *text, const char *end, size_t *len)
 {
 	int high, low;
 
 	*len = 1;
 	if (*text == '\\')
 		return '/';
-	if (*text != '%' || end - text < ESCAPE_LENGTH)
+	if (*text != '%' || end - text < PERCENT_ESCAPE_LEN)
 		return *text;
 	high = g_ascii_xdigit_value(text[1]);
 	low = g_ascii_xdigit_value(text[2]);
 	if (high < 0 || low < 0)
 		return *text;
-	*len = ESCAPE_LENGTH;
+	*len = PERCENT_ESCAPE_LEN;
 	return high * 16 + low == '\\' ? '/' : (char)(high * 16 + low);
 }
 
-/* A segment of length characters, of which dots are dots: neither empty nor
- * "." nor "..". */
+/*
+ * Whether a segment with this number of characters, and of dots among them, is
+ * neither empty nor "." nor "..".
+ */
 static bool
-segment_is_plain(size_t length, size_t dots)
+segment_is_normalized(size_t length, size_t dots)
 {
 	return length > dots || dots > 2;
 }
@@ -46,25 +52,25 @@
 bool
 manifest_path_is_plain(const char *path, size_t len)
 {
-	const char *at = path, *end = path + len;
-	size_t length = 0, dots = 0, taken;
+	const char *cursor = path, *end = path + len;
+	size_t segment_len = 0, dots = 0, consumed;
 	char c;
 
-	if (len == 0 || *at != '/')
+	if (len == 0 || *cursor != '/')
 		return false;
-	for (at++; at < end; at += taken) {
-		c = plain_character(at, end, &taken);
+	for (cursor++; cursor < end; cursor += consumed) {
+		c = decode_path_character(cursor, end, &consumed);
 		if (c == '\0')
 			return false;
 		if (c == '/') {
-			if (!segment_is_plain(length, dots))
+			if (!segment_is_normalized(segment_len, dots))
 				return false;
-			length = dots = 0;
+			segment_len = dots = 0;
 			continue;
 		}
-		length++;
+		segment_len++;
 		if (c == '.')
 			dots++;
 	}
-	return length == 0 || segment_is_plain(length, dots);
+	return segment_len == 0 || segment_is_normalized(segment_len, dots);
 }
--- a/src/manifest/sign.c
+++ b/src/manifest/sign.c
@@ -1,9 +1,9 @@
 /*
- * Signing and checking documents.
+ * Signs and verifies documents.
  *
- * The payload is carried as bytes and not as JSON within JSON: a signature
- * over parsed JSON needs a canonical form, and two readers that differ over
- * it would differ over what is in force.
+ * The payload is carried as base64 of its bytes, not as nested JSON.  A
+ * signature over parsed JSON needs a canonical form, and two implementations
+ * that disagree on that form would disagree on which document is in force.
  */
 
 #include <sodium.h>
@@ -14,7 +14,7 @@
 
 #define BASE64 sodium_base64_VARIANT_ORIGINAL
 
-/* 64 bytes as base64. */
+/* The length of 64 bytes in base64. */
 #define SIGNATURE_TEXT_BYTES 88
 
 struct envelope {
@@ -91,7 +91,7 @@
 }
 
 static bool
-find_signer(const struct envelope *envelope,
+parse_trusted_signer(const struct envelope *envelope,
     const struct loom_public_key *trusted, size_t ntrusted,
     struct loom_public_key *signer, GError **error)
 {
@@ -110,8 +110,9 @@
 }
 
 static bool
-verify(const struct envelope *envelope, const struct loom_public_key *signer,
-    const unsigned char *payload, size_t len, GError **error)
+verify_signature(const struct envelope *envelope,
+    const struct loom_public_key *signer, const unsigned char *payload,
+    size_t len, GError **error)
 {
 	unsigned char signature[crypto_sign_BYTES];
 	size_t signature_len;
@@ -121,7 +122,7 @@
 		BASE64) != 0 ||
 	    signature_len != sizeof(signature))
 		return loom_fail(error, LOOM_ENVELOPE_MALFORMED,
-		    "the signature is not the base64 of 64 bytes");
+		    "the signature is not 64 bytes in base64");
 	if (crypto_sign_verify_detached(
 		signature, payload, len, signer->bytes) != 0)
 		return loom_fail(error, LOOM_MANIFEST_SIGNATURE,
@@ -134,11 +135,11 @@
 decode_payload(const struct envelope *envelope, size_t *len, GError **error)
 {
 	size_t text_len = strlen(envelope->payload);
-	size_t room = text_len / 4 * 3 + 1;
-	unsigned char *payload = g_malloc(room + 1);
+	size_t capacity = text_len / 4 * 3 + 1;
+	unsigned char *payload = g_malloc(capacity + 1);
 
-	if (sodium_base642bin(payload, room, envelope->payload, text_len, NULL,
-		len, NULL, BASE64) != 0) {
+	if (sodium_base642bin(payload, capacity, envelope->payload, text_len,
+		NULL, len, NULL, BASE64) != 0) {
 		loom_fail(error, LOOM_ENVELOPE_MALFORMED,
 		    "the payload is not base64");
 		g_free(payload);
@@ -159,10 +160,11 @@
 	bool ok;
 
 	ok = read_envelope(text, text_len, &envelope, error) &&
-	    find_signer(&envelope, trusted, ntrusted, &signer, error);
+	    parse_trusted_signer(&envelope, trusted, ntrusted, &signer, error);
 	if (ok && envelope.payload != NULL)
 		bytes = decode_payload(&envelope, len, error);
-	ok = bytes != NULL && verify(&envelope, &signer, bytes, *len, error);
+	ok = bytes != NULL &&
+	    verify_signature(&envelope, &signer, bytes, *len, error);
 	loom_fields_free(envelope_fields, &envelope);
 	if (!ok) {
 		g_free(bytes);
@@ -176,20 +178,20 @@
 static char *
 to_base64(const unsigned char *bytes, size_t len)
 {
-	size_t room = sodium_base64_encoded_len(len, BASE64);
-	char *text = g_malloc(room);
+	size_t capacity = sodium_base64_encoded_len(len, BASE64);
+	char *text = g_malloc(capacity);
 
-	sodium_bin2base64(text, room, bytes, len, BASE64);
+	sodium_bin2base64(text, capacity, bytes, len, BASE64);
 	return text;
 }
 
 static char *
 to_hex(const uint8_t *bytes, size_t len)
 {
-	size_t room = 2 * len + 1;
-	char *text = g_malloc(room);
+	size_t capacity = 2 * len + 1;
+	char *text = g_malloc(capacity);
 
-	sodium_bin2hex(text, room, bytes, len);
+	sodium_bin2hex(text, capacity, bytes, len);
 	return text;
 }
 
@@ -200,7 +202,7 @@
 	const unsigned char *bytes = (const unsigned char *)payload;
 	unsigned char signature[crypto_sign_BYTES];
 	struct loom_public_key public_key;
-	char *signer, *signed_by, *body, *text;
+	char *signer_text, *signature_text, *payload_text, *text;
 
 	if (len > LOOM_DOCUMENT_BYTES_MAX) {
 		loom_fail(error, LOOM_ENVELOPE_TOO_LARGE,
@@ -210,15 +212,15 @@
 	}
 	crypto_sign_detached(signature, NULL, bytes, len, secret->bytes);
 	crypto_sign_ed25519_sk_to_pk(public_key.bytes, secret->bytes);
-	signer = to_hex(public_key.bytes, sizeof(public_key.bytes));
-	signed_by = to_base64(signature, sizeof(signature));
-	body = to_base64(bytes, len);
+	signer_text = to_hex(public_key.bytes, sizeof(public_key.bytes));
+	signature_text = to_base64(signature, sizeof(signature));
+	payload_text = to_base64(bytes, len);
 	text = g_strdup_printf("{\n  \"signer\": \"%s\",\n"
 			       "  \"signature\": \"%s\",\n"
 			       "  \"payload\": \"%s\"\n}\n",
-	    signer, signed_by, body);
-	g_free(signer);
-	g_free(signed_by);
-	g_free(body);
+	    signer_text, signature_text, payload_text);
+	g_free(signer_text);
+	g_free(signature_text);
+	g_free(payload_text);
 	return text;
 }
--- a/src/manifest/sign_key.c
+++ b/src/manifest/sign_key.c
@@ -1,5 +1,6 @@
 /*
- * Signing keys and their files: one line of hexadecimal digits.
+ * Generates signing keys, and reads and writes their files.  A key file is one
+ * line of hexadecimal digits.
  */
 
 #include <errno.h>
@@ -16,15 +17,15 @@
 static bool
 parse_hex(const char *hex, uint8_t *bytes, size_t len)
 {
-	size_t found;
+	size_t decoded_len;
 
-	return sodium_hex2bin(
-		   bytes, len, hex, strlen(hex), NULL, &found, NULL) == 0 &&
-	    found == len;
+	return sodium_hex2bin(bytes, len, hex, strlen(hex), NULL, &decoded_len,
+		   NULL) == 0 &&
+	    decoded_len == len;
 }
 
 static bool
-load_hex(const char *file, uint8_t *bytes, size_t len, GError **error)
+load_hex_file(const char *file, uint8_t *bytes, size_t len, GError **error)
 {
 	GError *cause = NULL;
 	gsize text_len;
@@ -67,35 +68,38 @@
 loom_public_key_load(
     const char *file, struct loom_public_key *key, GError **error)
 {
-	return load_hex(file, key->bytes, sizeof(key->bytes), error);
+	return load_hex_file(file, key->bytes, sizeof(key->bytes), error);
 }
 
-/* The second half of an Ed25519 secret key is its public key: a file whose
- * halves do not belong together would sign what nobody can verify. */
+/*
+ * An Ed25519 secret key is a seed followed by the public key.  If the two don't
+ * match, signatures made with the key cannot be verified, so such a file is
+ * rejected.
+ */
 bool
 loom_secret_key_load(
     const char *file, struct loom_secret_key *key, GError **error)
 {
 	unsigned char seed[crypto_sign_SEEDBYTES];
 	struct loom_public_key public_key;
-	struct loom_secret_key again;
+	struct loom_secret_key derived;
 	bool ok;
 
-	if (!load_hex(file, key->bytes, sizeof(key->bytes), error))
+	if (!load_hex_file(file, key->bytes, sizeof(key->bytes), error))
 		return false;
 	crypto_sign_ed25519_sk_to_seed(seed, key->bytes);
-	crypto_sign_seed_keypair(public_key.bytes, again.bytes, seed);
-	ok = sodium_memcmp(again.bytes, key->bytes, sizeof(key->bytes)) == 0;
+	crypto_sign_seed_keypair(public_key.bytes, derived.bytes, seed);
+	ok = sodium_memcmp(derived.bytes, key->bytes, sizeof(key->bytes)) == 0;
 	sodium_memzero(seed, sizeof(seed));
-	sodium_memzero(&again, sizeof(again));
+	sodium_memzero(&derived, sizeof(derived));
 	if (!ok)
 		return loom_fail(error, LOOM_SIGNING_KEY,
-		    "%s: the halves of the key do not belong together", file);
+		    "%s: the seed and the public key do not match", file);
 	return true;
 }
 
 static bool
-write_new(const char *file, int mode, const char *text, GError **error)
+write_new_file(const char *file, int mode, const char *text, GError **error)
 {
 	size_t len = strlen(text);
 	ssize_t written;
@@ -113,7 +117,7 @@
 }
 
 static bool
-write_hex(const char *prefix, const char *suffix, int mode,
+write_hex_file(const char *prefix, const char *suffix, int mode,
     const uint8_t *bytes, size_t len, GError **error)
 {
 	char *file = g_strconcat(prefix, suffix, NULL);
@@ -122,7 +126,7 @@
 
 	sodium_bin2hex(text, 2 * len + 1, bytes, len);
 	g_strlcat(text, "\n", 2 * len + 2);
-	ok = write_new(file, mode, text, error);
+	ok = write_new_file(file, mode, text, error);
 	sodium_memzero(text, 2 * len + 2);
 	g_free(text);
 	g_free(file);
@@ -134,8 +138,8 @@
     const struct loom_public_key *public_key,
     const struct loom_secret_key *secret, GError **error)
 {
-	return write_hex(prefix, ".secret", SECRET_MODE, secret->bytes,
+	return write_hex_file(prefix, ".secret", SECRET_MODE, secret->bytes,
 		   sizeof(secret->bytes), error) &&
-	    write_hex(prefix, ".public", PUBLIC_MODE, public_key->bytes,
+	    write_hex_file(prefix, ".public", PUBLIC_MODE, public_key->bytes,
 		sizeof(public_key->bytes), error);
 }
