--- a/tests/manifest/test_docs.c
+++ b/tests/manifest/test_docs.c
@@ -1,5 +1,6 @@
 /*
- * Pages and examples that must not drift from the code.
+ * Tests that the documentation pages and the example manifests agree with the
+ * code.
  */
 
 #include "loom/explain.h"
@@ -29,7 +30,7 @@
 	g_free(page);
 }
 
-/* Operators begin by copying the example of the page. */
+/* Operators copy the first example of this page, so it must be valid. */
 static void
 test_manifest_page(void)
 {
@@ -74,7 +75,8 @@
 	return false;
 }
 
-/* "2100 `TEAM_RATE`" in a page: an operator looks up the number. */
+/* Operators look up result codes by number: checks that every mention such as
+ * "2100 `TEAM_RATE`" in a page has the right name for its number. */
 static void
 check_codes(const char *file)
 {
--- a/tests/manifest/test_document.c
+++ b/tests/manifest/test_document.c
@@ -1,6 +1,7 @@
 /*
- * One document: every field's type, range and syntax, unknown names, syntax
- * errors with their line, and that all problems come at once.
+ * Tests parsing one document: the type, range and syntax of its fields, unknown
+ * names, the line number of syntax errors, and that one call reports all
+ * problems.
  */
 
 #include <string.h>
@@ -30,7 +31,7 @@
 static const struct {
 	const char *text;
 	const char *where;
-	const char *message; /* a part of it */
+	const char *message; /* a substring of the message */
 	enum loom_result code;
 } cases[] = {
 	/* syntax */
@@ -39,7 +40,7 @@
 	{ HEAD, "a.jsonc:1", "", LOOM_MANIFEST_SYNTAX },
 	{ "[]", "a.jsonc", "an object", LOOM_MANIFEST_TYPE },
 	{ "7 ", "a.jsonc", "an object", LOOM_MANIFEST_TYPE },
-	/* the document itself */
+	/* top-level fields */
 	{ "{'version': 1}", "a.jsonc:document", "", LOOM_MANIFEST_MISSING },
 	{ "{'document': 'd'}", "a.jsonc:version", "", LOOM_MANIFEST_MISSING },
 	{ "{'document': 'd e', 'version': 1}", "a.jsonc:document", "letters",
@@ -120,7 +121,7 @@
 	{ HEAD "'routes': [{'name': 'r', 'service': 's', 'method': 'get', "
 	       "'path': '/a', 'idempotent': true}]}",
 	    "a.jsonc:routes[0].method", "capitals", LOOM_MANIFEST_PATH },
-	/* a method that changes something must say whether it may run twice */
+	/* "idempotent" is required except for GET and HEAD */
 	{ HEAD "'routes': [{'name': 'r', 'service': 's', 'method': 'PUT', "
 	       "'path': '/a'}]}",
 	    "a.jsonc:routes[0].idempotent", "method PUT",
@@ -204,7 +205,8 @@
 	loom_problems_free(problems);
 }
 
-/* A document that the platform cannot hold must fail in the pipeline. */
+/* A document too large for the platform must be rejected when it is parsed, so
+ * that it already fails in the operators' pipeline. */
 static void
 test_too_large(void)
 {
@@ -218,9 +220,9 @@
 	g_free(text);
 }
 
-/* Any cut of a whole document is refused, never half taken. */
+/* A document truncated at any byte is rejected, never accepted in part. */
 static void
-test_cut_documents(void)
+test_truncated_documents(void)
 {
 	char *text = test_quote(ROUTE("'path': '/a', 'calls': ['x']"));
 	struct loom_problem *problems = NULL;
@@ -241,7 +243,7 @@
 	{ "refused", test_refused },
 	{ "all problems at once", test_all_problems_at_once },
 	{ "too large", test_too_large },
-	{ "cut documents", test_cut_documents },
+	{ "truncated documents", test_truncated_documents },
 };
 
 TEST_MAIN("manifest document", tests)
--- a/tests/manifest/test_hosts.c
+++ b/tests/manifest/test_hosts.c
@@ -1,6 +1,6 @@
 /*
- * The platform's lists of hosts: reading one, refusing a malformed one whole,
- * finding hosts in the joined list.
+ * Tests the platform's lists of hosts: parsing a list, rejecting a malformed
+ * list as a whole, and finding hosts in the merged list.
  */
 
 #include "loom/hosts.h"
@@ -22,7 +22,8 @@
 	return test_take_code(error);
 }
 
-/* A list that is taken by half would strike live hosts off. */
+/* If a malformed list were accepted in part, the live hosts missing from that
+ * part would get no more requests. */
 static void
 test_malformed(void)
 {
@@ -66,7 +67,7 @@
 }
 
 static void
-test_joined(void)
+test_merged(void)
 {
 	GArray *array = g_array_new(FALSE, FALSE, sizeof(struct loom_host));
 	const struct loom_host *run;
@@ -114,7 +115,7 @@
 
 static const struct test_case tests[] = {
 	{ "malformed", test_malformed },
-	{ "joined", test_joined },
+	{ "merged", test_merged },
 	{ "empty", test_empty },
 };
 
--- a/tests/manifest/test_sign.c
+++ b/tests/manifest/test_sign.c
@@ -1,6 +1,6 @@
 /*
- * Signed documents: what was signed comes out byte for byte, and anything
- * else is refused with the number of its reason.
+ * Tests signed documents: opening an envelope returns the signed text byte for
+ * byte, and any other envelope is rejected with the right result code.
  */
 
 #include <glib/gstdio.h>
@@ -22,8 +22,11 @@
 	loom_key_pair(&public_keys[1], &secret_keys[1]);
 }
 
-/* LOOM_OK or the code of the refusal; a payload that came out must be what
- * was sealed. */
+/*
+ * Opens an envelope with the first ntrusted keys as the trusted ones.  Returns
+ * LOOM_OK or the error's code.  On success, checks that the payload and its
+ * digest are those of PAYLOAD.
+ */
 static enum loom_result
 open_text(const char *text, size_t len, size_t ntrusted)
 {
@@ -63,23 +66,23 @@
 	g_free(text);
 }
 
-/* Put what in place of the value of a member. */
+/* Returns the text with the value of a JSON member replaced. */
 static char *
-replace_value(const char *text, const char *member, const char *what)
+replace_value(const char *text, const char *member, const char *value)
 {
 	char *label = g_strdup_printf("\"%s\": \"", member);
 	const char *start = strstr(text, label) + strlen(label);
 	const char *end = strchr(start, '"');
 	char *result =
-	    g_strdup_printf("%.*s%s%s", (int)(start - text), text, what, end);
+	    g_strdup_printf("%.*s%s%s", (int)(start - text), text, value, end);
 
 	g_free(label);
 	return result;
 }
 
 /*
- * An attacker, or a fault on the way, changes one member.  Taken as it is, it
- * would put rates and keys in force that no operator shipped.
+ * An attacker, or a transmission error, changes one member.  If the envelope
+ * were accepted, rates and keys that no operator released would take effect.
  */
 static void
 test_altered(void)
@@ -121,27 +124,27 @@
 	g_free(text);
 }
 
-/* Both keys are trusted, but the one named is not the one that signed. */
+/* The envelope names another trusted key than the one that signed it. */
 static void
 test_other_signer(void)
 {
-	char *mine, *other, hex[65];
+	char *original, *altered, hex[65];
 	size_t i;
 
 	make_keys();
-	mine = seal(&secret_keys[0]);
+	original = seal(&secret_keys[0]);
 	for (i = 0; i < 32; i++)
 		g_snprintf(
 		    hex + 2 * i, 3, "%02x", (unsigned)public_keys[1].bytes[i]);
-	other = replace_value(mine, "signer", hex);
+	altered = replace_value(original, "signer", hex);
 	CU_ASSERT_EQUAL(
-	    open_text(other, strlen(other), 2), LOOM_MANIFEST_SIGNATURE);
-	g_free(other);
-	g_free(mine);
+	    open_text(altered, strlen(altered), 2), LOOM_MANIFEST_SIGNATURE);
+	g_free(altered);
+	g_free(original);
 }
 
 static void
-test_cut_and_random(void)
+test_truncated_and_random(void)
 {
 	struct loom_random random = test_random_new(7);
 	char *text, noise[256];
@@ -163,8 +166,9 @@
 	g_free(text);
 }
 
-/* One flipped bit anywhere: refused, or the same payload (a bit of white
- * space or of the case of a hexadecimal digit). */
+/* With any single bit flipped, the envelope is rejected or gives the same
+ * payload.  The latter happens in white space and in the case of a hexadecimal
+ * digit. */
 static void
 test_flipped_bits(void)
 {
@@ -182,8 +186,8 @@
 	g_free(text);
 }
 
-/* The largest document that may be signed fits into a value of the platform,
- * and nothing larger is looked at. */
+/* The envelope of the largest document fits in one value of the platform.
+ * Larger documents are not signed, and larger envelopes are not parsed. */
 static void
 test_sizes(void)
 {
@@ -261,7 +265,7 @@
 	{ "open", test_open },
 	{ "altered", test_altered },
 	{ "other signer", test_other_signer },
-	{ "cut and random", test_cut_and_random },
+	{ "truncated and random", test_truncated_and_random },
 	{ "flipped bits", test_flipped_bits },
 	{ "sizes", test_sizes },
 	{ "key files", test_key_files },
