--- a/src/manifest/lookup.c
+++ b/src/manifest/lookup.c
@@ -190,7 +190,7 @@
 	crypto_hash_sha256(digest, (const unsigned char *)key, len);
 }
 
-/* Returns the path's route for the method, or else its route for "*". */
+/* Returns the path's route for the method, or else its route for any method. */
 static const struct loom_route *
 find_route_of_path(const struct loom_manifest *manifest, const char *method,
     const struct path_key *key)
--- a/src/manifest/path.c
+++ b/src/manifest/path.c
@@ -40,8 +40,8 @@
 }
 
 /*
- * Whether a segment with this number of characters, and of dots among them, is
- * neither empty nor "." nor "..".
+ * Returns false for an empty segment, "." and "..".  length counts the
+ * segment's characters, and dots those among them that are dots.
  */
 static bool
 segment_is_normalized(size_t length, size_t dots)
