--- a/programs/loom-load.c
+++ b/programs/loom-load.c
@@ -1,6 +1,7 @@
 /*
- * loom-load: load by several teams, what came of it, and whether what callers
- * were told is what upstreams ran.
+ * loom-load: generates load from several teams and reports the results. With
+ * upstream ledgers, it also checks that the outcomes reported to callers agree
+ * with what the upstreams executed.
  */
 
 #include <argtable2.h>
@@ -12,7 +13,7 @@
 #include "loom/version.h"
 
 #define EXIT_USAGE 2
-#define LEDGERS_MAX 4096
+#define LEDGER_FILES_MAX 4096
 
 static void
 print_results(struct load_results *results, bool json)
@@ -29,8 +30,10 @@
 	json_object_put(object);
 }
 
+/* Returns the exit status. A violation found in the ledgers is a failure, but
+ * the results are printed all the same. */
 static int
-run(const struct load_settings *settings, const struct arg_file *ledgers,
+run_load(const struct load_settings *settings, const struct arg_file *ledgers,
     bool json)
 {
 	struct load_results *results = load_results_new(settings);
@@ -54,8 +57,10 @@
 	return status;
 }
 
+/* Reads and checks the settings file, then runs the load. */
 static int
-load_and_run(const char *file, const struct arg_file *ledgers, bool json)
+load_settings_and_run(
+    const char *file, const struct arg_file *ledgers, bool json)
 {
 	struct loom_problem *problems = NULL;
 	struct load_settings settings;
@@ -66,7 +71,7 @@
 		return EXIT_FAILURE;
 	}
 	if (load_settings_check(&settings, file, &problems))
-		status = run(&settings, ledgers, json);
+		status = run_load(&settings, ledgers, json);
 	else
 		loom_problems_print(problems);
 	loom_fields_free(load_fields, &settings);
@@ -76,22 +81,26 @@
 int
 main(int argc, char **argv)
 {
-	struct arg_lit *help = arg_lit0("h", "help", "show this");
-	struct arg_lit *version = arg_lit0("V", "version", "show the version");
-	struct arg_lit *json = arg_lit0("j", "json", "as JSON, not as tables");
-	struct arg_file *ledgers = arg_filen("l", "ledger", "FILE", 0,
-	    LEDGERS_MAX, "an upstream's ledger to check against");
-	struct arg_file *file =
-	    arg_file0(NULL, NULL, "SETTINGS", "JSON with comments");
+	struct arg_lit *help =
+	    arg_lit0("h", "help", "print this help and exit");
+	struct arg_lit *version =
+	    arg_lit0("V", "version", "print the version and exit");
+	struct arg_lit *json =
+	    arg_lit0("j", "json", "print JSON instead of tables");
+	struct arg_file *ledgers =
+	    arg_filen("l", "ledger", "FILE", 0, LEDGER_FILES_MAX,
+		"an upstream's ledger to check the results against");
+	struct arg_file *file = arg_file0(
+	    NULL, NULL, "SETTINGS", "settings file (JSON with comments)");
 	struct arg_end *end = arg_end(8);
-	void *table[] = { help, version, json, ledgers, file, end };
+	void *argtable[] = { help, version, json, ledgers, file, end };
 	int errors, status = EXIT_USAGE;
 
-	errors = arg_parse(argc, argv, table);
+	errors = arg_parse(argc, argv, argtable);
 	if (help->count > 0) {
 		printf("usage: loom-load");
-		arg_print_syntax(stdout, table, "\n");
-		arg_print_glossary(stdout, table, "  %-20s %s\n");
+		arg_print_syntax(stdout, argtable, "\n");
+		arg_print_glossary(stdout, argtable, "  %-20s %s\n");
 		status = EXIT_SUCCESS;
 	} else if (version->count > 0) {
 		printf("loom-load %s\n", LOOM_VERSION);
@@ -99,12 +108,12 @@
 	} else if (errors > 0 || file->count == 0) {
 		arg_print_errors(stderr, end, "loom-load");
 		fprintf(stderr, "usage: loom-load");
-		arg_print_syntax(stderr, table, "\n");
+		arg_print_syntax(stderr, argtable, "\n");
 	} else {
 		curl_global_init(CURL_GLOBAL_DEFAULT);
-		status =
-		    load_and_run(file->filename[0], ledgers, json->count > 0);
+		status = load_settings_and_run(
+		    file->filename[0], ledgers, json->count > 0);
 	}
-	arg_freetable(table, sizeof(table) / sizeof(table[0]));
+	arg_freetable(argtable, sizeof(argtable) / sizeof(argtable[0]));
 	return status;
 }
--- a/programs/loom-manifest.c
+++ b/programs/loom-manifest.c
@@ -1,8 +1,9 @@
 /*
- * loom-manifest: the operators' tool for their build pipeline.  It reads
- * files and writes text; every rule lives in src/manifest.
+ * loom-manifest: checks, signs, verifies, compares and explains manifest
+ * documents in the operators' build pipeline. This program only reads files
+ * and prints text; the rules for manifests are implemented in src/manifest.
  *
- * Exit codes: 0 all well, 1 problems found, 2 a wrong command line.
+ * Exit status: 0 success, 1 problems found, 2 invalid command line.
  */
 
 #include <argtable2.h>
@@ -21,18 +22,19 @@
 #define OPTIONS_MAX 4
 #define KEY_BYTES_MAX 4096
 
-/* What a command was given; members that it does not take are NULL. */
+/* Parsed arguments of a command. A member is NULL if the command does not
+ * accept that argument. */
 struct options {
-	struct arg_file *key;
-	struct arg_file *with;
+	struct arg_file *key_file;
+	struct arg_file *shared_documents;
 	struct arg_str *team;
 	struct arg_str *route;
 	struct arg_file *files;
 };
 
-/* The files that a command takes. */
-struct file_list {
-	const char *word;
+/* Describes the positional arguments of a command. */
+struct file_argument {
+	const char *metavar;
 	const char *help;
 	int min;
 	int max;
@@ -42,10 +44,10 @@
 	const char *name;
 	const char *help;
 	int (*run)(const struct options *);
-	const struct file_list *files; /* NULL when it has none */
-	const char *key; /* help of --key; NULL when there is none */
-	bool with; /* takes --with */
-	bool team_and_route; /* takes --team and --route */
+	const struct file_argument *files; /* NULL if it takes no files */
+	const char *key_help; /* help text of --key; NULL if not accepted */
+	bool takes_shared_documents; /* accepts --with */
+	bool takes_team_and_route; /* accepts --team and --route */
 };
 
 static int
@@ -59,15 +61,16 @@
 	return EXIT_FAILURE;
 }
 
-/* Prints an owned text and frees it. */
+/* Prints text, then frees it with g_free(). */
 static int
-print_text(char *text)
+print_and_free(char *text)
 {
 	fputs(text, stdout);
 	g_free(text);
 	return EXIT_SUCCESS;
 }
 
+/* Prints an error and returns false if the file cannot be read. */
 static bool
 read_file(const char *file, char **text, gsize *len)
 {
@@ -98,12 +101,12 @@
 	return EXIT_SUCCESS;
 }
 
-/* A document with a problem of its own is never signed: a daemon would have
- * to refuse it. */
+/* Checks the document before signing it, since daemons reject a document that
+ * fails these checks even if its signature is valid. */
 static int
 run_sign(const struct options *options)
 {
-	const char *key_file = options->key->filename[0];
+	const char *key_file = options->key_file->filename[0];
 	const char *file = options->files->filename[0];
 	struct loom_problem *problems = NULL;
 	struct loom_document *document;
@@ -127,13 +130,13 @@
 	g_free(text);
 	if (envelope == NULL)
 		return print_error(file, error);
-	return print_text(envelope);
+	return print_and_free(envelope);
 }
 
 static int
 run_verify(const struct options *options)
 {
-	const char *key_file = options->key->filename[0];
+	const char *key_file = options->key_file->filename[0];
 	const char *file = options->files->filename[0];
 	uint8_t digest[LOOM_DIGEST_SIZE];
 	struct loom_public_key key;
@@ -175,8 +178,9 @@
 	return EXIT_SUCCESS;
 }
 
-/* The key comes on standard input, so that it stands in no list of processes
- * and in no shell's history.  One line end at its end is not part of it. */
+/* Reads the key from standard input rather than from an argument, so that it
+ * appears neither in process listings nor in the shell history. A single
+ * trailing newline is not part of the key. */
 static int
 run_digest(const struct options *options)
 {
@@ -202,20 +206,21 @@
 	return EXIT_SUCCESS;
 }
 
-/* One of the two manifests: file joined with the documents that both have. */
+/* Loads one side of a comparison: file, joined with the documents that both
+ * sides share. */
 static struct loom_manifest *
-load_side(
-    const char *file, const struct arg_file *with, struct loom_problem **out)
+load_with_shared_documents(const char *file,
+    const struct arg_file *shared_documents, struct loom_problem **problems)
 {
 	GPtrArray *files = g_ptr_array_new();
 	struct loom_manifest *manifest;
 	int i;
 
 	g_ptr_array_add(files, (void *)file);
-	for (i = 0; i < with->count; i++)
-		g_ptr_array_add(files, (void *)with->filename[i]);
+	for (i = 0; i < shared_documents->count; i++)
+		g_ptr_array_add(files, (void *)shared_documents->filename[i]);
 	manifest = loom_manifest_load(
-	    (const char *const *)files->pdata, files->len, out);
+	    (const char *const *)files->pdata, files->len, problems);
 	g_ptr_array_unref(files);
 	return manifest;
 }
@@ -228,10 +233,12 @@
 	struct loom_manifest *from, *to;
 	int status;
 
-	from = load_side(files[0], options->with, &problems);
-	to = load_side(files[1], options->with, &problems);
+	from = load_with_shared_documents(
+	    files[0], options->shared_documents, &problems);
+	to = load_with_shared_documents(
+	    files[1], options->shared_documents, &problems);
 	if (from != NULL && to != NULL)
-		status = print_text(loom_manifest_diff(from, to));
+		status = print_and_free(loom_manifest_diff(from, to));
 	else
 		status = loom_problems_print(problems);
 	if (from != NULL)
@@ -258,118 +265,123 @@
 	loom_manifest_release(manifest);
 	if (text == NULL)
 		return print_error("loom-manifest", error);
-	return print_text(text);
+	return print_and_free(text);
 }
 
 static int
 run_table(const struct options *options)
 {
 	(void)options;
-	return print_text(loom_result_markdown());
+	return print_and_free(loom_result_markdown());
 }
 
-static const struct file_list all_documents = {
-	.word = "FILE",
-	.help = "all documents of the fleet",
+static const struct file_argument all_documents = {
+	.metavar = "FILE",
+	.help = "all manifest documents of the fleet",
 	.min = 1,
 	.max = FILES_MAX,
 };
 
-static const struct file_list one_document = {
-	.word = "FILE",
-	.help = "a document",
+static const struct file_argument one_document = {
+	.metavar = "FILE",
+	.help = "a manifest document",
 	.min = 1,
 	.max = 1,
 };
 
-static const struct file_list one_envelope = {
-	.word = "FILE",
-	.help = "a signed document",
+static const struct file_argument one_envelope = {
+	.metavar = "FILE",
+	.help = "a signed manifest document",
 	.min = 1,
 	.max = 1,
 };
 
-static const struct file_list key_prefix = {
-	.word = "PREFIX",
-	.help = "writes PREFIX.secret and PREFIX.public",
+static const struct file_argument key_prefix = {
+	.metavar = "PREFIX",
+	.help =
+	    "path prefix of the output files PREFIX.secret and PREFIX.public",
 	.min = 1,
 	.max = 1,
 };
 
-static const struct file_list two_documents = {
-	.word = "DOCUMENT",
-	.help = "the one in force, then the one to be shipped",
+static const struct file_argument two_documents = {
+	.metavar = "DOCUMENT",
+	.help = "the document in force, then its replacement",
 	.min = 2,
 	.max = 2,
 };
 
 static const struct command commands[] = {
 	{ .name = "check",
-	    .help = "Check documents, one by one and joined.",
+	    .help = "Check documents, each by itself and all joined.",
 	    .run = run_check,
 	    .files = &all_documents },
 	{ .name = "sign",
-	    .help = "Sign a document; print the signed form.",
+	    .help = "Sign a document; print the signed envelope.",
 	    .run = run_sign,
-	    .key = "the secret key of the pipeline",
+	    .key_help = "file with the pipeline's secret signing key",
 	    .files = &one_document },
 	{ .name = "verify",
-	    .help = "Check a signed document; print what was signed.",
+	    .help = "Verify a signed document; print its payload.",
 	    .run = run_verify,
-	    .key = "the public key to trust",
+	    .key_help = "file with the public key to verify against",
 	    .files = &one_envelope },
 	{ .name = "keygen",
-	    .help = "Make the pipeline's pair of signing keys.",
+	    .help = "Generate a signing key pair for the pipeline.",
 	    .run = run_keygen,
 	    .files = &key_prefix },
 	{ .name = "digest",
-	    .help = "Read a caller's key on standard input; print its SHA-256.",
+	    .help =
+		"Read a caller's key from standard input; print its SHA-256.",
 	    .run = run_digest },
 	{ .name = "diff",
-	    .help = "Say what changes from one document to another.",
+	    .help = "List the changes from one document to another.",
 	    .run = run_diff,
-	    .with = true,
+	    .takes_shared_documents = true,
 	    .files = &two_documents },
 	{ .name = "explain",
-	    .help = "Say how a request is treated and why it is refused.",
+	    .help =
+		"Explain how a team's request is handled and when it is refused.",
 	    .run = run_explain,
-	    .team_and_route = true,
+	    .takes_team_and_route = true,
 	    .files = &all_documents },
 	{ .name = "table",
 	    .help = "Print the table of result codes as Markdown.",
 	    .run = run_table },
 };
 
-/* Fill table with the command's options; returns how many there are. */
+/* Adds the command's options to argtable and returns their number. */
 static size_t
-make_table(const struct command *command, struct options *options, void **table)
+add_options(
+    const struct command *command, struct options *options, void **argtable)
 {
-	const struct file_list *files = command->files;
+	const struct file_argument *files = command->files;
 	size_t n = 0;
 
-	if (command->key != NULL)
-		table[n++] = options->key =
-		    arg_file1("k", "key", "FILE", command->key);
-	if (command->with)
-		table[n++] = options->with = arg_filen("w", "with", "FILE", 0,
-		    FILES_MAX, "a further document that both sides have");
-	if (command->team_and_route) {
-		table[n++] = options->team =
-		    arg_str1("t", "team", "T", "a team's name");
-		table[n++] = options->route =
-		    arg_str1("r", "route", "R", "a route's name");
+	if (command->key_help != NULL)
+		argtable[n++] = options->key_file =
+		    arg_file1("k", "key", "FILE", command->key_help);
+	if (command->takes_shared_documents)
+		argtable[n++] = options->shared_documents =
+		    arg_filen("w", "with", "FILE", 0, FILES_MAX,
+			"an additional document that both sides share");
+	if (command->takes_team_and_route) {
+		argtable[n++] = options->team =
+		    arg_str1("t", "team", "T", "team name");
+		argtable[n++] = options->route =
+		    arg_str1("r", "route", "R", "route name");
 	}
 	if (files != NULL)
-		table[n++] = options->files = arg_filen(NULL, NULL, files->word,
-		    files->min, files->max, files->help);
+		argtable[n++] = options->files = arg_filen(NULL, NULL,
+		    files->metavar, files->min, files->max, files->help);
 	return n;
 }
 
 static void
-print_usage(FILE *out, const struct command *command, void **table)
+print_usage(FILE *out, const struct command *command, void **argtable)
 {
 	fprintf(out, "usage: loom-manifest %s", command->name);
-	arg_print_syntax(out, table, "\n");
+	arg_print_syntax(out, argtable, "\n");
 }
 
 static int
@@ -382,31 +394,33 @@
 static int
 run_command(const struct command *command, int argc, char **argv)
 {
-	struct arg_lit *help = arg_lit0("h", "help", "show this");
-	struct arg_lit *version = arg_lit0("V", "version", "show the version");
+	struct arg_lit *help =
+	    arg_lit0("h", "help", "print this help and exit");
+	struct arg_lit *version =
+	    arg_lit0("V", "version", "print the version and exit");
 	struct arg_end *end = arg_end(ERRORS_MAX);
-	void *table[OPTIONS_MAX + 3] = { help, version };
-	struct options options = { .key = NULL };
+	void *argtable[OPTIONS_MAX + 3] = { help, version };
+	struct options options = { .key_file = NULL };
 	int errors, status = EXIT_USAGE;
 	size_t n;
 
-	n = make_table(command, &options, table + 2) + 2;
-	table[n++] = end;
-	errors = arg_parse(argc, argv, table);
+	n = add_options(command, &options, argtable + 2) + 2;
+	argtable[n++] = end;
+	errors = arg_parse(argc, argv, argtable);
 	if (help->count > 0) {
-		print_usage(stdout, command, table);
+		print_usage(stdout, command, argtable);
 		printf("%s\n", command->help);
-		arg_print_glossary(stdout, table, "  %-22s %s\n");
+		arg_print_glossary(stdout, argtable, "  %-22s %s\n");
 		status = EXIT_SUCCESS;
 	} else if (version->count > 0) {
 		status = print_version();
 	} else if (errors > 0) {
 		arg_print_errors(stderr, end, "loom-manifest");
-		print_usage(stderr, command, table);
+		print_usage(stderr, command, argtable);
 	} else {
 		status = command->run(&options);
 	}
-	arg_freetable(table, n);
+	arg_freetable(argtable, n);
 	return status;
 }
 
@@ -427,7 +441,7 @@
 	size_t i;
 
 	if (sodium_init() < 0) {
-		fprintf(stderr, "loom-manifest: libsodium cannot start\n");
+		fprintf(stderr, "loom-manifest: cannot start libsodium\n");
 		return EXIT_FAILURE;
 	}
 	if (argc < 2)
--- a/programs/loom-status.c
+++ b/programs/loom-status.c
@@ -1,5 +1,5 @@
 /*
- * loom-status: what a daemon says of itself, as a table or as JSON.
+ * loom-status: prints the status that a daemon reports, as a table or as JSON.
  */
 
 #include <argtable2.h>
@@ -15,7 +15,7 @@
 #define TIMEOUT_MS 5000
 
 static struct json_object *
-member(struct json_object *object, const char *name)
+json_member(struct json_object *object, const char *name)
 {
 	struct json_object *value = NULL;
 
@@ -23,41 +23,47 @@
 	return value;
 }
 
+/* Returns "-" if there is no such member. */
 static const char *
-text_of(struct json_object *object, const char *name)
+json_member_text(struct json_object *object, const char *name)
 {
-	struct json_object *value = member(object, name);
+	struct json_object *value = json_member(object, name);
 
 	return value == NULL ? "-" : json_object_get_string(value);
 }
 
+/* Returns 0 if there is no such member. */
 static double
-number_of(struct json_object *object, const char *name)
+json_member_number(struct json_object *object, const char *name)
 {
-	return json_object_get_double(member(object, name));
+	return json_object_get_double(json_member(object, name));
 }
 
 static void
 print_daemon(struct json_object *daemon)
 {
 	printf("%s  service %s  data centre %s  region %s\n",
-	    text_of(daemon, "host"), text_of(daemon, "service"),
-	    text_of(daemon, "data_centre"), text_of(daemon, "region"));
-	printf("ready %s  draining %s  calls under way %s\n",
-	    text_of(daemon, "ready"), text_of(daemon, "draining"),
-	    text_of(daemon, "inflight"));
+	    json_member_text(daemon, "host"),
+	    json_member_text(daemon, "service"),
+	    json_member_text(daemon, "data_centre"),
+	    json_member_text(daemon, "region"));
+	printf("ready %s  draining %s  calls in flight %s\n",
+	    json_member_text(daemon, "ready"),
+	    json_member_text(daemon, "draining"),
+	    json_member_text(daemon, "inflight"));
 }
 
 static void
 print_admission(struct json_object *admission)
 {
 	printf("\nlimit %s  inside %s  waiting %s  latency %.2f ms "
-	       "(%.2f of its floor)  quarantined %s\n",
-	    text_of(admission, "limit"), text_of(admission, "inside"),
-	    text_of(admission, "waiting"),
-	    number_of(admission, "latency_us") / 1000,
-	    number_of(admission, "latency_ratio"),
-	    text_of(admission, "quarantined"));
+	       "(%.2f times its baseline)  quarantined %s\n",
+	    json_member_text(admission, "limit"),
+	    json_member_text(admission, "inside"),
+	    json_member_text(admission, "waiting"),
+	    json_member_number(admission, "latency_us") / 1000,
+	    json_member_number(admission, "latency_ratio"),
+	    json_member_text(admission, "quarantined"));
 }
 
 static void
@@ -72,15 +78,18 @@
 	for (i = 0; i < n; i++) {
 		team = json_object_array_get_idx(teams, i);
 		printf("%-24s %10.1f %8.0f %10.2f %8.2f %10.2f %8.0f\n",
-		    text_of(team, "team"), number_of(team, "rate_per_s"),
-		    number_of(team, "burst"), number_of(team, "refill_per_s"),
-		    number_of(team, "level"), number_of(team, "demand_per_s"),
-		    number_of(team, "waiting"));
+		    json_member_text(team, "team"),
+		    json_member_number(team, "rate_per_s"),
+		    json_member_number(team, "burst"),
+		    json_member_number(team, "refill_per_s"),
+		    json_member_number(team, "level"),
+		    json_member_number(team, "demand_per_s"),
+		    json_member_number(team, "waiting"));
 	}
 }
 
 static int
-show(const char *address, bool json)
+print_status(const char *address, bool json)
 {
 	GError *error = NULL;
 	struct json_object *object;
@@ -101,11 +110,11 @@
 		return EXIT_SUCCESS;
 	}
 	object = json_tokener_parse(text);
-	print_daemon(member(object, "daemon"));
-	print_admission(member(object, "admission"));
-	print_teams(member(object, "teams"));
+	print_daemon(json_member(object, "daemon"));
+	print_admission(json_member(object, "admission"));
+	print_teams(json_member(object, "teams"));
 	printf("\nin force: %s\n",
-	    json_object_to_json_string_ext(member(object, "versions"),
+	    json_object_to_json_string_ext(json_member(object, "versions"),
 		JSON_C_TO_STRING_PRETTY | JSON_C_TO_STRING_NOSLASHESCAPE));
 	json_object_put(object);
 	g_free(text);
@@ -115,20 +124,23 @@
 int
 main(int argc, char **argv)
 {
-	struct arg_lit *help = arg_lit0("h", "help", "show this");
-	struct arg_lit *version = arg_lit0("V", "version", "show the version");
-	struct arg_lit *json = arg_lit0("j", "json", "as JSON, not as a table");
-	struct arg_str *address =
-	    arg_str0(NULL, NULL, "IP:PORT", "where the daemon listens");
+	struct arg_lit *help =
+	    arg_lit0("h", "help", "print this help and exit");
+	struct arg_lit *version =
+	    arg_lit0("V", "version", "print the version and exit");
+	struct arg_lit *json =
+	    arg_lit0("j", "json", "print JSON instead of a table");
+	struct arg_str *address = arg_str0(NULL, NULL, "IP:PORT",
+	    "address at which the daemon listens for callers");
 	struct arg_end *end = arg_end(8);
-	void *table[] = { help, version, json, address, end };
+	void *argtable[] = { help, version, json, address, end };
 	int errors, status = EXIT_USAGE;
 
-	errors = arg_parse(argc, argv, table);
+	errors = arg_parse(argc, argv, argtable);
 	if (help->count > 0) {
 		printf("usage: loom-status");
-		arg_print_syntax(stdout, table, "\n");
-		arg_print_glossary(stdout, table, "  %-20s %s\n");
+		arg_print_syntax(stdout, argtable, "\n");
+		arg_print_glossary(stdout, argtable, "  %-20s %s\n");
 		status = EXIT_SUCCESS;
 	} else if (version->count > 0) {
 		printf("loom-status %s\n", LOOM_VERSION);
@@ -136,11 +148,11 @@
 	} else if (errors > 0 || address->count == 0) {
 		arg_print_errors(stderr, end, "loom-status");
 		fprintf(stderr, "usage: loom-status");
-		arg_print_syntax(stderr, table, "\n");
+		arg_print_syntax(stderr, argtable, "\n");
 	} else {
 		curl_global_init(CURL_GLOBAL_DEFAULT);
-		status = show(address->sval[0], json->count > 0);
+		status = print_status(address->sval[0], json->count > 0);
 	}
-	arg_freetable(table, sizeof(table) / sizeof(table[0]));
+	arg_freetable(argtable, sizeof(argtable) / sizeof(argtable[0]));
 	return status;
 }
--- a/programs/loom-trace.c
+++ b/programs/loom-trace.c
@@ -1,6 +1,6 @@
 /*
- * loom-trace: joins the spans in daemons' logs, or in OTLP exports, into one
- * tree a request.
+ * loom-trace: reads spans from daemon logs or OTLP exports and prints one span
+ * tree per trace.
  */
 
 #include <argtable2.h>
@@ -17,7 +17,7 @@
 #define FILES_MAX 256
 
 static void
-take_line(void *tree, const char *line)
+add_line(void *tree, const char *line)
 {
 	span_tree_add_line(tree, line);
 }
@@ -31,8 +31,10 @@
 	g_free(text);
 }
 
+/* Prints all traces, or only one if only_trace_id is not NULL. Returns the exit
+ * status: failure if nothing was printed. */
 static int
-print_traces(const struct span_tree *tree, const char *wanted)
+print_traces(const struct span_tree *tree, const char *only_trace_id)
 {
 	GPtrArray *traces = span_tree_traces(tree);
 	const char *trace_id;
@@ -40,37 +42,40 @@
 
 	for (i = 0; i < traces->len; i++) {
 		trace_id = g_ptr_array_index(traces, i);
-		if (wanted != NULL && strcmp(wanted, trace_id) != 0)
+		if (only_trace_id != NULL &&
+		    strcmp(only_trace_id, trace_id) != 0)
 			continue;
 		print_trace(tree, trace_id);
 		printed++;
 	}
 	g_ptr_array_free(traces, TRUE);
 	if (printed == 0)
-		fprintf(stderr, "loom-trace: no such span was found\n");
+		fprintf(stderr, "loom-trace: no matching span found\n");
 	return printed > 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
 int
 main(int argc, char **argv)
 {
-	struct arg_lit *help = arg_lit0("h", "help", "show this");
-	struct arg_lit *version = arg_lit0("V", "version", "show the version");
-	struct arg_str *trace =
-	    arg_str0("t", "trace", "ID", "one trace alone (32 hex digits)");
+	struct arg_lit *help =
+	    arg_lit0("h", "help", "print this help and exit");
+	struct arg_lit *version =
+	    arg_lit0("V", "version", "print the version and exit");
+	struct arg_str *trace = arg_str0(
+	    "t", "trace", "ID", "print only this trace (32 hex digits)");
 	struct arg_file *files = arg_filen(NULL, NULL, "FILE", 0, FILES_MAX,
-	    "logs or OTLP exports; standard input when none is named");
+	    "daemon logs or OTLP exports (default: standard input)");
 	struct arg_end *end = arg_end(8);
-	void *table[] = { help, version, trace, files, end };
+	void *argtable[] = { help, version, trace, files, end };
 	struct span_tree *tree = span_tree_new();
 	int errors, status = EXIT_USAGE;
 	bool ok;
 
-	errors = arg_parse(argc, argv, table);
+	errors = arg_parse(argc, argv, argtable);
 	if (help->count > 0) {
 		printf("usage: loom-trace");
-		arg_print_syntax(stdout, table, "\n");
-		arg_print_glossary(stdout, table, "  %-20s %s\n");
+		arg_print_syntax(stdout, argtable, "\n");
+		arg_print_glossary(stdout, argtable, "  %-20s %s\n");
 		status = EXIT_SUCCESS;
 	} else if (version->count > 0) {
 		printf("loom-trace %s\n", LOOM_VERSION);
@@ -79,13 +84,13 @@
 		arg_print_errors(stderr, end, "loom-trace");
 	} else {
 		ok = loom_lines_read("loom-trace", files->filename,
-		    files->count, take_line, tree);
+		    files->count, add_line, tree);
 		status = print_traces(
 		    tree, trace->count > 0 ? trace->sval[0] : NULL);
 		if (!ok)
 			status = EXIT_FAILURE;
 	}
 	span_tree_free(tree);
-	arg_freetable(table, sizeof(table) / sizeof(table[0]));
+	arg_freetable(argtable, sizeof(argtable) / sizeof(argtable[0]));
 	return status;
 }
--- a/programs/loomd.c
+++ b/programs/loomd.c
@@ -1,5 +1,5 @@
 /*
- * loomd: the daemon beside each upstream.
+ * loomd: the Loom daemon. One runs next to each upstream.
  */
 
 #include <unistd.h>
