--- a/src/manifest/diff.c
+++ b/src/manifest/diff.c
@@ -1,8 +1,8 @@
 /*
- * What changes from one manifest to the next.  Each kind of declaration is a
- * table of facts, and each fact a function that writes it as text: two
- * declarations differ in a fact when the texts differ, so that what is
- * compared and what is printed can never be two things.
+ * Lists the changes from one manifest to another.  Each kind of declaration has
+ * a table of its properties.  Two declarations differ in a property when its
+ * formatted values differ: since the comparison uses the printed text, a
+ * reported change always shows two different values.
  */
 
 #include <string.h>
@@ -10,49 +10,52 @@
 #include "loom/explain.h"
 #include "manifest/facts.h"
 
-/* from and to are declarations of the same name. */
+/* Writes each property that differs between two declarations of one name. */
 static void
-diff_facts(GString *text, const char *what, const struct fact *facts,
-    const struct item *from, const struct item *to)
+diff_properties(GString *text, const char *title,
+    const struct property *properties, const struct declaration *from,
+    const struct declaration *to)
 {
 	GString *before = g_string_new(NULL), *after = g_string_new(NULL);
 
-	for (; facts->label != NULL; facts++) {
+	for (; properties->label != NULL; properties++) {
 		g_string_truncate(before, 0);
 		g_string_truncate(after, 0);
-		facts->write(before, from);
-		facts->write(after, to);
+		properties->write(before, from);
+		properties->write(after, to);
 		if (strcmp(before->str, after->str) != 0)
-			g_string_append_printf(text, "%s: %s %s -> %s\n", what,
-			    facts->label, before->str, after->str);
+			g_string_append_printf(text, "%s: %s %s -> %s\n", title,
+			    properties->label, before->str, after->str);
 	}
 	g_string_free(before, TRUE);
 	g_string_free(after, TRUE);
 }
 
+/* Writes a declaration that is new, with all its properties. */
 static void
-list_facts(GString *text, const char *what, const struct fact *facts,
-    const struct item *item)
+write_added(GString *text, const char *title, const struct property *properties,
+    const struct declaration *declaration)
 {
-	const char *between = "";
+	const char *separator = "";
 
-	g_string_append_printf(text, "%s: added: ", what);
-	for (; facts->label != NULL; facts++) {
-		g_string_append_printf(text, "%s%s ", between, facts->label);
-		facts->write(text, item);
-		between = "; ";
+	g_string_append_printf(text, "%s: added: ", title);
+	for (; properties->label != NULL; properties++) {
+		g_string_append_printf(
+		    text, "%s%s ", separator, properties->label);
+		properties->write(text, declaration);
+		separator = "; ";
 	}
 	g_string_append_c(text, '\n');
 }
 
-/* How to walk one kind of declaration. */
+/* How to enumerate and compare one kind of declaration. */
 struct kind {
 	const char *label;
-	const struct fact *facts;
-	const char *removed; /* what a caller then sees */
+	const struct property *properties;
+	const char *removal_effect; /* the effect of a removal on callers */
 	uint32_t (*count)(const struct loom_manifest *);
-	/* The declaration at i; its name is written to name. */
-	const void *(*at)(
+	/* Returns declaration i and sets name to its unique name. */
+	const void *(*get)(
 	    const struct loom_manifest *, uint32_t i, GString *name);
 };
 
@@ -63,7 +66,7 @@
 }
 
 static const void *
-team_at(const struct loom_manifest *manifest, uint32_t i, GString *name)
+get_team(const struct loom_manifest *manifest, uint32_t i, GString *name)
 {
 	g_string_assign(name, manifest->teams[i].name);
 	return &manifest->teams[i];
@@ -75,10 +78,13 @@
 	return manifest->nkeys;
 }
 
-/* A key that gets another digest under its old id is another key: the name
- * holds the digest, and print_name() leaves it out. */
+/*
+ * A key whose digest changes under the same id is a different key, so that the
+ * name includes the digest.  The digest follows a newline, where
+ * format_title() cuts the name, and is never printed.
+ */
 static const void *
-key_at(const struct loom_manifest *manifest, uint32_t i, GString *name)
+get_key(const struct loom_manifest *manifest, uint32_t i, GString *name)
 {
 	const struct loom_key *key = &manifest->keys[i];
 	size_t j;
@@ -98,7 +104,7 @@
 }
 
 static const void *
-service_at(const struct loom_manifest *manifest, uint32_t i, GString *name)
+get_service(const struct loom_manifest *manifest, uint32_t i, GString *name)
 {
 	g_string_assign(name, manifest->services[i].name);
 	return &manifest->services[i];
@@ -111,7 +117,7 @@
 }
 
 static const void *
-route_at(const struct loom_manifest *manifest, uint32_t i, GString *name)
+get_route(const struct loom_manifest *manifest, uint32_t i, GString *name)
 {
 	g_string_assign(name, manifest->routes[i].name);
 	return &manifest->routes[i];
@@ -120,120 +126,124 @@
 static const struct kind kinds[] = {
 	{
 	    .label = "team",
-	    .facts = team_facts,
-	    .removed = "its keys are unknown from now on",
+	    .properties = team_properties,
+	    .removal_effect = "its keys are unknown from now on",
 	    .count = count_teams,
-	    .at = team_at,
+	    .get = get_team,
 	},
 	{
 	    .label = "key",
-	    .facts = key_facts,
-	    .removed = "refused as unknown from now on",
+	    .properties = key_properties,
+	    .removal_effect = "refused as unknown from now on",
 	    .count = count_keys,
-	    .at = key_at,
+	    .get = get_key,
 	},
 	{
 	    .label = "service",
-	    .facts = service_facts,
-	    .removed = "no request reaches it",
+	    .properties = service_properties,
+	    .removal_effect = "no request reaches it",
 	    .count = count_services,
-	    .at = service_at,
+	    .get = get_service,
 	},
 	{
 	    .label = "route",
-	    .facts = route_facts,
-	    .removed = "its requests match no route, or another",
+	    .properties = route_properties,
+	    .removal_effect = "its requests match no route, or another",
 	    .count = count_routes,
-	    .at = route_at,
+	    .get = get_route,
 	},
 };
 
-/* "team x": the name up to its first line end. */
+/* Formats "team x", with the name up to its first newline. */
 static char *
-label_name(const struct kind *kind, const char *name)
+format_title(const struct kind *kind, const char *name)
 {
 	return g_strdup_printf(
 	    "%s %.*s", kind->label, (int)strcspn(name, "\n"), name);
 }
 
-/* Name to declaration; names owned. */
+/* Maps names to declarations; the table owns the names. */
 static GHashTable *
-index_kind(const struct kind *kind, const struct loom_manifest *manifest)
+index_by_name(const struct kind *kind, const struct loom_manifest *manifest)
 {
 	GHashTable *table =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	GString *name = g_string_new(NULL);
-	const void *of;
+	const void *data;
 	uint32_t i;
 
 	for (i = 0; i < kind->count(manifest); i++) {
-		of = kind->at(manifest, i, name);
-		g_hash_table_insert(table, g_strdup(name->str), (void *)of);
+		data = kind->get(manifest, i, name);
+		g_hash_table_insert(table, g_strdup(name->str), (void *)data);
 	}
 	g_string_free(name, TRUE);
 	return table;
 }
 
 static void
-diff_present(GString *text, const struct kind *kind,
+write_added_and_changed(GString *text, const struct kind *kind,
     const struct loom_manifest *from, const struct loom_manifest *to)
 {
-	GHashTable *before = index_kind(kind, from);
+	GHashTable *old_by_name = index_by_name(kind, from);
 	GString *name = g_string_new(NULL);
-	struct item old, new_item;
-	char *what;
+	struct declaration old_declaration, new_declaration;
+	char *title;
 	uint32_t i;
 
 	for (i = 0; i < kind->count(to); i++) {
-		new_item = (struct item){ to, kind->at(to, i, name) };
-		old = (struct item){ from,
-			g_hash_table_lookup(before, name->str) };
-		what = label_name(kind, name->str);
-		if (old.of == NULL)
-			list_facts(text, what, kind->facts, &new_item);
+		new_declaration =
+		    (struct declaration){ to, kind->get(to, i, name) };
+		old_declaration = (struct declaration){ from,
+			g_hash_table_lookup(old_by_name, name->str) };
+		title = format_title(kind, name->str);
+		if (old_declaration.data == NULL)
+			write_added(
+			    text, title, kind->properties, &new_declaration);
 		else
-			diff_facts(text, what, kind->facts, &old, &new_item);
-		g_free(what);
+			diff_properties(text, title, kind->properties,
+			    &old_declaration, &new_declaration);
+		g_free(title);
 	}
 	g_string_free(name, TRUE);
-	g_hash_table_unref(before);
+	g_hash_table_unref(old_by_name);
 }
 
 static void
-diff_removed(GString *text, const struct kind *kind,
+write_removed(GString *text, const struct kind *kind,
     const struct loom_manifest *from, const struct loom_manifest *to)
 {
-	GHashTable *after = index_kind(kind, to);
+	GHashTable *new_by_name = index_by_name(kind, to);
 	GString *name = g_string_new(NULL);
-	char *what;
+	char *title;
 	uint32_t i;
 
 	for (i = 0; i < kind->count(from); i++) {
-		kind->at(from, i, name);
-		if (g_hash_table_contains(after, name->str))
+		kind->get(from, i, name);
+		if (g_hash_table_contains(new_by_name, name->str))
 			continue;
-		what = label_name(kind, name->str);
+		title = format_title(kind, name->str);
 		g_string_append_printf(
-		    text, "%s: removed: %s\n", what, kind->removed);
-		g_free(what);
+		    text, "%s: removed: %s\n", title, kind->removal_effect);
+		g_free(title);
 	}
 	g_string_free(name, TRUE);
-	g_hash_table_unref(after);
+	g_hash_table_unref(new_by_name);
 }
 
 char *
 loom_manifest_diff(
     const struct loom_manifest *from, const struct loom_manifest *to)
 {
-	struct item old_fleet = { from, &from->fleet };
-	struct item new_fleet = { to, &to->fleet };
+	struct declaration old_fleet = { from, &from->fleet };
+	struct declaration new_fleet = { to, &to->fleet };
 	GString *text = g_string_new(NULL);
 	size_t i;
 
-	diff_facts(text, "fleet", fleet_facts, &old_fleet, &new_fleet);
+	diff_properties(
+	    text, "fleet", fleet_properties, &old_fleet, &new_fleet);
 	for (i = 0; i < G_N_ELEMENTS(kinds); i++) {
-		diff_removed(text, &kinds[i], from, to);
-		diff_present(text, &kinds[i], from, to);
+		write_removed(text, &kinds[i], from, to);
+		write_added_and_changed(text, &kinds[i], from, to);
 	}
 	return g_string_free(text, FALSE);
 }
--- a/src/manifest/facts.h
+++ b/src/manifest/facts.h
@@ -2,26 +2,28 @@
 #define LOOM_MANIFEST_FACTS_H
 
 /*
- * Declarations as facts in words.
+ * The properties of each kind of declaration, formatted as text for
+ * loom_manifest_diff().
  */
 
 #include "loom/manifest.h"
 
-/* A declaration within its manifest. */
-struct item {
+/* A declaration and the manifest that holds it. */
+struct declaration {
 	const struct loom_manifest *manifest;
-	const void *of; /* a struct loom_team, loom_route, ... */
+	const void *data; /* a struct loom_team, loom_route, ... */
 };
 
-struct fact {
-	const char *label; /* NULL ends the table */
-	void (*write)(GString *, const struct item *);
+struct property {
+	const char *label; /* NULL in the last entry of a table */
+	/* Appends the value to the text. */
+	void (*write)(GString *, const struct declaration *);
 };
 
-extern const struct fact fleet_facts[];
-extern const struct fact key_facts[];
-extern const struct fact route_facts[];
-extern const struct fact service_facts[];
-extern const struct fact team_facts[];
+extern const struct property fleet_properties[];
+extern const struct property key_properties[];
+extern const struct property route_properties[];
+extern const struct property service_properties[];
+extern const struct property team_properties[];
 
 #endif
