--- a/src/manifest/diff.c
+++ b/src/manifest/diff.c
@@ -1,8 +1,8 @@
 /*
  * Lists the changes from one manifest to another.  Each kind of declaration has
  * a table of its properties.  Two declarations differ in a property when its
- * formatted values differ: since the comparison uses the printed text, a
- * reported change always shows two different values.
+ * formatted values differ.  Comparing the printed text ensures that every
+ * difference found is visible in the output, and the other way round.
  */
 
 #include <string.h>
@@ -49,7 +49,7 @@
 }
 
 /* How to enumerate and compare one kind of declaration. */
-struct kind {
+struct declaration_kind {
 	const char *label;
 	const struct property *properties;
 	const char *removal_effect; /* the effect of a removal on callers */
@@ -123,7 +123,7 @@
 	return &manifest->routes[i];
 }
 
-static const struct kind kinds[] = {
+static const struct declaration_kind kinds[] = {
 	{
 	    .label = "team",
 	    .properties = team_properties,
@@ -156,7 +156,7 @@
 
 /* Formats "team x", with the name up to its first newline. */
 static char *
-format_title(const struct kind *kind, const char *name)
+format_title(const struct declaration_kind *kind, const char *name)
 {
 	return g_strdup_printf(
 	    "%s %.*s", kind->label, (int)strcspn(name, "\n"), name);
@@ -164,7 +164,8 @@
 
 /* Maps names to declarations; the table owns the names. */
 static GHashTable *
-index_by_name(const struct kind *kind, const struct loom_manifest *manifest)
+index_by_name(
+    const struct declaration_kind *kind, const struct loom_manifest *manifest)
 {
 	GHashTable *table =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -181,7 +182,7 @@
 }
 
 static void
-write_added_and_changed(GString *text, const struct kind *kind,
+write_added_and_changed(GString *text, const struct declaration_kind *kind,
     const struct loom_manifest *from, const struct loom_manifest *to)
 {
 	GHashTable *old_by_name = index_by_name(kind, from);
@@ -209,7 +210,7 @@
 }
 
 static void
-write_removed(GString *text, const struct kind *kind,
+write_removed(GString *text, const struct declaration_kind *kind,
     const struct loom_manifest *from, const struct loom_manifest *to)
 {
 	GHashTable *new_by_name = index_by_name(kind, to);
--- a/src/manifest/facts.h
+++ b/src/manifest/facts.h
@@ -14,6 +14,7 @@
 	const void *data; /* a struct loom_team, loom_route, ... */
 };
 
+/* A property of a declaration. */
 struct property {
 	const char *label; /* NULL in the last entry of a table */
 	/* Appends the value to the text. */
--- a/src/manifest/why.c
+++ b/src/manifest/why.c
@@ -1,22 +1,27 @@
 /*
- * Why a route is not repeatable: the shortest chain of declared calls to a
- * route that is not idempotent itself, found breadth first.
+ * Finds why a route is not repeatable: a breadth-first search for the shortest
+ * chain of declared calls to a route that is not itself idempotent.
  */
 
 #include "loom/explain.h"
 
-#define NOT_SEEN G_MAXUINT32
+#define UNVISITED G_MAXUINT32
 
+/*
+ * Formats the chain of calls by which the search reached a route.  The
+ * predecessor of a route is its caller in that chain; the route at which the
+ * search began is its own predecessor.
+ */
 static char *
-chain_text(const struct loom_manifest *manifest, const uint32_t *came_from,
-    uint32_t at)
+format_call_chain(const struct loom_manifest *manifest,
+    const uint32_t *predecessors, uint32_t current)
 {
-	GString *text = g_string_new(manifest->routes[at].name);
+	GString *text = g_string_new(manifest->routes[current].name);
 
-	while (came_from[at] != at) {
-		at = came_from[at];
+	while (predecessors[current] != current) {
+		current = predecessors[current];
 		g_string_prepend(text, " -> ");
-		g_string_prepend(text, manifest->routes[at].name);
+		g_string_prepend(text, manifest->routes[current].name);
 	}
 	return g_string_free(text, FALSE);
 }
@@ -25,31 +30,32 @@
 loom_manifest_why_not_repeatable(
     const struct loom_manifest *manifest, const struct loom_route *route)
 {
-	uint32_t *came_from = g_new(uint32_t, manifest->nroutes);
+	uint32_t *predecessors = g_new(uint32_t, manifest->nroutes);
 	uint32_t *queue = g_new(uint32_t, manifest->nroutes);
-	uint32_t head = 0, tail = 0, at, callee, i;
-	const struct loom_route *next;
+	uint32_t head = 0, tail = 0, current, callee, i;
+	const struct loom_route *current_route;
 	char *text = NULL;
 
 	for (i = 0; i < manifest->nroutes; i++)
-		came_from[i] = NOT_SEEN;
-	at = (uint32_t)(route - manifest->routes);
-	came_from[at] = at;
-	queue[tail++] = at;
+		predecessors[i] = UNVISITED;
+	current = (uint32_t)(route - manifest->routes);
+	predecessors[current] = current;
+	queue[tail++] = current;
 	while (head < tail && text == NULL) {
-		at = queue[head++];
-		next = &manifest->routes[at];
-		if (!next->idempotent)
-			text = chain_text(manifest, came_from, at);
-		for (i = 0; i < next->ncalls; i++) {
-			callee = next->calls[i];
-			if (came_from[callee] != NOT_SEEN)
+		current = queue[head++];
+		current_route = &manifest->routes[current];
+		if (!current_route->idempotent)
+			text =
+			    format_call_chain(manifest, predecessors, current);
+		for (i = 0; i < current_route->ncalls; i++) {
+			callee = current_route->calls[i];
+			if (predecessors[callee] != UNVISITED)
 				continue;
-			came_from[callee] = at;
+			predecessors[callee] = current;
 			queue[tail++] = callee;
 		}
 	}
 	g_free(queue);
-	g_free(came_from);
+	g_free(predecessors);
 	return text;
 }
--- a/tests/manifest/test_diff.c
+++ b/tests/manifest/test_diff.c
@@ -1,6 +1,7 @@
 /*
- * A manifest in words: what changes, why a route is not repeatable, and why a
- * request is refused.
+ * Tests the descriptions of a manifest: the changes between two manifests, why
+ * a route is not repeatable, and why a request is refused.  The texts must not
+ * contain the digest of a key.
  */
 
 #include "loom/explain.h"
@@ -27,15 +28,15 @@
 	ROUTE("pay", "'method': 'POST', 'idempotent': " idempotent)
 
 static struct loom_manifest *
-one(const char *text)
+build_manifest(const char *text)
 {
 	const char *texts[] = { text, NULL };
 	struct loom_problem *problems = NULL;
 	struct loom_manifest *manifest = test_manifest(texts, &problems);
-	char *found = loom_problems_text(problems);
+	char *problems_text = loom_problems_text(problems);
 
-	TEST_CHECK(manifest != NULL, "%s: %s", text, found);
-	g_free(found);
+	TEST_CHECK(manifest != NULL, "%s: %s", text, problems_text);
+	g_free(problems_text);
 	loom_problems_free(problems);
 	return manifest;
 }
@@ -65,7 +66,7 @@
 		{ DOCUMENT(TEAM("1", KEY("k", DIGEST_A, "false")), "", ""),
 		    DOCUMENT(TEAM("1", KEY("k", DIGEST_A, "true")), "", ""),
 		    "key k of team t: state granted -> withdrawn\n" },
-		/* another digest under the old id is another key */
+		/* A new digest under the same id makes it a different key. */
 		{ DOCUMENT(TEAM("1", KEY("k", DIGEST_A, "false")), "", ""),
 		    DOCUMENT(TEAM("1", KEY("k", DIGEST_B, "false")), "", ""),
 		    "key k of team t: removed: "
@@ -80,7 +81,8 @@
 			      "'deadline_ms': 5")),
 		    "route order: importance low -> critical\n"
 		    "route order: deadline 10000 ms -> 5 ms\n" },
-		/* the order itself did not change, but what it leads to did */
+		/* Route order is unchanged, but a route that it calls is not.
+		 */
 		{ DOCUMENT("", SERVICE("2"),
 		      ORDER("'calls': ['pay']") "," PAY("true")),
 		    DOCUMENT("", SERVICE("2"),
@@ -100,8 +102,8 @@
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
-		from = one(cases[i].from);
-		to = one(cases[i].to);
+		from = build_manifest(cases[i].from);
+		to = build_manifest(cases[i].to);
 		if (from == NULL || to == NULL)
 			return;
 		changes = loom_manifest_diff(from, to);
@@ -114,7 +116,7 @@
 	}
 }
 
-#define WHOLE                                                                     \
+#define EXPLAIN_DOCUMENT                                                          \
 	DOCUMENT(                                                                 \
 	    TEAM("1",                                                             \
 		KEY("k", DIGEST_A,                                                \
@@ -130,26 +132,27 @@
 {
 	static const struct {
 		const char *team, *route;
-		const char *holds; /* a part of the text */
-		bool held;
+		const char *part;
+		bool expected; /* whether the text contains part */
 	} cases[] = {
-		{ "t", "order", "not idempotent by: order -> pay\n", true },
+		{ "t", "order", "not idempotent because of: order -> pay\n",
+		    true },
 		{ "t", "order", "ticket: needed\n", true },
 		{ "t", "order", "2300 TICKET_NEEDED (HTTP 428, not-run)",
 		    true },
 		{ "t", "order", "RETRY_BUDGET", false },
-		{ "t", "pay", "not idempotent by: pay\n", true },
+		{ "t", "pay", "not idempotent because of: pay\n", true },
 		{ "t", "list", "repeatable: yes; at most 2 retries", true },
 		{ "t", "list", "TICKET", false },
 		{ "t", "list", "importance low is shed first", true },
 		{ "t", "list", "KEY_WITHDRAWN", false },
-		{ "t", "list", "none of the team's: k\n", true },
-		{ "left", "list", "a withdrawn one: old\n", true },
-		{ "left", "list", "has no key in force: every request", true },
+		{ "t", "list", "is not one of the team's: k\n", true },
+		{ "left", "list", "has been withdrawn: old\n", true },
+		{ "left", "list", "has no active key: every request", true },
 		{ "empty", "list", "rate or burst is 0: every request", true },
 		{ "t", "list", DIGEST_A, false },
 	};
-	struct loom_manifest *manifest = one(WHOLE);
+	struct loom_manifest *manifest = build_manifest(EXPLAIN_DOCUMENT);
 	char *text;
 	size_t i;
 
@@ -159,9 +162,10 @@
 		text = loom_manifest_explain(
 		    manifest, cases[i].team, cases[i].route, NULL);
 		TEST_CHECK(text != NULL &&
-			(strstr(text, cases[i].holds) != NULL) == cases[i].held,
+			(strstr(text, cases[i].part) != NULL) ==
+			    cases[i].expected,
 		    "%s %s %s: %s", cases[i].team, cases[i].route,
-		    cases[i].holds, text);
+		    cases[i].part, text);
 		g_free(text);
 	}
 	loom_manifest_release(manifest);
@@ -177,7 +181,7 @@
 		{ "t", "odrer", "no route \"odrer\", did you mean \"order\"?" },
 		{ "t", "zebra-crossing", "no route \"zebra-crossing\"" },
 	};
-	struct loom_manifest *manifest = one(WHOLE);
+	struct loom_manifest *manifest = build_manifest(EXPLAIN_DOCUMENT);
 	GError *error;
 	size_t i;
 
