--- a/src/manifest/why.c
+++ b/src/manifest/why.c
@@ -8,20 +8,20 @@
 #define UNVISITED G_MAXUINT32
 
 /*
- * Formats the chain of calls by which the search reached a route.  The
+ * Formats the chain of calls by which the search reached route i.  The
  * predecessor of a route is its caller in that chain; the route at which the
  * search began is its own predecessor.
  */
 static char *
 format_call_chain(const struct loom_manifest *manifest,
-    const uint32_t *predecessors, uint32_t current)
+    const uint32_t *predecessors, uint32_t i)
 {
-	GString *text = g_string_new(manifest->routes[current].name);
+	GString *text = g_string_new(manifest->routes[i].name);
 
-	while (predecessors[current] != current) {
-		current = predecessors[current];
+	while (predecessors[i] != i) {
+		i = predecessors[i];
 		g_string_prepend(text, " -> ");
-		g_string_prepend(text, manifest->routes[current].name);
+		g_string_prepend(text, manifest->routes[i].name);
 	}
 	return g_string_free(text, FALSE);
 }
--- a/tests/manifest/test_tool.c
+++ b/tests/manifest/test_tool.c
@@ -1,6 +1,7 @@
 /*
- * loom-manifest as a build pipeline runs it: exit codes, every problem on a
- * line of its own, and no secret in any output.
+ * Runs loom-manifest as a build pipeline does and checks its exit codes, that
+ * each problem is printed on its own line, and that no output contains a
+ * caller's key.
  */
 
 #include <fcntl.h>
@@ -16,13 +17,14 @@
 	"'services': [{'name': 's'}], 'routes': [{'name': 'r', " \
 	"'service': 's', 'method': 'GET', 'path': '/', 'importance': "
 
+/* The result of one run of loom-manifest. */
 struct run {
 	int status;
 	char *out; /* owned */
 	char *err; /* owned */
 };
 
-/* The files that every command is run among. */
+/* The files created before the first command; each ' becomes a ". */
 static const struct {
 	const char *name, *text;
 } files[] = {
@@ -40,7 +42,7 @@
 	{ "empty.txt", "" },
 };
 
-static char *folder; /* owned; the current folder of every run */
+static char *directory; /* owned; the working directory of every run */
 static char *program; /* owned */
 
 static void
@@ -50,7 +52,7 @@
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(files); i++) {
-		file = g_build_filename(folder, files[i].name, NULL);
+		file = g_build_filename(directory, files[i].name, NULL);
 		text = test_quote(files[i].text);
 		CU_ASSERT(g_file_set_contents(file, text, -1, NULL));
 		g_free(text);
@@ -61,7 +63,7 @@
 static void
 find_program(void)
 {
-	char *here = g_get_current_dir();
+	char *current_directory = g_get_current_dir();
 	const char *bin = g_getenv("LOOM_BIN");
 
 	if (bin == NULL)
@@ -69,11 +71,12 @@
 	if (g_path_is_absolute(bin))
 		program = g_build_filename(bin, "loom-manifest", NULL);
 	else
-		program = g_build_filename(here, bin, "loom-manifest", NULL);
-	g_free(here);
+		program = g_build_filename(
+		    current_directory, bin, "loom-manifest", NULL);
+	g_free(current_directory);
 }
 
-/* In the child: name becomes its standard input. */
+/* Runs in the child process: opens the file as standard input. */
 static void
 set_input(gpointer name)
 {
@@ -83,7 +86,7 @@
 		_exit(125);
 }
 
-/* output, when not NULL, names a file of the folder for standard output. */
+/* Saves standard output to a file in the directory, unless output is NULL. */
 static struct run
 run_tool(const char *const *arguments, const char *input, const char *output)
 {
@@ -95,13 +98,13 @@
 
 	for (i = 0; i < ARGUMENTS_MAX && arguments[i] != NULL; i++)
 		argv[i + 1] = (char *)arguments[i];
-	if (g_spawn_sync(folder, argv, NULL, G_SPAWN_DEFAULT, set_input,
+	if (g_spawn_sync(directory, argv, NULL, G_SPAWN_DEFAULT, set_input,
 		(gpointer)(input == NULL ? "/dev/null" : input), &run.out,
 		&run.err, &wait_status, NULL) &&
 	    WIFEXITED(wait_status))
 		run.status = WEXITSTATUS(wait_status);
 	if (output != NULL && run.out != NULL) {
-		file = g_build_filename(folder, output, NULL);
+		file = g_build_filename(directory, output, NULL);
 		CU_ASSERT(g_file_set_contents(file, run.out, -1, NULL));
 		g_free(file);
 	}
@@ -109,19 +112,22 @@
 }
 
 static void
-end_run(struct run *run)
+free_run(struct run *run)
 {
 	g_free(run->out);
 	g_free(run->err);
 }
 
-/* The steps run in this order, one after another, in one folder. */
+/*
+ * The commands, run in this order in one directory: later ones read files that
+ * earlier ones create.
+ */
 static const struct {
 	const char *arguments[ARGUMENTS_MAX];
-	const char *input; /* a file of the folder */
-	const char *output; /* a file of the folder */
+	const char *input; /* a file in the directory, or NULL */
+	const char *output; /* a file in the directory, or NULL */
 	int status;
-	const char *out, *err; /* a part of each; NULL: empty */
+	const char *out, *err; /* part of each output; NULL: must be empty */
 } steps[] = {
 	{ .arguments = { NULL }, .status = 2, .err = "usage: loom-manifest" },
 	{ .arguments = { "--help" }, .out = "usage: loom-manifest" },
@@ -137,7 +143,7 @@
 	    .out = "ok: 1 teams, 0 keys, 1 services, 1 routes\n" },
 	{ .arguments = { "check", "good.jsonc", "more.jsonc" },
 	    .out = "ok: 2 teams" },
-	/* every problem of every file, each on its line */
+	/* Reports every problem of every file, each on its own line. */
 	{ .arguments = { "check", "bad.jsonc", "none.jsonc", "cut.jsonc",
 	      "good.jsonc" },
 	    .status = 1,
@@ -201,8 +207,9 @@
 	    .err = "good.jsonc: 3020 ENVELOPE_MALFORMED" },
 };
 
+/* Whether text contains part, or is empty if part is NULL. */
 static bool
-matches(const char *text, const char *part)
+output_matches(const char *text, const char *part)
 {
 	if (text == NULL)
 		return false;
@@ -217,30 +224,30 @@
 
 	TEST_CHECK(run.status == steps[i].status, "step %zu: status %d", i,
 	    run.status);
-	TEST_CHECK(
-	    matches(run.out, steps[i].out), "step %zu: out %s", i, run.out);
-	TEST_CHECK(
-	    matches(run.err, steps[i].err), "step %zu: err %s", i, run.err);
+	TEST_CHECK(output_matches(run.out, steps[i].out), "step %zu: out %s", i,
+	    run.out);
+	TEST_CHECK(output_matches(run.err, steps[i].err), "step %zu: err %s", i,
+	    run.err);
 	TEST_CHECK(run.out != NULL && strstr(run.out, CALLER_KEY) == NULL,
 	    "step %zu", i);
-	end_run(&run);
+	free_run(&run);
 }
 
 static void
-remove_folder(void)
+remove_directory(void)
 {
-	GDir *dir = g_dir_open(folder, 0, NULL);
+	GDir *dir = g_dir_open(directory, 0, NULL);
 	const char *name;
 	char *file;
 
 	while (dir != NULL && (name = g_dir_read_name(dir)) != NULL) {
-		file = g_build_filename(folder, name, NULL);
+		file = g_build_filename(directory, name, NULL);
 		g_remove(file);
 		g_free(file);
 	}
 	if (dir != NULL)
 		g_dir_close(dir);
-	g_rmdir(folder);
+	g_rmdir(directory);
 }
 
 static void
@@ -248,14 +255,14 @@
 {
 	size_t i;
 
-	folder = g_dir_make_tmp("loom-tool-XXXXXX", NULL);
+	directory = g_dir_make_tmp("loom-tool-XXXXXX", NULL);
 	find_program();
 	write_files();
 	for (i = 0; i < G_N_ELEMENTS(steps); i++)
 		check_step(i);
-	remove_folder();
+	remove_directory();
 	g_free(program);
-	g_free(folder);
+	g_free(directory);
 }
 
 static const struct test_case tests[] = {
