--- a/src/manifest/build.c
+++ b/src/manifest/build.c
@@ -1,7 +1,9 @@
 /*
- * Joining documents into a manifest.  What is declared twice or refers to
- * nothing is reported with the file and place of its declaration; a manifest
- * comes out whole or not at all.
+ * Merges documents into a manifest.  A duplicate declaration or an unresolved
+ * reference is reported with the file and location of its declaration.
+ * loom_manifest_build() then fails as a whole;
+ * loom_manifest_build_partial() returns a manifest without the elements in
+ * conflict.
  */
 
 #include <string.h>
@@ -9,9 +11,10 @@
 
 #include "manifest/build.h"
 
+/* declaration is that of the team. */
 static void
 add_keys(struct build *build, const struct team_entry *team,
-    uint32_t team_index, const struct place *place)
+    uint32_t team_index, const struct declaration *declaration)
 {
 	struct loom_manifest *manifest = build->manifest;
 	const struct key_entry *entry;
@@ -20,7 +23,7 @@
 
 	for (i = 0; i < team->keys->len; i++) {
 		entry = &g_array_index(team->keys, struct key_entry, i);
-		build->keys[manifest->nkeys] = *place;
+		build->keys[manifest->nkeys] = *declaration;
 		build->keys[manifest->nkeys].key = i;
 		key = &manifest->keys[manifest->nkeys++];
 		key->team_index = team_index;
@@ -36,7 +39,7 @@
 	struct loom_manifest *manifest = build->manifest;
 	const struct team_entry *entry;
 	struct loom_team *team;
-	struct place *place;
+	struct declaration *declaration;
 	guint i;
 
 	for (i = 0; i < document->body.teams->len; i++) {
@@ -50,11 +53,11 @@
 		team->unlimited = entry->unlimited;
 		team->has_importance = entry->importance_seen;
 		team->importance = (enum loom_importance)entry->importance;
-		place = &build->teams[manifest->nteams];
-		place->document = document;
-		place->index = i;
-		place->same_as = NO_INDEX;
-		add_keys(build, entry, manifest->nteams, place);
+		declaration = &build->teams[manifest->nteams];
+		declaration->document = document;
+		declaration->index = i;
+		declaration->merged_into = NO_INDEX;
+		add_keys(build, entry, manifest->nteams, declaration);
 		manifest->nteams++;
 	}
 }
@@ -70,9 +73,10 @@
 	for (i = 0; i < document->body.services->len; i++) {
 		entry = &g_array_index(
 		    document->body.services, struct service_entry, i);
-		build->services[manifest->nservices] = (struct place){
-			.document = document, .index = i, .same_as = NO_INDEX
-		};
+		build->services[manifest->nservices] =
+		    (struct declaration){ .document = document,
+			    .index = i,
+			    .merged_into = NO_INDEX };
 		service = &manifest->services[manifest->nservices++];
 		g_strlcpy(service->name, entry->name, sizeof(service->name));
 		service->id = loom_name_id(entry->name);
@@ -84,6 +88,7 @@
 	}
 }
 
+/* A trailing "*" marks a prefix and is not stored. */
 static void
 copy_path(struct loom_route *route, const char *path)
 {
@@ -105,9 +110,10 @@
 	for (i = 0; i < document->body.routes->len; i++) {
 		entry = &g_array_index(
 		    document->body.routes, struct route_entry, i);
-		build->routes[manifest->nroutes] = (struct place){
-			.document = document, .index = i, .same_as = NO_INDEX
-		};
+		build->routes[manifest->nroutes] =
+		    (struct declaration){ .document = document,
+			    .index = i,
+			    .merged_into = NO_INDEX };
 		route = &manifest->routes[manifest->nroutes++];
 		g_strlcpy(route->name, entry->name, sizeof(route->name));
 		route->id = loom_name_id(entry->name);
@@ -126,8 +132,8 @@
 }
 
 static void
-report_document(struct build *build, const struct loom_document *first,
-    const struct loom_document *second)
+report_duplicate_document(struct build *build,
+    const struct loom_document *first, const struct loom_document *second)
 {
 	char *where = g_strdup_printf("%s:document", second->file);
 
@@ -138,8 +144,8 @@
 }
 
 static void
-check_documents(struct build *build, struct loom_document *const *documents,
-    size_t ndocuments)
+check_document_names(struct build *build,
+    struct loom_document *const *documents, size_t ndocuments)
 {
 	GHashTable *seen = g_hash_table_new(g_str_hash, g_str_equal);
 	const struct loom_document *first;
@@ -148,7 +154,7 @@
 	for (i = 0; i < ndocuments; i++) {
 		first = g_hash_table_lookup(seen, documents[i]->body.name);
 		if (first != NULL)
-			report_document(build, first, documents[i]);
+			report_duplicate_document(build, first, documents[i]);
 		else
 			g_hash_table_insert(
 			    seen, documents[i]->body.name, documents[i]);
@@ -156,7 +162,8 @@
 	g_hash_table_unref(seen);
 }
 
-/* More slots make smaller shares of every rate. */
+/* Takes the stricter of each pair of settings.  The larger number of slots is
+ * the stricter one, as it gives each slot a smaller share of every rate. */
 static void
 merge_fleets(struct loom_fleet *kept, const struct loom_fleet *other)
 {
@@ -168,7 +175,7 @@
 }
 
 static void
-take_fleet(struct build *build, const struct loom_document *document)
+add_fleet(struct build *build, const struct loom_document *document)
 {
 	char *where;
 
@@ -203,7 +210,7 @@
 }
 
 static void
-allocate(struct build *build, struct loom_document *const *documents,
+allocate_arrays(struct build *build, struct loom_document *const *documents,
     size_t ndocuments)
 {
 	struct loom_manifest *manifest = build->manifest;
@@ -219,10 +226,11 @@
 	manifest->keys = g_new0(struct loom_key, keys);
 	manifest->services = g_new0(struct loom_service, services);
 	manifest->routes = g_new0(struct loom_route, routes + 1);
-	build->teams = talloc_zero_array(build, struct place, teams);
-	build->keys = talloc_zero_array(build, struct place, keys);
-	build->services = talloc_zero_array(build, struct place, services);
-	build->routes = talloc_zero_array(build, struct place, routes);
+	build->teams = talloc_zero_array(build, struct declaration, teams);
+	build->keys = talloc_zero_array(build, struct declaration, keys);
+	build->services =
+	    talloc_zero_array(build, struct declaration, services);
+	build->routes = talloc_zero_array(build, struct declaration, routes);
 }
 
 static void
@@ -259,9 +267,13 @@
 		    compare_keys);
 }
 
-/* Nothing is known of it but that an entry let it in: it is not repeated. */
+/*
+ * The route of a request that an entry with another manifest has admitted and
+ * that this manifest does not list.  Whether such a request may be repeated is
+ * unknown, so it is attempted only once.
+ */
 static void
-set_unlisted(struct loom_manifest *manifest)
+set_unlisted_route(struct loom_manifest *manifest)
 {
 	struct loom_route *route = &manifest->routes[manifest->nroutes];
 
@@ -275,18 +287,18 @@
 	route->id = loom_name_id(route->name);
 }
 
-/* Keys are sorted last: their places are in the order of the documents. */
+/* Keys are sorted last, as build->keys is in document order until then. */
 static void
-join(struct build *build, struct loom_document *const *documents,
+merge_documents(struct build *build, struct loom_document *const *documents,
     size_t ndocuments)
 {
 	size_t i;
 
-	check_documents(build, documents, ndocuments);
+	check_document_names(build, documents, ndocuments);
 	for (i = 0; i < ndocuments; i++) {
 		build->manifest->version =
 		    MAX(build->manifest->version, documents[i]->body.version);
-		take_fleet(build, documents[i]);
+		add_fleet(build, documents[i]);
 		add_teams(build, documents[i]);
 		add_services(build, documents[i]);
 		add_routes(build, documents[i]);
@@ -294,15 +306,16 @@
 	build->manifest->index = manifest_index_new(build->manifest);
 	build_check_unique(build);
 	build_resolve(build);
-	build_drop(build);
-	build_closure(build);
+	build_remove_dropped(build);
+	build_compute_repeatable(build);
 	sort_keys(build->manifest);
-	set_unlisted(build->manifest);
+	set_unlisted_route(build->manifest);
 }
 
-/* *ok receives whether nothing had to be left out. */
+/* *ok is set to whether no problem was reported; the manifest is returned in
+ * either case. */
 static struct loom_manifest *
-build(struct loom_document *const *documents, size_t ndocuments,
+build_manifest(struct loom_document *const *documents, size_t ndocuments,
     uint64_t generation, struct loom_problem **problems, bool *ok)
 {
 	struct loom_manifest *manifest = g_new0(struct loom_manifest, 1);
@@ -314,8 +327,8 @@
 	build->manifest = manifest;
 	build->problems = problems;
 	build->ok = true;
-	allocate(build, documents, ndocuments);
-	join(build, documents, ndocuments);
+	allocate_arrays(build, documents, ndocuments);
+	merge_documents(build, documents, ndocuments);
 	*ok = build->ok;
 	talloc_free(build);
 	return manifest;
@@ -328,7 +341,8 @@
 	struct loom_manifest *manifest;
 	bool ok;
 
-	manifest = build(documents, ndocuments, generation, problems, &ok);
+	manifest =
+	    build_manifest(documents, ndocuments, generation, problems, &ok);
 	if (ok)
 		return manifest;
 	loom_manifest_release(manifest);
@@ -343,6 +357,8 @@
 	return strcmp((*left)->body.name, (*right)->body.name);
 }
 
+/* Sorts the documents by name, so that the result does not depend on their
+ * order in the argument. */
 struct loom_manifest *
 loom_manifest_build_partial(struct loom_document *const *documents,
     size_t ndocuments, uint64_t generation, struct loom_problem **problems)
@@ -358,7 +374,8 @@
 	if (ndocuments > 0)
 		qsort(sorted, ndocuments, sizeof(struct loom_document *),
 		    compare_names);
-	manifest = build(sorted, ndocuments, generation, problems, &ok);
+	manifest =
+	    build_manifest(sorted, ndocuments, generation, problems, &ok);
 	talloc_free(sorted);
 	return manifest;
 }
--- a/src/manifest/build.h
+++ b/src/manifest/build.h
@@ -2,22 +2,27 @@
 #define LOOM_MANIFEST_BUILD_H
 
 /*
- * The state of one joining of documents.
+ * State shared by the files that merge documents into one manifest.
+ *
+ * loom_manifest_build_partial() uses the manifest even when the documents
+ * conflict; loom_manifest_build() discards it in that case.
  */
 
 #include <talloc.h>
 
 #include "manifest/internal.h"
 
-/* Where something is declared.  Written as text only for a problem: a large
- * fleet joins tens of thousands of declarations at each change. */
-struct place {
+/* Where an element is declared.  Formatted as text only when a problem is
+ * reported, as a large fleet merges tens of thousands of declarations at each
+ * change. */
+struct declaration {
 	const struct loom_document *document; /* borrowed */
-	uint32_t index; /* in the document's list */
-	uint32_t key; /* in its team's list: of keys alone */
-	bool dropped; /* left out of a partial manifest (drop.c) */
-	/* the element that stands for a dropped one; NO_INDEX for none */
-	uint32_t same_as;
+	uint32_t index; /* in the document's array */
+	uint32_t key; /* keys only: index in the team's array */
+	bool dropped; /* omitted from a partial manifest (drop.c) */
+	/* of a dropped element: index of the one it was merged into, or
+	 * NO_INDEX */
+	uint32_t merged_into;
 };
 
 #define NO_INDEX G_MAXUINT32
@@ -25,35 +30,38 @@
 struct build {
 	struct loom_manifest *manifest;
 	struct loom_problem **problems;
-	/* one for each element of the manifest's arrays; owned by this */
-	struct place *teams;
-	struct place *keys;
-	struct place *services;
-	struct place *routes;
-	const struct loom_document *fleet; /* has the section; borrowed */
-	bool ok;
+	/* parallel to the manifest's arrays; allocated in this context */
+	struct declaration *teams;
+	struct declaration *keys;
+	struct declaration *services;
+	struct declaration *routes;
+	/* the first with a "fleet" section; borrowed */
+	const struct loom_document *fleet;
+	bool ok; /* no problem was reported */
 };
 
-/* Add a problem; the manifest will not be given out. */
+/* Adds a problem and clears .ok, so that a strict build fails. */
 void build_report(struct build *, enum loom_result, const char *where,
     const char *fmt, ...) G_GNUC_PRINTF(4, 5);
 
-/* Report what is declared twice, and merge it into the first. */
+/* Reports duplicate declarations and merges each into the first one. */
 void build_check_unique(struct build *);
 
-/* Let first stand for second as well; indexes of the manifest's arrays. */
+/* Merge the second declaration of an element into the first; both are indexes
+ * of the manifest's arrays. */
 void build_merge_teams(struct build *, uint32_t first, uint32_t second);
 void build_merge_services(struct build *, uint32_t first, uint32_t second);
 void build_merge_digests(struct build *, uint32_t first, uint32_t second);
 void build_merge_routes(struct build *, uint32_t first, uint32_t second);
 
-/* Take what was dropped out of the manifest's arrays. */
-void build_drop(struct build *);
+/* Removes dropped elements from the manifest's arrays and updates the indexes
+ * that refer to them. */
+void build_remove_dropped(struct build *);
 
-/* Turn the names that routes refer to into indexes. */
+/* Resolves the service and route names in routes to indexes. */
 void build_resolve(struct build *);
 
-/* Set .repeatable of all routes; problems for calls in a circle. */
-void build_closure(struct build *);
+/* Sets .repeatable of all routes; reports cycles of calls. */
+void build_compute_repeatable(struct build *);
 
 #endif
--- a/src/manifest/closure.c
+++ b/src/manifest/closure.c
@@ -1,29 +1,32 @@
 /*
- * The closure of non-idempotence.  A request that may not be repeated makes
- * each request that leads to it non-repeatable too: repeating the outer one
- * would run the inner one again.  The routes are taken leaves first (Kahn's
- * algorithm), so that each is decided after all that it calls.
+ * Computes which routes are repeatable.  A route is repeatable if it and all
+ * routes that it calls, directly or indirectly, are idempotent: repeating the
+ * outer request would run the inner one again.  The routes are visited in
+ * topological order, callees first (Kahn's algorithm), so that each route is
+ * decided after all routes that it calls.
  *
- * Calls in a circle are refused: no order exists in them, a chain through
- * them has no longest length, and so neither its retries nor its deadlines
- * have a bound.
+ * Cycles of calls are reported as problems.  Their routes have no topological
+ * order, and a chain of calls through a cycle has no maximum length, so that
+ * neither its retries nor its deadlines are bounded.
  */
 
 #include "manifest/build.h"
 
 struct closure {
 	struct loom_manifest *manifest;
-	uint32_t *open_calls; /* of each route: calls not decided yet */
-	/* callers of route i: from first_caller[i] to first_caller[i + 1] */
+	uint32_t *undecided_calls; /* per route: calls not decided yet */
+	/* the callers of route i are callers[first_caller[i]] up to, but not
+	 * including, callers[first_caller[i + 1]] */
 	uint32_t *callers;
 	uint32_t *first_caller;
-	uint32_t *ready; /* indexes of routes whose calls are all decided */
+	uint32_t *ready; /* stack of routes whose calls are all decided */
 	uint32_t nready;
-	uint32_t decided;
-	bool *done;
+	uint32_t ndecided;
+	bool *is_decided;
 };
 
-/* first_caller[i] becomes the end of route i's callers. */
+/* First pass of a counting sort by callee: sets first_caller[i] to the end of
+ * the callers of route i, and allocates the array of callers. */
 static void
 count_callers(struct closure *closure)
 {
@@ -42,16 +45,18 @@
 	    g_new0(uint32_t, closure->first_caller[manifest->nroutes]);
 }
 
-/* Filling from the end leaves first_caller[i] at the first one. */
+/* Second pass: fills the callers of each route from the end, which moves
+ * first_caller[i] down to the first one.  Also finds the routes without calls,
+ * which are ready at once. */
 static void
-note_callers(struct closure *closure)
+fill_callers(struct closure *closure)
 {
 	const struct loom_route *route;
 	uint32_t i, j;
 
 	for (i = 0; i < closure->manifest->nroutes; i++) {
 		route = &closure->manifest->routes[i];
-		closure->open_calls[i] = route->ncalls;
+		closure->undecided_calls[i] = route->ncalls;
 		for (j = 0; j < route->ncalls; j++)
 			closure->callers
 			    [--closure->first_caller[route->calls[j]]] = i;
@@ -74,115 +79,120 @@
 }
 
 static void
-decide(struct closure *closure, uint32_t at)
+decide_route(struct closure *closure, uint32_t route_index)
 {
-	struct loom_route *route = &closure->manifest->routes[at];
+	struct loom_route *route = &closure->manifest->routes[route_index];
 	uint32_t caller, i;
 
 	route->repeatable =
 	    route->idempotent && calls_are_repeatable(closure->manifest, route);
-	closure->done[at] = true;
-	closure->decided++;
-	for (i = closure->first_caller[at]; i < closure->first_caller[at + 1];
-	     i++) {
+	closure->is_decided[route_index] = true;
+	closure->ndecided++;
+	for (i = closure->first_caller[route_index];
+	     i < closure->first_caller[route_index + 1]; i++) {
 		caller = closure->callers[i];
-		if (--closure->open_calls[caller] == 0 &&
-		    !closure->done[caller])
+		if (--closure->undecided_calls[caller] == 0 &&
+		    !closure->is_decided[caller])
 			closure->ready[closure->nready++] = caller;
 	}
 }
 
 static void
-decide_ready(struct closure *closure)
+decide_ready_routes(struct closure *closure)
 {
 	while (closure->nready > 0)
-		decide(closure, closure->ready[--closure->nready]);
+		decide_route(closure, closure->ready[--closure->nready]);
 }
 
 static uint32_t
-first_undecided_call(const struct closure *closure, uint32_t at)
+first_undecided_call(const struct closure *closure, uint32_t route_index)
 {
-	const struct loom_route *route = &closure->manifest->routes[at];
+	const struct loom_route *route =
+	    &closure->manifest->routes[route_index];
 	uint32_t i;
 
 	for (i = 0; i < route->ncalls; i++) {
-		if (!closure->done[route->calls[i]])
+		if (!closure->is_decided[route->calls[i]])
 			break;
 	}
 	return route->calls[i];
 }
 
-/* Every undecided route has an undecided call, so that walking along them
- * must come back to a route already seen: that is where the circle is. */
+/* Every undecided route has an undecided call.  Following these calls as many
+ * times as there are routes therefore ends on a cycle. */
 static uint32_t
-route_in_circle(const struct closure *closure)
+find_route_in_cycle(const struct closure *closure)
 {
-	uint32_t at = 0, steps;
+	uint32_t route_index = 0, steps;
 
-	while (closure->done[at])
-		at++;
+	while (closure->is_decided[route_index])
+		route_index++;
 	for (steps = 0; steps < closure->manifest->nroutes; steps++)
-		at = first_undecided_call(closure, at);
-	return at;
+		route_index = first_undecided_call(closure, route_index);
+	return route_index;
 }
 
-/* Reports one circle and decides its routes, so that the next is found.  None
- * is repeatable: each calls one that is not, as the first one decided calls
- * one that is not decided yet. */
+/*
+ * Reports one cycle and decides its routes, so that the search can continue
+ * with the next cycle.  None of them becomes repeatable: each calls the next
+ * one in the cycle, whose .repeatable is false until it is decided, and the
+ * last one calls the first, which has been decided as not repeatable.
+ */
 static void
-report_circle(struct closure *closure, struct build *build)
+report_cycle(struct closure *closure, struct build *build)
 {
-	uint32_t start = route_in_circle(closure), at = start;
-	const struct place *place = &build->routes[start];
+	uint32_t start = find_route_in_cycle(closure), route_index = start;
+	const struct declaration *declaration = &build->routes[start];
 	GString *text = g_string_new(NULL);
-	GArray *members = g_array_new(FALSE, FALSE, sizeof(at));
+	GArray *members = g_array_new(FALSE, FALSE, sizeof(route_index));
 	char *where;
 	guint i;
 
 	do {
-		g_string_append_printf(
-		    text, "%s -> ", closure->manifest->routes[at].name);
-		g_array_append_val(members, at);
-		at = first_undecided_call(closure, at);
-	} while (at != start);
+		g_string_append_printf(text, "%s -> ",
+		    closure->manifest->routes[route_index].name);
+		g_array_append_val(members, route_index);
+		route_index = first_undecided_call(closure, route_index);
+	} while (route_index != start);
 	g_string_append(text, closure->manifest->routes[start].name);
-	where = g_strdup_printf(
-	    "%s:routes[%u].calls", place->document->file, place->index);
+	where = g_strdup_printf("%s:routes[%u].calls",
+	    declaration->document->file, declaration->index);
 	build_report(build, LOOM_MANIFEST_CYCLE, where,
-	    "calls run in a circle: %s", text->str);
-	/* all are done first: none may also become ready by another */
+	    "calls form a cycle: %s", text->str);
+	/* Mark all of them first, so that decide_route() does not push one of
+	 * them to the ready stack as well. */
 	for (i = 0; i < members->len; i++)
-		closure->done[g_array_index(members, uint32_t, i)] = true;
+		closure->is_decided[g_array_index(members, uint32_t, i)] = true;
 	for (i = 0; i < members->len; i++)
-		decide(closure, g_array_index(members, uint32_t, i));
+		decide_route(closure, g_array_index(members, uint32_t, i));
 	g_free(where);
 	g_array_free(members, TRUE);
 	g_string_free(text, TRUE);
 }
 
 void
-build_closure(struct build *build)
+build_compute_repeatable(struct build *build)
 {
 	struct loom_manifest *manifest = build->manifest;
-	uint32_t room = manifest->nroutes + 1;
+	uint32_t size = manifest->nroutes + 1;
 	struct closure closure = {
 		.manifest = manifest,
-		.open_calls = g_new0(uint32_t, room),
-		.first_caller = g_new0(uint32_t, room),
-		.ready = g_new0(uint32_t, room),
-		.done = g_new0(bool, room),
+		.undecided_calls = g_new0(uint32_t, size),
+		.first_caller = g_new0(uint32_t, size),
+		.ready = g_new0(uint32_t, size),
+		.is_decided = g_new0(bool, size),
 	};
 
 	count_callers(&closure);
-	note_callers(&closure);
-	decide_ready(&closure);
-	while (closure.decided < manifest->nroutes) {
-		report_circle(&closure, build);
-		decide_ready(&closure);
+	fill_callers(&closure);
+	decide_ready_routes(&closure);
+	while (closure.ndecided < manifest->nroutes) {
+		report_cycle(&closure, build);
+		decide_ready_routes(&closure);
 	}
-	g_free(closure.done);
+	g_free(closure.is_decided);
 	g_free(closure.ready);
 	g_free(closure.callers);
 	g_free(closure.first_caller);
-	g_free(closure.open_calls);
+	g_free(closure.undecided_calls);
 }
--- a/src/manifest/drop.c
+++ b/src/manifest/drop.c
@@ -1,46 +1,53 @@
 /*
- * Leaving out of a partial manifest what cannot stand.
+ * Removes elements in conflict from a partial manifest.
  *
- * Two operators ship a document each at the same time; each passes the
- * pipeline's check against the other's old one, and joined they clash.  A
- * daemon that refused the set would keep the old manifest, with keys in force
- * that were withdrawn since, and one that starts would have none at all.  So
- * daemons join what can stand, and every doubt is settled on the safe side:
- * the lower rate, the withdrawn key, the route that may not be repeated.  The
- * result depends on the set of documents alone: all daemons come to the same.
+ * Two operators may each publish a document at the same time.  Each document
+ * passes the pipeline's check against the old version of the other, but the
+ * new versions conflict.  A daemon that rejected the set would keep the old
+ * manifest, in which keys that have since been withdrawn are still valid, and
+ * a daemon that is just starting would have no manifest at all.
+ *
+ * So daemons use every element that is valid, and resolve each conflict on the
+ * safe side: the lower rate, the withdrawn key, the route that may not be
+ * repeated.  The result depends only on the set of documents, so that all
+ * daemons arrive at the same manifest.
  */
 
 #include "manifest/build.h"
 
-/* Give each element that stays its new index; the others that of what stands
- * for them, or NO_INDEX.  Returns how many stay. */
+/*
+ * Sets new_index[i] to the index of element i after the removal.  A dropped
+ * element gets the index of the one it was merged into, or NO_INDEX.  Returns
+ * the number of elements kept.
+ */
 static uint32_t
-renumber(const struct place *places, uint32_t n, uint32_t *new_index)
+renumber(
+    const struct declaration *declarations, uint32_t n, uint32_t *new_index)
 {
 	uint32_t kept = 0, i;
 
 	for (i = 0; i < n; i++) {
 		new_index[i] = NO_INDEX;
-		if (!places[i].dropped)
+		if (!declarations[i].dropped)
 			new_index[i] = kept++;
-		else if (places[i].same_as != NO_INDEX)
-			new_index[i] = new_index[places[i].same_as];
+		else if (declarations[i].merged_into != NO_INDEX)
+			new_index[i] = new_index[declarations[i].merged_into];
 	}
 	return kept;
 }
 
 static void
-drop_teams(struct build *build)
+remove_dropped_teams(struct build *build)
 {
 	struct loom_manifest *manifest = build->manifest;
 	uint32_t *new_index = talloc_array(build, uint32_t, manifest->nteams);
-	uint32_t kept, i, at;
+	uint32_t kept, i, element_index;
 
 	kept = renumber(build->teams, manifest->nteams, new_index);
 	for (i = 0; i < manifest->nkeys; i++) {
-		at = new_index[manifest->keys[i].team_index];
-		manifest->keys[i].team_index = at;
-		build->keys[i].dropped = at == NO_INDEX;
+		element_index = new_index[manifest->keys[i].team_index];
+		manifest->keys[i].team_index = element_index;
+		build->keys[i].dropped = element_index == NO_INDEX;
 	}
 	for (i = 0; i < manifest->nteams; i++) {
 		if (!build->teams[i].dropped)
@@ -51,7 +58,7 @@
 }
 
 static void
-drop_keys(struct build *build)
+remove_dropped_keys(struct build *build)
 {
 	struct loom_manifest *manifest = build->manifest;
 	uint32_t kept = 0, i;
@@ -63,25 +70,26 @@
 	manifest->nkeys = kept;
 }
 
-/* The parts whose service stays, with its new index. */
+/* Removes the parts whose service was removed, and renumbers the others. */
 static void
-drop_parts(struct loom_route *route, const uint32_t *new_index)
+remove_dropped_parts(struct loom_route *route, const uint32_t *new_index)
 {
-	uint32_t kept = 0, i, at;
+	uint32_t kept = 0, i, element_index;
 
 	for (i = 0; i < route->nparts; i++) {
-		at = new_index[route->parts[i].service_index];
-		if (at == NO_INDEX)
+		element_index = new_index[route->parts[i].service_index];
+		if (element_index == NO_INDEX)
 			continue;
 		route->parts[kept] = route->parts[i];
-		route->parts[kept++].service_index = at;
+		route->parts[kept++].service_index = element_index;
 	}
 	route->nparts = kept;
 }
 
-/* A route whose service was dropped with nothing in its place goes too. */
+/* Also drops each route whose service is unknown or was dropped without being
+ * merged into another one. */
 static void
-drop_services(struct build *build)
+remove_dropped_services(struct build *build)
 {
 	struct loom_manifest *manifest = build->manifest;
 	uint32_t *new_index =
@@ -96,7 +104,7 @@
 			route->service_index = new_index[route->service_index];
 		if (route->service_index == NO_INDEX)
 			build->routes[i].dropped = true;
-		drop_parts(route, new_index);
+		remove_dropped_parts(route, new_index);
 	}
 	for (i = 0; i < manifest->nservices; i++) {
 		if (!build->services[i].dropped)
@@ -119,7 +127,7 @@
 	return false;
 }
 
-/* The calls of a dropped route become calls of the one in its place. */
+/* Adds the calls of a dropped route to the route it was merged into. */
 static void
 merge_calls(struct loom_route *kept, const struct loom_route *other)
 {
@@ -134,8 +142,8 @@
 }
 
 /*
- * A call to a dropped route with nothing in its place is left out: such a
- * route matches nothing, so nothing can run behind it.
+ * Removes calls to routes that were dropped without being merged into another
+ * one: no request matches such a route, so the call cannot run anything.
  */
 static void
 renumber_calls(struct loom_route *route, const uint32_t *new_index)
@@ -151,19 +159,20 @@
 }
 
 static void
-drop_routes(struct build *build)
+remove_dropped_routes(struct build *build)
 {
 	struct loom_manifest *manifest = build->manifest;
 	uint32_t *new_index = talloc_array(build, uint32_t, manifest->nroutes);
-	uint32_t kept, i, same_as;
+	uint32_t kept, i, merged_into;
 
 	kept = renumber(build->routes, manifest->nroutes, new_index);
-	/* backwards: what stands for a dropped one may be dropped as well */
+	/* Backwards, as the route that a dropped one was merged into may have
+	 * been dropped and merged into an earlier one as well. */
 	for (i = manifest->nroutes; i-- > 0;) {
-		same_as = build->routes[i].same_as;
-		if (build->routes[i].dropped && same_as != NO_INDEX)
-			merge_calls(
-			    &manifest->routes[same_as], &manifest->routes[i]);
+		merged_into = build->routes[i].merged_into;
+		if (build->routes[i].dropped && merged_into != NO_INDEX)
+			merge_calls(&manifest->routes[merged_into],
+			    &manifest->routes[i]);
 	}
 	for (i = 0; i < manifest->nroutes; i++) {
 		if (build->routes[i].dropped) {
@@ -180,14 +189,14 @@
 }
 
 void
-build_drop(struct build *build)
+build_remove_dropped(struct build *build)
 {
 	if (build->ok)
 		return;
-	drop_teams(build);
-	drop_keys(build);
-	drop_services(build);
-	drop_routes(build);
+	remove_dropped_teams(build);
+	remove_dropped_keys(build);
+	remove_dropped_services(build);
+	remove_dropped_routes(build);
 	manifest_index_free(build->manifest->index);
 	build->manifest->index = manifest_index_new(build->manifest);
 }
--- a/src/manifest/internal.h
+++ b/src/manifest/internal.h
@@ -2,7 +2,7 @@
 #define LOOM_MANIFEST_INTERNAL_H
 
 /*
- * What the files of the manifest package share.
+ * Declarations shared by the files of the manifest package.
  */
 
 #include "loom/fields.h"
@@ -17,11 +17,12 @@
 		.retry_ratio = LOOM_RETRY_RATIO_DEFAULT, .tickets = true, \
 	}
 
-/* A declared key; the parsed form of a "keys" element. */
+/* The parsed form of an element of "keys". */
 struct key_entry {
 	char id[LOOM_NAME_MAX + 1];
 	char sha256[2 * LOOM_DIGEST_SIZE + 1];
-	uint8_t digest[LOOM_DIGEST_SIZE]; /* of sha256, when it is valid */
+	/* decoded from sha256; set only if that is valid */
+	uint8_t digest[LOOM_DIGEST_SIZE];
 	bool withdrawn;
 };
 
@@ -80,18 +81,19 @@
 
 struct loom_document {
 	struct loom_ref ref;
-	char *file; /* owned: for messages */
+	char *file; /* owned; used in messages */
 	struct document_body body;
 };
 
-/* The fields of a struct document_body. */
+/* Describes the fields of struct document_body. */
 extern const struct loom_field manifest_document_fields[];
 
-/* Letters, digits and "._/-", at least one: for struct loom_field.check. */
+/* Accepts one or more letters, digits and "._/-"; a loom_field.check. */
 enum loom_result manifest_check_name(const char *name);
 #define MANIFEST_NAME_EXPECTS "letters, digits and any of . _ / -"
 
-/* False for a path that an upstream may read as another one (path.c). */
+/* Returns false for a path that an upstream may interpret as another path
+ * (path.c). */
 bool manifest_path_is_plain(const char *path, size_t len);
 
 struct loom_manifest_index *manifest_index_new(const struct loom_manifest *);
--- a/src/manifest/resolve.c
+++ b/src/manifest/resolve.c
@@ -1,5 +1,5 @@
 /*
- * References between declarations: a route's service and its calls.
+ * Resolves references between declarations: a route's services and calls.
  */
 
 #include "loom/json.h"
@@ -20,7 +20,7 @@
 	build->ok = false;
 }
 
-/* Takes over where; names is NULL-terminated. */
+/* Takes ownership of where.  names is NULL-terminated. */
 static void
 report_unknown(struct build *build, char *where, const char *kind,
     const char *name, const char *const *names)
@@ -36,7 +36,7 @@
 	g_free(where);
 }
 
-/* Takes over where. */
+/* Takes ownership of where. */
 static void
 report_unknown_service(struct build *build, char *where, const char *name)
 {
@@ -50,9 +50,10 @@
 	g_free(names);
 }
 
-/* The index of a service that a route names; NO_INDEX when it is unknown. */
+/* Returns the index of the named service.  Reports an unknown one and returns
+ * NO_INDEX.  member is the field of the route that refers to it. */
 static uint32_t
-resolve_service(struct build *build, const struct place *place,
+resolve_service(struct build *build, const struct declaration *declaration,
     const char *member, const char *name)
 {
 	const struct loom_service *service;
@@ -61,16 +62,16 @@
 	if (service != NULL)
 		return (uint32_t)(service - build->manifest->services);
 	report_unknown_service(build,
-	    g_strdup_printf("%s:routes[%u].%s", place->document->file,
-		place->index, member),
+	    g_strdup_printf("%s:routes[%u].%s", declaration->document->file,
+		declaration->index, member),
 	    name);
 	return NO_INDEX;
 }
 
-/* A part whose service is unknown is left out. */
+/* Omits parts whose service is unknown. */
 static void
 resolve_parts(struct build *build, struct loom_route *route,
-    const struct place *place, const GArray *parts)
+    const struct declaration *declaration, const GArray *parts)
 {
 	const struct part_entry *entry;
 	uint32_t service_index;
@@ -80,8 +81,8 @@
 		route->parts = g_new(struct loom_route_part, parts->len);
 	for (i = 0; i < parts->len; i++) {
 		entry = &g_array_index(parts, struct part_entry, i);
-		service_index =
-		    resolve_service(build, place, "split", entry->service);
+		service_index = resolve_service(
+		    build, declaration, "split", entry->service);
 		if (service_index == NO_INDEX)
 			continue;
 		route->parts[route->nparts++] = (struct loom_route_part){
@@ -92,15 +93,15 @@
 }
 
 static char *
-call_place(const struct place *place, guint call)
+call_location(const struct declaration *declaration, guint call)
 {
-	return g_strdup_printf("%s:routes[%u].calls[%u]", place->document->file,
-	    place->index, call);
+	return g_strdup_printf("%s:routes[%u].calls[%u]",
+	    declaration->document->file, declaration->index, call);
 }
 
 static void
-report_unknown_call(struct build *build, const struct place *place, guint call,
-    const char *name)
+report_unknown_call(struct build *build, const struct declaration *declaration,
+    guint call, const char *name)
 {
 	const struct loom_manifest *manifest = build->manifest;
 	const char **names = g_new0(const char *, manifest->nroutes + 1);
@@ -108,24 +109,27 @@
 
 	for (i = 0; i < manifest->nroutes; i++)
 		names[i] = manifest->routes[i].name;
-	report_unknown(build, call_place(place, call), "route", name, names);
+	report_unknown(
+	    build, call_location(declaration, call), "route", name, names);
 	g_free(names);
 }
 
 static void
-report_call_twice(struct build *build, const struct place *place, guint call,
-    const char *name)
+report_duplicate_call(struct build *build,
+    const struct declaration *declaration, guint call, const char *name)
 {
-	char *where = call_place(place, call);
+	char *where = call_location(declaration, call);
 
 	build_report(build, LOOM_MANIFEST_DUPLICATE, where,
 	    "call \"%s\" is listed twice", name);
 	g_free(where);
 }
 
+/* Omits unknown calls.  A call that is listed several times is resolved at its
+ * last occurrence and reported at each earlier one. */
 static void
 resolve_calls(struct build *build, struct loom_route *route,
-    const struct place *place, char **calls)
+    const struct declaration *declaration, char **calls)
 {
 	const char *const *names = (const char *const *)calls;
 	const struct loom_route *target;
@@ -136,28 +140,28 @@
 	for (i = 0; i < n; i++) {
 		target = loom_manifest_route_by_name(build->manifest, names[i]);
 		if (target == NULL)
-			report_unknown_call(build, place, i, names[i]);
+			report_unknown_call(build, declaration, i, names[i]);
 		else if (!g_strv_contains(names + i + 1, names[i]))
 			route->calls[route->ncalls++] =
 			    (uint32_t)(target - build->manifest->routes);
 		if (g_strv_contains(names + i + 1, names[i]))
-			report_call_twice(build, place, i, names[i]);
+			report_duplicate_call(build, declaration, i, names[i]);
 	}
 }
 
 static void
-resolve_route(struct build *build, uint32_t at)
+resolve_route(struct build *build, uint32_t route_index)
 {
-	struct loom_route *route = &build->manifest->routes[at];
-	const struct place *place = &build->routes[at];
+	struct loom_route *route = &build->manifest->routes[route_index];
+	const struct declaration *declaration = &build->routes[route_index];
 	const struct route_entry *entry;
 
-	entry = &g_array_index(
-	    place->document->body.routes, struct route_entry, place->index);
+	entry = &g_array_index(declaration->document->body.routes,
+	    struct route_entry, declaration->index);
 	route->service_index =
-	    resolve_service(build, place, "service", entry->service);
-	resolve_parts(build, route, place, entry->parts);
-	resolve_calls(build, route, place, entry->calls);
+	    resolve_service(build, declaration, "service", entry->service);
+	resolve_parts(build, route, declaration, entry->parts);
+	resolve_calls(build, route, declaration, entry->calls);
 }
 
 void
--- a/src/manifest/results.c
+++ b/src/manifest/results.c
@@ -1,5 +1,5 @@
 /*
- * The table of result codes in Markdown.
+ * Writes the table of result codes as Markdown.
  */
 
 #include <stdlib.h>
--- a/src/manifest/unique.c
+++ b/src/manifest/unique.c
@@ -1,38 +1,41 @@
 /*
- * What must be declared once: each kind is a hash and a comparison over the
- * manifest's own arrays, and a function that reports a second one.
+ * Checks that declarations are unique.  Each constraint has a hash and an
+ * equality function over one of the manifest's arrays, and a function that
+ * reports a duplicate.
  */
 
 #include <string.h>
 
 #include "manifest/build.h"
 
-struct uniqueness {
+struct unique_constraint {
 	GHashFunc hash;
 	GEqualFunc equal;
-	/* second is declared again; both are indexes of the array */
+	/* reports the element at index second as a duplicate of first */
 	void (*report)(struct build *, uint32_t first, uint32_t second);
-	/* make first stand for both, on the safe side; NULL: keep both */
+	/* merges second into first on the safe side; NULL: keep both */
 	void (*merge)(struct build *, uint32_t first, uint32_t second);
 };
 
 static char *
-list_place(const struct place *place, const char *list, const char *member)
+list_location(
+    const struct declaration *declaration, const char *list, const char *member)
 {
-	return g_strdup_printf(
-	    "%s:%s[%u]%s", place->document->file, list, place->index, member);
+	return g_strdup_printf("%s:%s[%u]%s", declaration->document->file, list,
+	    declaration->index, member);
 }
 
 static char *
-key_place(const struct place *place, const char *member)
+key_location(const struct declaration *declaration, const char *member)
 {
-	return g_strdup_printf("%s:teams[%u].keys[%u]%s", place->document->file,
-	    place->index, place->key, member);
+	return g_strdup_printf("%s:teams[%u].keys[%u]%s",
+	    declaration->document->file, declaration->index, declaration->key,
+	    member);
 }
 
-/* Takes over all three texts. */
+/* Takes ownership of all three strings. */
 static void
-report_twice(struct build *build, char *what, char *first, char *second)
+report_duplicate(struct build *build, char *what, char *first, char *second)
 {
 	build_report(build, LOOM_MANIFEST_DUPLICATE, second,
 	    "%s is declared already at %s", what, first);
@@ -41,18 +44,22 @@
 	g_free(second);
 }
 
-/* Two names with one number would share a rate or a list of hosts. */
+/*
+ * Reports a duplicate name, or two names whose hashes (IDs) collide: these
+ * would share a rate or a list of hosts.  Takes ownership of first and second,
+ * the locations of the two declarations.
+ */
 static void
-report_name_or_id(struct build *build, const char *kind, const char *first_name,
-    const char *name, char *first, char *second)
+report_duplicate_name_or_id(struct build *build, const char *kind,
+    const char *first_name, const char *name, char *first, char *second)
 {
 	if (strcmp(first_name, name) == 0) {
-		report_twice(build, g_strdup_printf("%s \"%s\"", kind, name),
-		    first, second);
+		report_duplicate(build,
+		    g_strdup_printf("%s \"%s\"", kind, name), first, second);
 		return;
 	}
 	build_report(build, LOOM_MANIFEST_ID_CLASH, second,
-	    "%s \"%s\" has the number of \"%s\" at %s: rename one", kind, name,
+	    "%s \"%s\" has the same ID as \"%s\" at %s: rename one", kind, name,
 	    first_name, first);
 	g_free(first);
 	g_free(second);
@@ -79,9 +86,10 @@
 {
 	const struct loom_team *teams = build->manifest->teams;
 
-	report_name_or_id(build, "team", teams[first].name, teams[second].name,
-	    list_place(&build->teams[first], "teams", ""),
-	    list_place(&build->teams[second], "teams", ""));
+	report_duplicate_name_or_id(build, "team", teams[first].name,
+	    teams[second].name,
+	    list_location(&build->teams[first], "teams", ""),
+	    list_location(&build->teams[second], "teams", ""));
 }
 
 static guint
@@ -105,10 +113,10 @@
 {
 	const struct loom_service *services = build->manifest->services;
 
-	report_name_or_id(build, "service", services[first].name,
+	report_duplicate_name_or_id(build, "service", services[first].name,
 	    services[second].name,
-	    list_place(&build->services[first], "services", ""),
-	    list_place(&build->services[second], "services", ""));
+	    list_location(&build->services[first], "services", ""),
+	    list_location(&build->services[second], "services", ""));
 }
 
 static guint
@@ -133,11 +141,11 @@
 {
 	const struct loom_key *key = &build->manifest->keys[second];
 
-	report_twice(build,
+	report_duplicate(build,
 	    g_strdup_printf("key \"%s\" of team \"%s\"", key->id,
 		build->manifest->teams[key->team_index].name),
-	    key_place(&build->keys[first], ".id"),
-	    key_place(&build->keys[second], ".id"));
+	    key_location(&build->keys[first], ".id"),
+	    key_location(&build->keys[second], ".id"));
 }
 
 static guint
@@ -161,9 +169,9 @@
 static void
 report_digest(struct build *build, uint32_t first, uint32_t second)
 {
-	report_twice(build, g_strdup("a key with this SHA-256"),
-	    key_place(&build->keys[first], ".sha256"),
-	    key_place(&build->keys[second], ".sha256"));
+	report_duplicate(build, g_strdup("a key with this SHA-256"),
+	    key_location(&build->keys[first], ".sha256"),
+	    key_location(&build->keys[second], ".sha256"));
 }
 
 static guint
@@ -185,15 +193,15 @@
 static void
 report_route_name(struct build *build, uint32_t first, uint32_t second)
 {
-	report_twice(build,
+	report_duplicate(build,
 	    g_strdup_printf(
 		"route \"%s\"", build->manifest->routes[second].name),
-	    list_place(&build->routes[first], "routes", ".name"),
-	    list_place(&build->routes[second], "routes", ".name"));
+	    list_location(&build->routes[first], "routes", ".name"),
+	    list_location(&build->routes[second], "routes", ".name"));
 }
 
 static guint
-hash_match(gconstpointer item)
+hash_route_pattern(gconstpointer item)
 {
 	const struct loom_route *route = item;
 
@@ -202,7 +210,7 @@
 }
 
 static gboolean
-equal_matches(gconstpointer a, gconstpointer b)
+equal_route_patterns(gconstpointer a, gconstpointer b)
 {
 	const struct loom_route *left = a, *right = b;
 
@@ -213,63 +221,63 @@
 }
 
 static void
-report_match(struct build *build, uint32_t first, uint32_t second)
+report_route_pattern(struct build *build, uint32_t first, uint32_t second)
 {
 	const struct loom_route *route = &build->manifest->routes[second];
 
-	report_twice(build,
+	report_duplicate(build,
 	    g_strdup_printf("%s %s%s%s", route->method, route->host,
 		route->path, route->prefix ? "*" : ""),
-	    list_place(&build->routes[first], "routes", ".path"),
-	    list_place(&build->routes[second], "routes", ".path"));
+	    list_location(&build->routes[first], "routes", ".path"),
+	    list_location(&build->routes[second], "routes", ".path"));
 }
 
-static const struct uniqueness unique_team = {
+static const struct unique_constraint unique_team = {
 	.hash = hash_team,
 	.equal = equal_teams,
 	.report = report_team,
 	.merge = build_merge_teams,
 };
 
-static const struct uniqueness unique_service = {
+static const struct unique_constraint unique_service = {
 	.hash = hash_service,
 	.equal = equal_services,
 	.report = report_service,
 	.merge = build_merge_services,
 };
 
-static const struct uniqueness unique_key_id = {
+static const struct unique_constraint unique_key_id = {
 	.hash = hash_key_id,
 	.equal = equal_key_ids,
 	.report = report_key_id,
 };
 
-static const struct uniqueness unique_digest = {
+static const struct unique_constraint unique_digest = {
 	.hash = hash_digest,
 	.equal = equal_digests,
 	.report = report_digest,
 	.merge = build_merge_digests,
 };
 
-static const struct uniqueness unique_route_name = {
+static const struct unique_constraint unique_route_name = {
 	.hash = hash_route_name,
 	.equal = equal_route_names,
 	.report = report_route_name,
 	.merge = build_merge_routes,
 };
 
-static const struct uniqueness unique_match = {
-	.hash = hash_match,
-	.equal = equal_matches,
-	.report = report_match,
+static const struct unique_constraint unique_route_pattern = {
+	.hash = hash_route_pattern,
+	.equal = equal_route_patterns,
+	.report = report_route_pattern,
 	.merge = build_merge_routes,
 };
 
-/* An array of the manifest, and where its elements are declared. */
+/* An array of the manifest, and the declarations of its elements. */
 struct elements {
 	const void *items;
 	size_t item_bytes;
-	const struct place *places;
+	const struct declaration *declarations;
 	uint32_t n;
 };
 
@@ -280,8 +288,10 @@
 	    (ptrdiff_t)elements->item_bytes);
 }
 
+/* If the first of two equal elements was dropped by another constraint, the
+ * second one takes its place in the table of elements seen. */
 static void
-check(struct build *build, const struct uniqueness *kind,
+check_unique(struct build *build, const struct unique_constraint *kind,
     const struct elements *elements)
 {
 	GHashTable *seen = g_hash_table_new(kind->hash, kind->equal);
@@ -298,7 +308,7 @@
 		kind->report(build, first, i);
 		if (kind->merge == NULL)
 			continue;
-		if (!elements->places[first].dropped)
+		if (!elements->declarations[first].dropped)
 			kind->merge(build, first, i);
 		else
 			g_hash_table_add(seen, item);
@@ -313,32 +323,32 @@
 	const struct elements teams = {
 		.items = manifest->teams,
 		.item_bytes = sizeof(*manifest->teams),
-		.places = build->teams,
+		.declarations = build->teams,
 		.n = manifest->nteams,
 	};
 	const struct elements keys = {
 		.items = manifest->keys,
 		.item_bytes = sizeof(*manifest->keys),
-		.places = build->keys,
+		.declarations = build->keys,
 		.n = manifest->nkeys,
 	};
 	const struct elements services = {
 		.items = manifest->services,
 		.item_bytes = sizeof(*manifest->services),
-		.places = build->services,
+		.declarations = build->services,
 		.n = manifest->nservices,
 	};
 	const struct elements routes = {
 		.items = manifest->routes,
 		.item_bytes = sizeof(*manifest->routes),
-		.places = build->routes,
+		.declarations = build->routes,
 		.n = manifest->nroutes,
 	};
 
-	check(build, &unique_team, &teams);
-	check(build, &unique_key_id, &keys);
-	check(build, &unique_digest, &keys);
-	check(build, &unique_service, &services);
-	check(build, &unique_route_name, &routes);
-	check(build, &unique_match, &routes);
+	check_unique(build, &unique_team, &teams);
+	check_unique(build, &unique_key_id, &keys);
+	check_unique(build, &unique_digest, &keys);
+	check_unique(build, &unique_service, &services);
+	check_unique(build, &unique_route_name, &routes);
+	check_unique(build, &unique_route_pattern, &routes);
 }
--- a/tests/manifest/manifest_support.h
+++ b/tests/manifest/manifest_support.h
@@ -2,7 +2,8 @@
 #define LOOM_MANIFEST_SUPPORT_H
 
 /*
- * Short ways for the manifest tests: documents written with ' for ".
+ * Helpers of the manifest tests.  Documents are written with ' instead of " to
+ * avoid escapes.
  */
 
 #include <string.h>
@@ -10,14 +11,14 @@
 #include "loom/manifest.h"
 #include "support/test.h"
 
-/* text with each ' turned into ", as an owned string. */
+/* Returns a copy of text with each ' replaced by "; owned by the caller. */
 static inline char *
 test_quote(const char *text)
 {
 	return g_strdelimit(g_strdup(text), "'", '"');
 }
 
-/* The code of an error, which is freed; LOOM_OK for none. */
+/* Returns the code of an error, or LOOM_OK for NULL, and frees the error. */
 static inline enum loom_result
 test_take_code(GError *error)
 {
@@ -30,7 +31,7 @@
 	return code;
 }
 
-/* Parse a document written with '; NULL when it has problems. */
+/* Parses a document written with '.  Returns NULL if it has problems. */
 static inline struct loom_document *
 test_document(const char *text, struct loom_problem **problems)
 {
@@ -43,7 +44,8 @@
 	return document;
 }
 
-/* Build from up to four texts (NULL ends); all must parse. */
+/* Builds a manifest from up to four texts, which must all be valid documents; a
+ * smaller number is terminated by NULL. */
 static inline struct loom_manifest *
 test_manifest(const char *const *texts, struct loom_problem **problems)
 {
--- a/tests/manifest/test_build.c
+++ b/tests/manifest/test_build.c
@@ -1,6 +1,6 @@
 /*
- * Documents joined: references, duplicates, circles, the closure of
- * non-idempotence, look-ups.
+ * Tests of merging documents into a manifest: references, duplicates, cycles
+ * of calls, repeatable routes, lookups.
  */
 
 #include <string.h>
@@ -94,12 +94,13 @@
 }
 
 /*
- * A caller sends "/photos/../payments": it matches the photos' route, which
- * may be repeated, and its upstream tidies the path and takes a payment.  The
- * payment then runs once for each repeat.  Such a path must match nothing.
+ * A path that an upstream may interpret as another path must match no route.
+ * Otherwise "/photos/../payments" matches the route of the photos, which may be
+ * repeated; the upstream normalizes the path and takes a payment, once for
+ * each repetition.
  */
 static void
-test_disguised_paths(void)
+test_ambiguous_paths(void)
 {
 	static const char *const texts[] = {
 		"{'document': 'a', 'version': 1, " SERVICE ", 'routes': ["
@@ -149,7 +150,7 @@
 	loom_manifest_release(manifest);
 }
 
-/* What stands twice or refers to nothing, within and across documents. */
+/* Duplicates and unresolved references, within and across documents. */
 static void
 test_problems(void)
 {
@@ -213,17 +214,17 @@
 		{ { "{'document': 'a', 'version': 1, " SERVICE
 		    ", 'routes': [" ROUTE("x", "true", "'x'") "]}" },
 		    "a.jsonc:routes[0].calls: 3010 MANIFEST_CYCLE: "
-		    "calls run in a circle: x -> x\n" },
-		/* the route that only leads to a circle is not in it */
+		    "calls form a cycle: x -> x\n" },
+		/* a route that leads to a cycle is not listed as part of it */
 		{ { "{'document': 'a', 'version': 1, " SERVICE
 		    ", 'routes': [" ROUTE("top", "true", "'x'") "," ROUTE(
 			"x", "true", "'y'") "," ROUTE("y", "true",
 			"'x', 'leaf'") "," ROUTE("leaf", "true",
 			"") "," ROUTE("z", "true", "'z'") "]}" },
 		    "a.jsonc:routes[1].calls: 3010 MANIFEST_CYCLE: "
-		    "calls run in a circle: x -> y -> x\n"
+		    "calls form a cycle: x -> y -> x\n"
 		    "a.jsonc:routes[4].calls: 3010 MANIFEST_CYCLE: "
-		    "calls run in a circle: z -> z\n" },
+		    "calls form a cycle: z -> z\n" },
 	};
 	struct loom_problem *problems;
 	char *text;
@@ -242,12 +243,13 @@
 }
 
 /*
- * A caller's order is repeated after a cut.  The route itself is idempotent,
- * but it takes a payment two calls deeper: the repeat charges the customer
- * again.  So everything that leads to the payment must not be repeated.
+ * A route that leads to a route which is not idempotent must not be repeatable.
+ * Otherwise an order that is repeated after a lost connection charges the
+ * customer twice: the route of the order is idempotent, but it takes a payment
+ * two calls deeper.
  */
 static void
-test_closure(void)
+test_repeatable(void)
 {
 	static const char *const texts[] = {
 		"{'document': 'a', 'version': 1, " SERVICE
@@ -281,10 +283,10 @@
 	loom_manifest_release(manifest);
 }
 
-#define DEPTH 28
+#define CHAIN_LENGTH 28
 
-/* The deepest chain in the plan, its last call a payment; the first of them
- * must know. */
+/* The longest chain of calls planned for: a payment in its last call makes the
+ * first route not repeatable. */
 static void
 test_deep_chain(void)
 {
@@ -295,12 +297,13 @@
 	struct loom_manifest *manifest;
 	unsigned i;
 
-	for (i = 0; i < DEPTH; i++) {
+	for (i = 0; i < CHAIN_LENGTH; i++) {
 		g_string_append_printf(text,
 		    "%s{'name': 'r%u', 'service': 's', 'method': 'GET', "
 		    "'path': '/%u', 'idempotent': %s, 'calls': [",
-		    i == 0 ? "" : ",", i, i, i < DEPTH - 1 ? "true" : "false");
-		if (i < DEPTH - 1)
+		    i == 0 ? "" : ",", i, i,
+		    i < CHAIN_LENGTH - 1 ? "true" : "false");
+		if (i < CHAIN_LENGTH - 1)
 			g_string_append_printf(text, "'r%u'", i + 1);
 		g_string_append(text, "]}");
 	}
@@ -314,7 +317,8 @@
 	g_string_free(text, TRUE);
 }
 
-/* The number of a name is in messages between releases: it must not move. */
+/* The ID of a name is part of messages between different releases, so it must
+ * not change. */
 static void
 test_name_id_is_stable(void)
 {
@@ -324,9 +328,9 @@
 
 static const struct test_case tests[] = {
 	{ "lookups", test_lookups },
-	{ "disguised paths", test_disguised_paths },
+	{ "ambiguous paths", test_ambiguous_paths },
 	{ "problems", test_problems },
-	{ "closure", test_closure },
+	{ "repeatable routes", test_repeatable },
 	{ "deep chain", test_deep_chain },
 	{ "name id is stable", test_name_id_is_stable },
 };
--- a/tests/manifest/test_partial.c
+++ b/tests/manifest/test_partial.c
@@ -1,12 +1,12 @@
 /*
- * Documents that clash when they are joined in a daemon.
+ * Tests of partial manifests, which daemons build from conflicting documents.
  *
- * Two operators ship at the same time; each document passed the pipeline with
- * the other's old one.  A daemon that refused the set would keep keys in force
- * that were withdrawn since, and one that starts just then would have no
- * manifest at all.  So everything that can stand is in force, doubts are
- * settled on the safe side, and the order in which documents arrive does not
- * matter.
+ * Two operators publish at the same time; each document passed the pipeline's
+ * check against the old version of the other.  A daemon that rejected
+ * the set would still accept keys that have since been withdrawn, and one that
+ * starts at that moment would have no manifest at all.  So all valid elements
+ * must take effect, conflicts must be resolved on the safe side, and the order
+ * in which documents arrive must not matter.
  */
 
 #include "loom/explain.h"
@@ -34,29 +34,29 @@
 static const struct {
 	const char *texts[3];
 	size_t problems;
-	/* lines that must and must not be among what is in force */
-	const char *holds[4];
-	const char *lacks;
+	/* texts that the listing of the manifest must and must not contain */
+	const char *contains[4];
+	const char *omits;
 } cases[] = {
-	/* a team in two documents: no more than either allows */
+	/* a team in two documents gets no more than either allows */
 	{ .texts = { DOCUMENT("a", "'teams': [" TEAM("t", "8", "") "]"),
 	      DOCUMENT("b",
 		  "'teams': [" TEAM("u", "1", "") "," TEAM(
 		      "t", "5", KEY("k", DIGEST_A, "false")) "]") },
 	    .problems = 1,
-	    .holds = { "team t: added: rate 5/s; burst 9\n",
+	    .contains = { "team t: added: rate 5/s; burst 9\n",
 		"team u: ", "key k of team t: added: state granted\n" },
-	    .lacks = "rate 8/s" },
-	/* a withdrawal holds although another document clashes */
+	    .omits = "rate 8/s" },
+	/* a withdrawal takes effect although another document is invalid */
 	{ .texts = { DOCUMENT("a",
 			 "'teams': [" TEAM(
 			     "t", "8", KEY("k", DIGEST_A, "true")) "]"),
 	      DOCUMENT(
 		  "b", "'routes': [" ROUTE("r", "gone", "/", "true", "") "]") },
 	    .problems = 1,
-	    .holds = { "key k of team t: added: state withdrawn\n" },
-	    .lacks = "route r" },
-	/* granted by one, withdrawn by the other */
+	    .contains = { "key k of team t: added: state withdrawn\n" },
+	    .omits = "route r" },
+	/* a key granted by one document and withdrawn by the other */
 	{ .texts = { DOCUMENT("a",
 			 "'teams': [" TEAM(
 			     "t", "8", KEY("k", DIGEST_A, "false")) "]"),
@@ -64,9 +64,9 @@
 		  "'teams': [" TEAM(
 		      "t", "8", KEY("k", DIGEST_A, "true")) "]") },
 	    .problems = 2,
-	    .holds = { "key k of team t: added: state withdrawn\n" },
-	    .lacks = "granted" },
-	/* one key for two teams would run a request for the wrong one */
+	    .contains = { "key k of team t: added: state withdrawn\n" },
+	    .omits = "granted" },
+	/* a key of two teams could attribute a request to the wrong team */
 	{ .texts = { DOCUMENT("a",
 			 "'teams': [" TEAM(
 			     "t", "8", KEY("k", DIGEST_A, "false")) "]"),
@@ -75,16 +75,17 @@
 		      KEY("k", DIGEST_A, "false") "," KEY(
 			  "l", DIGEST_B, "false")) "]") },
 	    .problems = 1,
-	    .holds = { "key k of team t: added: state withdrawn\n",
+	    .contains = { "key k of team t: added: state withdrawn\n",
 		"key k of team u: added: state withdrawn\n",
 		"key l of team u: added: state granted\n" },
-	    .lacks = "key k of team t: added: state granted" },
+	    .omits = "key k of team t: added: state granted" },
 	{ .texts = { DOCUMENT("a", "'services': [" SERVICE("s", "8") "]"),
 	      DOCUMENT("b", "'services': [" SERVICE("s", "4") "]") },
 	    .problems = 1,
-	    .holds = { "service s: added: slots 4; " },
-	    .lacks = "slots 8" },
-	/* a route is being moved, and only one side takes a payment */
+	    .contains = { "service s: added: slots 4; " },
+	    .omits = "slots 8" },
+	/* a route is moved between documents; only one version takes a
+	 * payment */
 	{ .texts = { DOCUMENT("a",
 			 "'services': [" SERVICE(
 			     "s", "1") "], 'routes': [" ROUTE("x", "s", "/x",
@@ -95,9 +96,9 @@
 		      "x", "s", "/x", "true", "'pay'") "," ROUTE("pay", "s",
 		      "/pay", "false", "") "]") },
 	    .problems = 2,
-	    .holds = { "repeatable no (x -> pay); calls pay;",
+	    .contains = { "repeatable no (x -> pay); calls pay;",
 		"repeatable no (top -> x -> pay)" },
-	    .lacks = "repeatable yes" },
+	    .omits = "repeatable yes" },
 	{ .texts = { DOCUMENT("a",
 			 "'services': [" SERVICE(
 			     "s", "1") "], 'routes': [" ROUTE("x", "s", "/x",
@@ -105,18 +106,19 @@
 	      DOCUMENT(
 		  "b", "'routes': [" ROUTE("x", "s", "/y", "false", "") "]") },
 	    .problems = 1,
-	    .holds = { "match POST /x; importance normal; idempotent no;" },
-	    .lacks = "idempotent yes" },
-	/* an unknown service: its route alone is left out */
+	    .contains = { "match POST /x; importance normal; idempotent no;" },
+	    .omits = "idempotent yes" },
+	/* only the route to an unknown service is omitted */
 	{ .texts = { DOCUMENT("a",
 	      "'services': [" SERVICE("s", "1") "], 'routes': [" ROUTE(
 		  "lost", "gone", "/l", "true", "") "," ROUTE("x", "s", "/x",
 		  "true", "'lost', 'none'") "]") },
 	    .problems = 2,
-	    .holds = { "route x: added: service s;",
+	    .contains = { "route x: added: service s;",
 		"repeatable yes; calls none" },
-	    .lacks = "route lost" },
-	/* a circle stands, but nothing that leads into it is repeated */
+	    .omits = "route lost" },
+	/* routes in a cycle are kept, but neither they nor their callers are
+	 * repeatable */
 	{ .texts = { DOCUMENT("a",
 			 "'services': [" SERVICE(
 			     "s", "1") "], 'routes': [" ROUTE("x", "s", "/x",
@@ -125,19 +127,21 @@
 	      DOCUMENT("b",
 		  "'routes': [" ROUTE("y", "s", "/y", "true", "'x'") "]") },
 	    .problems = 1,
-	    .holds = { "route x: added", "route y: added", "route top: added" },
-	    .lacks = "repeatable yes" },
+	    .contains = { "route x: added", "route y: added",
+		"route top: added" },
+	    .omits = "repeatable yes" },
 	{ .texts = { DOCUMENT("a", "'fleet': {'slots': 4, 'retry_budget': 3}"),
 	      DOCUMENT("b", "'fleet': {'slots': 6, 'retry_budget': 1}") },
 	    .problems = 1,
-	    .holds = { "fleet: slots as the hosts' list says -> 6\n",
+	    .contains = { "fleet: slots as the hosts' list says -> 6\n",
 		"fleet: retry budget 2 -> 1\n" },
-	    .lacks = "-> 4" },
+	    .omits = "-> 4" },
 };
 
-/* What is in force, as the changes from nothing; owned. */
+/* Returns the contents of the partial manifest as its difference from an empty
+ * manifest; owned. */
 static char *
-in_force(struct loom_document *const *documents, size_t n,
+list_manifest(struct loom_document *const *documents, size_t n,
     struct loom_problem **problems)
 {
 	struct loom_manifest *empty, *manifest;
@@ -152,41 +156,43 @@
 }
 
 static void
-check_case(size_t at)
+check_case(size_t case_index)
 {
 	struct loom_document *documents[2], *reversed[2];
-	struct loom_problem *problems = NULL, *others = NULL;
-	char *text, *other;
+	struct loom_problem *problems = NULL, *reversed_problems = NULL;
+	char *text, *reversed_text;
 	size_t i, n;
 
-	for (n = 0; cases[at].texts[n] != NULL; n++) {
-		documents[n] = test_document(cases[at].texts[n], &problems);
-		if (!TEST_CHECK(documents[n] != NULL, "case %zu", at))
+	for (n = 0; cases[case_index].texts[n] != NULL; n++) {
+		documents[n] =
+		    test_document(cases[case_index].texts[n], &problems);
+		if (!TEST_CHECK(documents[n] != NULL, "case %zu", case_index))
 			return;
 	}
 	for (i = 0; i < n; i++)
 		reversed[i] = documents[n - 1 - i];
-	text = in_force(documents, n, &problems);
-	other = in_force(reversed, n, &others);
-	TEST_CHECK(strcmp(text, other) == 0, "case %zu: %s, reversed %s", at,
-	    text, other);
-	TEST_CHECK(loom_problems_count(problems) == cases[at].problems,
-	    "case %zu: %zu problems", at, loom_problems_count(problems));
-	for (i = 0; cases[at].holds[i] != NULL; i++)
-		TEST_CHECK(strstr(text, cases[at].holds[i]) != NULL,
-		    "case %zu: %s", at, text);
-	TEST_CHECK(
-	    strstr(text, cases[at].lacks) == NULL, "case %zu: %s", at, text);
+	text = list_manifest(documents, n, &problems);
+	reversed_text = list_manifest(reversed, n, &reversed_problems);
+	TEST_CHECK(strcmp(text, reversed_text) == 0,
+	    "case %zu: %s, reversed %s", case_index, text, reversed_text);
+	TEST_CHECK(loom_problems_count(problems) == cases[case_index].problems,
+	    "case %zu: %zu problems", case_index,
+	    loom_problems_count(problems));
+	for (i = 0; cases[case_index].contains[i] != NULL; i++)
+		TEST_CHECK(strstr(text, cases[case_index].contains[i]) != NULL,
+		    "case %zu: %s", case_index, text);
+	TEST_CHECK(strstr(text, cases[case_index].omits) == NULL,
+	    "case %zu: %s", case_index, text);
 	loom_problems_free(problems);
-	loom_problems_free(others);
+	loom_problems_free(reversed_problems);
 	for (i = 0; i < n; i++)
 		loom_document_release(documents[i]);
-	g_free(other);
+	g_free(reversed_text);
 	g_free(text);
 }
 
 static void
-test_clashes(void)
+test_conflicts(void)
 {
 	size_t i;
 
@@ -200,7 +206,8 @@
 	return (unsigned)loom_random_below(random, bound);
 }
 
-/* A document whose names are drawn from a few, so that sets of them clash. */
+/* Returns a document with names drawn from small sets, so that several such
+ * documents often conflict. */
 static struct loom_document *
 random_document(const struct loom_random *random, unsigned number,
     struct loom_problem **problems)
@@ -260,8 +267,8 @@
 		check_route(manifest, &manifest->routes[i], round);
 }
 
-/* Always a manifest that holds together, and the strict join agrees with it
- * on whether there was a clash. */
+/* The partial manifest must always be consistent, and the strict build must
+ * fail exactly if the partial one reports problems. */
 static void
 check_round(const struct loom_random *random, unsigned round)
 {
@@ -273,7 +280,7 @@
 	for (i = 0; i < G_N_ELEMENTS(documents); i++) {
 		documents[i] = random_document(random, i, &problems);
 		if (documents[i] == NULL)
-			CU_FAIL_FATAL("a document of the test itself");
+			CU_FAIL_FATAL("a generated document is invalid");
 	}
 	partial = loom_manifest_build_partial(
 	    documents, G_N_ELEMENTS(documents), 1, &problems);
@@ -303,7 +310,7 @@
 }
 
 static const struct test_case tests[] = {
-	{ "clashes", test_clashes },
+	{ "conflicts", test_conflicts },
 	{ "random sets", test_random_sets },
 };
 
