--- a/src/manifest/build.c
+++ b/src/manifest/build.c
@@ -2,8 +2,8 @@
  * Merges documents into a manifest.  A duplicate declaration or an unresolved
  * reference is reported with the file and location of its declaration.
  * loom_manifest_build() then fails as a whole;
- * loom_manifest_build_partial() returns a manifest without the elements in
- * conflict.
+ * loom_manifest_build_partial() returns a manifest without the elements that
+ * are invalid or in conflict.
  */
 
 #include <string.h>
--- a/src/manifest/drop.c
+++ b/src/manifest/drop.c
@@ -1,5 +1,5 @@
 /*
- * Removes elements in conflict from a partial manifest.
+ * Removes invalid and conflicting elements from a partial manifest.
  *
  * Two operators may each publish a document at the same time.  Each document
  * passes the pipeline's check against the old version of the other, but the
--- a/src/manifest/unique.c
+++ b/src/manifest/unique.c
@@ -291,10 +291,11 @@
 /* If the first of two equal elements was dropped by another constraint, the
  * second one takes its place in the table of elements seen. */
 static void
-check_unique(struct build *build, const struct unique_constraint *kind,
+check_unique(struct build *build, const struct unique_constraint *constraint,
     const struct elements *elements)
 {
-	GHashTable *seen = g_hash_table_new(kind->hash, kind->equal);
+	GHashTable *seen =
+	    g_hash_table_new(constraint->hash, constraint->equal);
 	gpointer item, found;
 	uint32_t first, i;
 
@@ -305,11 +306,11 @@
 			continue;
 		}
 		first = index_of(elements, found);
-		kind->report(build, first, i);
-		if (kind->merge == NULL)
+		constraint->report(build, first, i);
+		if (constraint->merge == NULL)
 			continue;
 		if (!elements->declarations[first].dropped)
-			kind->merge(build, first, i);
+			constraint->merge(build, first, i);
 		else
 			g_hash_table_add(seen, item);
 	}
