--- a/include/loom/manifest.h
+++ b/include/loom/manifest.h
@@ -127,11 +127,11 @@
 	 * another executor only after the first one has reported that it did
 	 * not run it. */
 	bool tickets;
-	/* If set, an executor accepts the key and route that the entry has
-	 * looked up in its own manifest, even if the executor's manifest is
-	 * older or newer, and calls in progress continue after their key is
-	 * withdrawn.  If clear (default), the executor looks both up again, and
-	 * calls in progress end when their key is withdrawn. */
+	/* If set, the entry's check of a request's key and route is final: the
+	 * executor runs the request even if its own manifest, which may be
+	 * older or newer, disagrees, and calls in progress continue after their
+	 * key is withdrawn.  If clear (default), the executor checks both
+	 * again, and calls in progress end when their key is withdrawn. */
 	bool entry_decides;
 };
 
