--- a/tests/standin/platform.c
+++ b/tests/standin/platform.c
@@ -1,10 +1,11 @@
 /*
- * Stand-in for the platform's configuration service: named values with
- * revisions, read and watched over HTTP, with faults that a test switches.
- * docs/PLATFORM.md has the protocol.
+ * Test server that replaces the platform's configuration service.  It stores
+ * named values with revisions, which clients read and monitor over HTTP, and a
+ * test can switch on faults.  docs/PLATFORM.md describes the protocol.
  *
- * One thread a connection, one lock around all values: a waiting watch just
- * sleeps on a condition.  That is enough for the few dozen readers of a test.
+ * It uses one thread per connection and a single lock for all values; a request
+ * that waits for changes sleeps on a condition variable.  This is enough for
+ * the few dozen readers of a test.
  */
 
 #include <argtable2.h>
@@ -27,16 +28,17 @@
 
 enum fault {
 	FAULT_NONE,
-	FAULT_DOWN, /* each connection is closed without an answer */
-	FAULT_STALE, /* answers as of the moment the fault was set */
-	FAULT_SLOW, /* each answer waits for slow_ms */
-	FAULT_CUT, /* half of each answer, then the connection is closed */
-	FAULT_OLDER, /* the value before the last comes again, as a new one */
-	FAULT_SILENT, /* calls are read and never answered, also later */
-	FAULTS,
+	FAULT_DOWN, /* close the connection of each read without a response */
+	FAULT_STALE, /* serve the values as they were when the fault was set */
+	FAULT_SLOW, /* delay each response by slow_ms */
+	FAULT_CUT, /* close the connection after half of each response body */
+	FAULT_OLDER, /* publish each previous value again, as a new revision */
+	FAULT_SILENT, /* never respond to a read that arrives during the fault,
+			 even once the fault is cleared */
+	FAULT_COUNT,
 };
 
-static const char *const fault_names[FAULTS] = {
+static const char *const fault_names[FAULT_COUNT] = {
 	[FAULT_NONE] = "none",
 	[FAULT_DOWN] = "down",
 	[FAULT_STALE] = "stale",
@@ -49,23 +51,23 @@
 struct value {
 	char *text;
 	uint64_t revision;
-	char *previous; /* NULL before the second put */
+	char *previous; /* NULL until the value is replaced */
 };
 
 struct platform {
-	GMutex lock; /* around everything below */
-	GCond changed; /* a value or the fault changed */
-	GHashTable *values; /* name: struct value */
-	GHashTable *frozen; /* what a stale platform answers from, or NULL */
+	GMutex lock; /* protects all fields below */
+	GCond changed; /* signals a new value, a new fault or shutdown */
+	GHashTable *values; /* name to struct value */
+	GHashTable *snapshot; /* served under FAULT_STALE; NULL otherwise */
 	uint64_t revision;
-	uint64_t frozen_revision;
+	uint64_t snapshot_revision;
 	uint64_t calls;
 	uint64_t slow_ms;
 	enum fault fault;
 	bool stopping;
 };
 
-/* The body of a PUT while it comes in. */
+/* A request body that is still being received. */
 struct upload {
 	GString *body;
 };
@@ -83,13 +85,13 @@
 }
 
 static GHashTable *
-table_new(void)
+new_value_table(void)
 {
 	return g_hash_table_new_full(
 	    g_str_hash, g_str_equal, g_free, value_free);
 }
 
-/* The lock is held. */
+/* Stores a value under a new revision.  The caller holds platform.lock. */
 static void
 put_value(const char *name, const char *text)
 {
@@ -106,29 +108,30 @@
 	g_cond_broadcast(&platform.changed);
 }
 
-/* The lock is held. */
+/* Copies the current values for FAULT_STALE; the caller holds the lock. */
 static void
-freeze(void)
+take_snapshot(void)
 {
 	struct value *value, *copy;
 	GHashTableIter iter;
 	void *name, *data;
 
-	platform.frozen = table_new();
-	platform.frozen_revision = platform.revision;
+	platform.snapshot = new_value_table();
+	platform.snapshot_revision = platform.revision;
 	g_hash_table_iter_init(&iter, platform.values);
 	while (g_hash_table_iter_next(&iter, &name, &data)) {
 		value = data;
 		copy = g_new0(struct value, 1);
 		copy->text = g_strdup(value->text);
 		copy->revision = value->revision;
-		g_hash_table_insert(platform.frozen, g_strdup(name), copy);
+		g_hash_table_insert(platform.snapshot, g_strdup(name), copy);
 	}
 }
 
-/* The lock is held. */
+/* Publishes each replaced value again as a new revision.  The caller holds
+ * platform.lock. */
 static void
-bring_back_previous(void)
+republish_previous_values(void)
 {
 	struct value *value;
 	GHashTableIter iter;
@@ -146,37 +149,38 @@
 	}
 }
 
-/* The lock is held. */
+/* The caller holds platform.lock. */
 static void
 set_fault(enum fault fault, uint64_t slow_ms)
 {
-	if (platform.frozen != NULL) {
-		g_hash_table_destroy(platform.frozen);
-		platform.frozen = NULL;
+	if (platform.snapshot != NULL) {
+		g_hash_table_destroy(platform.snapshot);
+		platform.snapshot = NULL;
 	}
 	platform.fault = fault;
 	platform.slow_ms = slow_ms;
 	if (fault == FAULT_STALE)
-		freeze();
+		take_snapshot();
 	if (fault == FAULT_OLDER)
-		bring_back_previous();
+		republish_previous_values();
 	g_cond_broadcast(&platform.changed);
 }
 
-/* The values and the revision that readers see now.  The lock is held. */
+/* Returns the values that clients currently see, and their revision.  The
+ * caller holds platform.lock. */
 static GHashTable *
-seen_values(uint64_t *revision)
+visible_values(uint64_t *revision)
 {
-	if (platform.frozen != NULL) {
-		*revision = platform.frozen_revision;
-		return platform.frozen;
+	if (platform.snapshot != NULL) {
+		*revision = platform.snapshot_revision;
+		return platform.snapshot;
 	}
 	*revision = platform.revision;
 	return platform.values;
 }
 
 static struct json_object *
-value_object(const char *name, const struct value *value)
+value_to_json(const char *name, const struct value *value)
 {
 	struct json_object *object = json_object_new_object();
 
@@ -188,8 +192,8 @@
 	return object;
 }
 
-/* The values under prefix with a revision after the given one; the lock is
- * held. */
+/* Returns the values whose names start with prefix and whose revision is
+ * greater than after.  The caller holds platform.lock. */
 static struct json_object *
 changed_values(const char *prefix, uint64_t after, uint64_t *revision)
 {
@@ -198,11 +202,11 @@
 	GHashTableIter iter;
 	void *name, *data;
 
-	g_hash_table_iter_init(&iter, seen_values(revision));
+	g_hash_table_iter_init(&iter, visible_values(revision));
 	while (g_hash_table_iter_next(&iter, &name, &data)) {
 		value = data;
 		if (g_str_has_prefix(name, prefix) && value->revision > after)
-			json_object_array_add(list, value_object(name, value));
+			json_object_array_add(list, value_to_json(name, value));
 	}
 	return list;
 }
@@ -217,16 +221,17 @@
 	return text != NULL ? g_ascii_strtoull(text, NULL, 10) : fallback;
 }
 
-/* Half of an answer whose length was promised whole. */
-struct cut_body {
+/* A response body that is sent only half, although Content-Length announces
+ * all of it. */
+struct truncated_body {
 	size_t len;
 	char text[];
 };
 
 static ssize_t
-read_cut_body(void *arg, uint64_t pos, char *buf, size_t max)
+read_truncated_body(void *arg, uint64_t pos, char *buf, size_t max)
 {
-	struct cut_body *body = arg;
+	struct truncated_body *body = arg;
 	size_t left;
 
 	if (pos >= body->len / 2)
@@ -238,18 +243,18 @@
 }
 
 static struct MHD_Response *
-cut_response(const char *text, size_t len)
+truncated_response(const char *text, size_t len)
 {
-	struct cut_body *body = g_malloc(sizeof(*body) + len);
+	struct truncated_body *body = g_malloc(sizeof(*body) + len);
 
 	body->len = len;
 	memcpy(body->text, text, len);
 	return MHD_create_response_from_callback(
-	    len, 1024, read_cut_body, body, g_free);
+	    len, 1024, read_truncated_body, body, g_free);
 }
 
 static enum MHD_Result
-answer(struct MHD_Connection *connection, unsigned status,
+send_json(struct MHD_Connection *connection, unsigned status,
     struct json_object *object, bool cut)
 {
 	struct MHD_Response *response;
@@ -259,7 +264,7 @@
 
 	text = json_object_to_json_string_ext(object, JSON_C_TO_STRING_PLAIN);
 	len = strlen(text);
-	response = cut ? cut_response(text, len)
+	response = cut ? truncated_response(text, len)
 		       : MHD_create_response_from_buffer(
 			     len, (void *)text, MHD_RESPMEM_MUST_COPY);
 	MHD_add_response_header(response, "Content-Type", "application/json");
@@ -270,18 +275,19 @@
 }
 
 static enum MHD_Result
-answer_text(struct MHD_Connection *connection, unsigned status, const char *key,
-    const char *text)
+send_json_string(struct MHD_Connection *connection, unsigned status,
+    const char *key, const char *text)
 {
 	struct json_object *object = json_object_new_object();
 
 	json_object_object_add(object, key, json_object_new_string(text));
-	return answer(connection, status, object, false);
+	return send_json(connection, status, object, false);
 }
 
-/* Sleep until deadline while the fault stays as it is; the lock is held. */
+/* Waits for slow_ms, or until the fault changes or the server stops.  The
+ * caller holds platform.lock. */
 static void
-wait_slow(void)
+delay_response(void)
 {
 	gint64 end = g_get_monotonic_time() + (gint64)platform.slow_ms * 1000;
 
@@ -291,18 +297,19 @@
 	}
 }
 
-/* The lock is held. */
+/* The caller holds platform.lock. */
 static void
-wait_for_the_end(void)
+wait_until_stopping(void)
 {
 	while (!platform.stopping)
 		g_cond_wait(&platform.changed, &platform.lock);
 }
 
-/* Wait until something changed, the time is up or the platform is down; the
- * lock is held. */
+/* Waits until a matching value changes, wait_ms has passed, FAULT_DOWN is set
+ * or the server stops.  The caller holds platform.lock. */
 static struct json_object *
-watch(const char *prefix, uint64_t after, uint64_t wait_ms, uint64_t *revision)
+wait_for_changes(
+    const char *prefix, uint64_t after, uint64_t wait_ms, uint64_t *revision)
 {
 	gint64 end = g_get_monotonic_time() + (gint64)wait_ms * 1000;
 	struct json_object *list;
@@ -318,7 +325,7 @@
 }
 
 static struct json_object *
-list_answer(struct MHD_Connection *connection)
+value_list_body(struct MHD_Connection *connection)
 {
 	struct json_object *object = json_object_new_object();
 	struct json_object *list;
@@ -329,7 +336,7 @@
 	    connection, MHD_GET_ARGUMENT_KIND, "prefix");
 	after = argument_u64(connection, "after", 0);
 	wait_ms = argument_u64(connection, "wait_ms", 0);
-	list = watch(prefix != NULL ? prefix : "", after,
+	list = wait_for_changes(prefix != NULL ? prefix : "", after,
 	    MIN(wait_ms, WAIT_MAX_MS), &revision);
 	json_object_object_add(
 	    object, "revision", json_object_new_int64((int64_t)revision));
@@ -338,16 +345,16 @@
 }
 
 static struct json_object *
-one_answer(const char *name)
+single_value_body(const char *name)
 {
 	const struct value *value;
 	uint64_t revision;
 
-	value = g_hash_table_lookup(seen_values(&revision), name);
-	return value != NULL ? value_object(name, value) : NULL;
+	value = g_hash_table_lookup(visible_values(&revision), name);
+	return value != NULL ? value_to_json(name, value) : NULL;
 }
 
-/* A reader's call: GET below /v1/values. */
+/* Handles GET requests for the list of values or for a single one. */
 static enum MHD_Result
 handle_read(struct MHD_Connection *connection, const char *rest)
 {
@@ -357,12 +364,12 @@
 	g_mutex_lock(&platform.lock);
 	platform.calls++;
 	if (platform.fault == FAULT_SLOW)
-		wait_slow();
+		delay_response();
 	if (platform.fault == FAULT_SILENT)
-		wait_for_the_end();
+		wait_until_stopping();
 	if (platform.fault != FAULT_DOWN && !platform.stopping)
-		object = *rest == '/' ? one_answer(rest + 1)
-				      : list_answer(connection);
+		object = *rest == '/' ? single_value_body(rest + 1)
+				      : value_list_body(connection);
 	fault = platform.stopping ? FAULT_DOWN : platform.fault;
 	g_mutex_unlock(&platform.lock);
 	if (fault == FAULT_DOWN) {
@@ -370,13 +377,13 @@
 		return MHD_NO;
 	}
 	if (object == NULL)
-		return answer_text(
+		return send_json_string(
 		    connection, MHD_HTTP_NOT_FOUND, "error", "no such value");
-	return answer(connection, MHD_HTTP_OK, object, fault == FAULT_CUT);
+	return send_json(connection, MHD_HTTP_OK, object, fault == FAULT_CUT);
 }
 
 static enum MHD_Result
-handle_calls(struct MHD_Connection *connection)
+handle_call_count(struct MHD_Connection *connection)
 {
 	struct json_object *object = json_object_new_object();
 
@@ -384,7 +391,7 @@
 	json_object_object_add(
 	    object, "calls", json_object_new_int64((int64_t)platform.calls));
 	g_mutex_unlock(&platform.lock);
-	return answer(connection, MHD_HTTP_OK, object, false);
+	return send_json(connection, MHD_HTTP_OK, object, false);
 }
 
 static enum MHD_Result
@@ -394,21 +401,21 @@
 	    connection, MHD_GET_ARGUMENT_KIND, "mode");
 	size_t i;
 
-	for (i = 0; i < FAULTS; i++) {
+	for (i = 0; i < FAULT_COUNT; i++) {
 		if (g_strcmp0(mode, fault_names[i]) != 0)
 			continue;
 		g_mutex_lock(&platform.lock);
 		set_fault((enum fault)i,
 		    argument_u64(connection, "ms", SLOW_DEFAULT_MS));
 		g_mutex_unlock(&platform.lock);
-		return answer_text(connection, MHD_HTTP_OK, "fault", mode);
+		return send_json_string(connection, MHD_HTTP_OK, "fault", mode);
 	}
-	return answer_text(
+	return send_json_string(
 	    connection, MHD_HTTP_BAD_REQUEST, "error", "unknown mode");
 }
 
 static enum MHD_Result
-handle_put(struct MHD_Connection *connection, const char *name,
+handle_put_value(struct MHD_Connection *connection, const char *name,
     const struct upload *upload)
 {
 	struct json_object *object = json_object_new_object();
@@ -418,7 +425,7 @@
 	json_object_object_add(object, "revision",
 	    json_object_new_int64((int64_t)platform.revision));
 	g_mutex_unlock(&platform.lock);
-	return answer(connection, MHD_HTTP_OK, object, false);
+	return send_json(connection, MHD_HTTP_OK, object, false);
 }
 
 static enum MHD_Result
@@ -429,7 +436,7 @@
 	const char *rest;
 
 	if (get && strcmp(url, "/v1/calls") == 0)
-		return handle_calls(connection);
+		return handle_call_count(connection);
 	if (get && g_str_has_prefix(url, VALUES_URL)) {
 		rest = url + strlen(VALUES_URL);
 		if (*rest == '\0' || *rest == '/')
@@ -440,14 +447,14 @@
 		return handle_fault(connection);
 	if (strcmp(method, MHD_HTTP_METHOD_PUT) == 0 &&
 	    g_str_has_prefix(url, TEST_VALUES_URL))
-		return handle_put(
+		return handle_put_value(
 		    connection, url + strlen(TEST_VALUES_URL), upload);
-	return answer_text(
+	return send_json_string(
 	    connection, MHD_HTTP_NOT_FOUND, "error", "no such page");
 }
 
 static enum MHD_Result
-handle(void *arg, struct MHD_Connection *connection, const char *url,
+on_request(void *arg, struct MHD_Connection *connection, const char *url,
     const char *method, const char *version, const char *data, size_t *size,
     void **state)
 {
@@ -472,7 +479,7 @@
 }
 
 static void
-completed(void *arg, struct MHD_Connection *connection, void **state,
+on_request_completed(void *arg, struct MHD_Connection *connection, void **state,
     enum MHD_RequestTerminationCode code)
 {
 	struct upload *upload = *state;
@@ -487,7 +494,8 @@
 	*state = NULL;
 }
 
-/* Load a directory's files; "__" in a file's name stands for "/". */
+/* Loads each file of a directory as a value.  "__" in a file name stands for
+ * "/" in the value's name. */
 static void
 load_directory(const char *path)
 {
@@ -496,7 +504,7 @@
 	const char *entry;
 
 	if (dir == NULL) {
-		fprintf(stderr, "platform: cannot read %s\n", path);
+		fprintf(stderr, "platform: cannot open directory %s\n", path);
 		exit(EXIT_FAILURE);
 	}
 	while ((entry = g_dir_read_name(dir)) != NULL) {
@@ -533,10 +541,11 @@
 	pthread_sigmask(SIG_BLOCK, &signals, NULL);
 	daemon = MHD_start_daemon(
 	    MHD_USE_INTERNAL_POLLING_THREAD | MHD_USE_THREAD_PER_CONNECTION,
-	    port, NULL, NULL, handle, NULL, MHD_OPTION_SOCK_ADDR, &address,
-	    MHD_OPTION_NOTIFY_COMPLETED, completed, NULL, MHD_OPTION_END);
+	    port, NULL, NULL, on_request, NULL, MHD_OPTION_SOCK_ADDR, &address,
+	    MHD_OPTION_NOTIFY_COMPLETED, on_request_completed, NULL,
+	    MHD_OPTION_END);
 	if (daemon == NULL) {
-		fprintf(stderr, "platform: cannot listen\n");
+		fprintf(stderr, "platform: cannot start the HTTP server\n");
 		exit(EXIT_FAILURE);
 	}
 	info = MHD_get_daemon_info(daemon, MHD_DAEMON_INFO_BIND_PORT);
@@ -553,10 +562,10 @@
 int
 main(int argc, char **argv)
 {
-	struct arg_int *port =
-	    arg_int0(NULL, "port", "PORT", "port on 127.0.0.1, 0 for any");
-	struct arg_str *dir =
-	    arg_str0(NULL, "dir", "DIR", "files to load as values");
+	struct arg_int *port = arg_int0(
+	    NULL, "port", "PORT", "port on 127.0.0.1; 0 for any free one");
+	struct arg_str *dir = arg_str0(
+	    NULL, "dir", "DIR", "directory of files to load as values");
 	struct arg_end *end = arg_end(4);
 	void *table[] = { port, dir, end };
 
@@ -566,13 +575,13 @@
 		arg_print_syntax(stderr, table, "\n");
 		return EXIT_FAILURE;
 	}
-	platform.values = table_new();
+	platform.values = new_value_table();
 	if (dir->count > 0)
 		load_directory(dir->sval[0]);
 	serve((uint16_t)port->ival[0]);
 	g_hash_table_destroy(platform.values);
-	if (platform.frozen != NULL)
-		g_hash_table_destroy(platform.frozen);
+	if (platform.snapshot != NULL)
+		g_hash_table_destroy(platform.snapshot);
 	arg_freetable(table, G_N_ELEMENTS(table));
 	return EXIT_SUCCESS;
 }
