--- a/tests/standin/platform.c
+++ b/tests/standin/platform.c
@@ -545,7 +545,7 @@
 	    MHD_OPTION_NOTIFY_COMPLETED, on_request_completed, NULL,
 	    MHD_OPTION_END);
 	if (daemon == NULL) {
-		fprintf(stderr, "platform: cannot start the HTTP server\n");
+		fprintf(stderr, "platform: cannot listen\n");
 		exit(EXIT_FAILURE);
 	}
 	info = MHD_get_daemon_info(daemon, MHD_DAEMON_INFO_BIND_PORT);
--- a/tests/standin/relay.c
+++ b/tests/standin/relay.c
@@ -1,25 +1,30 @@
 /*
- * Stand-in for the network between hosts: it listens at the addresses under
- * which the hosts know each other, forwards bytes to the real ones, and cuts
- * them off from each other when a test says so.
+ * TCP relay that simulates the network between hosts.  It listens on the
+ * addresses that the hosts use for each other, forwards bytes to the ports on
+ * which they really listen, and simulates a network partition when a test
+ * requests one.
  *
- * Hosts are known by the last number of their loopback address, NET.1 to
- * NET.HOSTS; NET.PLATFORM_HOST is the platform.  Who connects is told by the
- * source address, so daemons run with "source_address".
+ * A host is identified by the last octet of its loopback address: NET.1 to
+ * NET.HOSTS are the hosts, NET.PLATFORM_HOST is the platform.  The relay
+ * identifies the sender by its source address, so the daemons must run with
+ * "source_address" set.
  *
  *   POST /test/cut?from=1,2&to=3,4&ways=both|one&mode=hold|drop|reset
- *       Nothing that a host of from sends reaches one of to, with "both" the
- *       other way neither.  Connections that stand go silent.  What was sent
- *       is delivered after the cut (hold) or never, and the connection is
- *       reset then (drop).  A new connection is taken and stays silent; with
- *       "reset" it is reset.
+ *       Stops traffic from each host in "from" to each host in "to", and with
+ *       "both" also in the opposite direction.  Existing connections stay
+ *       open, but no data passes.  Data sent during the cut is delivered once
+ *       the cut ends (hold), or it is discarded and the connection is reset
+ *       once the cut ends (drop, reset).  New connections are accepted and
+ *       carry no data (hold, drop), or are reset at once (reset).
  *   POST /test/heal
- *   GET /test/held    how many directions of connections a cut holds now
+ *       Ends all cuts.
+ *   GET /test/held
+ *       Returns how many directions of connections are cut at present.
  *
- * What is not played: a SYN that gets no answer.  The kernel takes the
- * connection before the relay sees from whom it is, so that a daemon that
- * connects across a cut believes to be connected, which is the harder case.
- * test_fetch has the other.
+ * The relay can't simulate a SYN that is never answered: the kernel completes
+ * the handshake before the relay learns the source address.  A daemon that
+ * connects across a cut therefore sees an established connection, which is the
+ * harder case.  test_fetch covers the unanswered SYN.
  */
 
 #include <argtable2.h>
@@ -39,23 +44,24 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define NODES 256
+#define HOST_ID_COUNT 256
 #define PLATFORM_HOST 251
 #define BACKLOG 512
-#define BLOCK (32 * 1024)
-/* How soon a switch is seen by the loop that forwards. */
-#define TURN_MS 10
+#define BUFFER_BYTES (32 * 1024)
+/* Poll timeout: the longest time until the forwarding loop notices that a cut
+ * was set or ended. */
+#define POLL_TIMEOUT_MS 10
 
-/* What becomes of bytes from one host to another. */
+/* What happens to the bytes that one host sends to another. */
 enum cut {
 	CUT_NONE,
 	CUT_HOLD,
 	CUT_DROP,
-	CUT_RESET, /* as CUT_DROP, and new connections are reset */
-	CUTS,
+	CUT_RESET, /* like CUT_DROP, but new connections are reset */
+	CUT_COUNT,
 };
 
-static const char *const cut_names[CUTS] = {
+static const char *const cut_names[CUT_COUNT] = {
 	[CUT_NONE] = "none",
 	[CUT_HOLD] = "hold",
 	[CUT_DROP] = "drop",
@@ -64,22 +70,22 @@
 
 struct listener {
 	int fd;
-	uint8_t host; /* to which it leads */
+	uint8_t host; /* the host it forwards to */
 	struct sockaddr_in target;
 };
 
 /* One direction of a connection. */
 struct flow {
-	int in; /* borrowed from the connection */
+	int in; /* borrowed from the connection, as is out */
 	int out;
 	uint8_t from;
 	uint8_t to;
-	uint8_t *data; /* owned: read and not yet written */
+	uint8_t *data; /* owned; bytes read and not yet written */
 	size_t start;
 	size_t len;
-	bool ended; /* no more will be read */
-	bool shut; /* and that was passed on */
-	bool lost; /* bytes of it were dropped */
+	bool read_ended; /* end of stream or a read error */
+	bool write_ended; /* the end was forwarded with shutdown() */
+	bool data_lost; /* some of its bytes were discarded */
 };
 
 struct connection {
@@ -88,10 +94,10 @@
 };
 
 static struct {
-	GMutex lock; /* around cuts and held */
-	enum cut cuts[NODES][NODES]; /* by sender and receiver */
+	GMutex lock; /* protects cuts and held */
+	enum cut cuts[HOST_ID_COUNT][HOST_ID_COUNT]; /* [sender][receiver] */
 	uint32_t held;
-	uint32_t net; /* the first three numbers, in host order */
+	uint32_t net; /* the first three octets, in host byte order */
 	GArray *listeners; /* of struct listener */
 	GPtrArray *connections; /* of struct connection, owned */
 	volatile sig_atomic_t stopping;
@@ -108,7 +114,8 @@
 	return cut;
 }
 
-/* 0 for one that is no host, which nothing cuts. */
+/* Returns 0 for an address outside the hosts' network; a cut never applies to
+ * it unless a test names host 0. */
 static uint8_t
 host_of(const struct sockaddr_in *address)
 {
@@ -118,7 +125,7 @@
 }
 
 static void
-set_reset(int fd)
+reset_on_close(int fd)
 {
 	const struct linger linger = { .l_onoff = 1 };
 
@@ -132,9 +139,9 @@
 	int i;
 
 	for (i = 0; i < 2; i++) {
-		if (connection->flows[i].lost) {
-			set_reset(connection->fds[0]);
-			set_reset(connection->fds[1]);
+		if (connection->flows[i].data_lost) {
+			reset_on_close(connection->fds[0]);
+			reset_on_close(connection->fds[1]);
 		}
 		g_free(connection->flows[i].data);
 	}
@@ -179,13 +186,13 @@
 			.out = connection->fds[1 - i],
 			.from = i == 0 ? from : listener->host,
 			.to = i == 0 ? listener->host : from,
-			.data = g_malloc(BLOCK),
+			.data = g_malloc(BUFFER_BYTES),
 		};
 	g_ptr_array_add(relay.connections, connection);
 }
 
 static void
-accept_from(const struct listener *listener)
+accept_connections(const struct listener *listener)
 {
 	const int one = 1;
 	struct sockaddr_in address = { .sin_family = AF_INET };
@@ -198,7 +205,7 @@
 		from = host_of(&address);
 		setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
 		if (cut_between(from, listener->host) == CUT_RESET) {
-			set_reset(fd);
+			reset_on_close(fd);
 			close(fd);
 		} else {
 			add_connection(listener, fd, from);
@@ -206,14 +213,15 @@
 	}
 }
 
-/* Whether the direction may move now; dropped bytes are read and forgotten. */
+/* Returns whether the flow may read and write now.  Under CUT_DROP and
+ * CUT_RESET it may: its bytes are read and discarded. */
 static bool
-flow_open(struct flow *flow, enum cut cut)
+flow_may_move(struct flow *flow, enum cut cut)
 {
 	if (cut == CUT_NONE || cut == CUT_HOLD)
 		return cut == CUT_NONE;
 	if (flow->len > 0)
-		flow->lost = true;
+		flow->data_lost = true;
 	flow->len = 0;
 	return true;
 }
@@ -221,75 +229,78 @@
 static void
 flow_read(struct flow *flow, enum cut cut)
 {
-	ssize_t got = recv(flow->in, flow->data, BLOCK, 0);
+	ssize_t received_bytes = recv(flow->in, flow->data, BUFFER_BYTES, 0);
 
-	if (got < 0 && (errno == EAGAIN || errno == EINTR))
+	if (received_bytes < 0 && (errno == EAGAIN || errno == EINTR))
 		return;
-	if (got <= 0) {
-		flow->ended = true;
+	if (received_bytes <= 0) {
+		flow->read_ended = true;
 		return;
 	}
 	flow->start = 0;
-	flow->len = (size_t)got;
+	flow->len = (size_t)received_bytes;
 	if (cut != CUT_NONE) {
-		flow->lost = true;
+		flow->data_lost = true;
 		flow->len = 0;
 	}
 }
 
-/* False when the connection is broken. */
+/* Returns false on a write error. */
 static bool
 flow_write(struct flow *flow)
 {
-	ssize_t put =
+	ssize_t sent_bytes =
 	    send(flow->out, flow->data + flow->start, flow->len, MSG_NOSIGNAL);
 
-	if (put < 0)
+	if (sent_bytes < 0)
 		return errno == EAGAIN || errno == EINTR;
-	flow->start += (size_t)put;
-	flow->len -= (size_t)put;
+	flow->start += (size_t)sent_bytes;
+	flow->len -= (size_t)sent_bytes;
 	return true;
 }
 
-/* False when the connection is over. */
+/* Returns false if the connection must be closed. */
 static bool
-flow_move(struct flow *flow)
+flow_forward(struct flow *flow)
 {
 	enum cut cut = cut_between(flow->from, flow->to);
 
-	if (!flow_open(flow, cut))
+	if (!flow_may_move(flow, cut))
 		return true;
-	/* The cut is over and the stream has a hole. */
-	if (flow->lost && cut == CUT_NONE)
+	/* The cut has ended, but bytes are missing from the stream. */
+	if (flow->data_lost && cut == CUT_NONE)
 		return false;
-	if (flow->len == 0 && !flow->ended)
+	if (flow->len == 0 && !flow->read_ended)
 		flow_read(flow, cut);
 	if (flow->len > 0 && !flow_write(flow))
 		return false;
-	if (flow->ended && flow->len == 0 && !flow->shut && cut == CUT_NONE) {
+	if (flow->read_ended && flow->len == 0 && !flow->write_ended &&
+	    cut == CUT_NONE) {
 		shutdown(flow->out, SHUT_WR);
-		flow->shut = true;
+		flow->write_ended = true;
 	}
 	return true;
 }
 
 static bool
-connection_move(struct connection *connection)
+connection_forward(struct connection *connection)
 {
 	struct flow *flows = connection->flows;
 
-	return flow_move(&flows[0]) && flow_move(&flows[1]) &&
-	    !(flows[0].shut && flows[1].shut);
+	return flow_forward(&flows[0]) && flow_forward(&flows[1]) &&
+	    !(flows[0].write_ended && flows[1].write_ended);
 }
 
-/* A broken end tells of itself in each poll, also with nothing asked for; it
- * is left out while a cut holds its direction. */
+/* Adds the events that the flow waits for.  poll() reports POLLERR and POLLHUP
+ * even if no event is requested, so a broken socket would make the loop spin;
+ * its descriptor is left out while the flow is held. */
 static void
-poll_flow(const struct flow *flow, struct pollfd *in, struct pollfd *out)
+set_flow_events(const struct flow *flow, struct pollfd *in, struct pollfd *out)
 {
 	enum cut cut = cut_between(flow->from, flow->to);
 
-	if (cut == CUT_HOLD || flow->shut || (flow->ended && flow->len == 0))
+	if (cut == CUT_HOLD || flow->write_ended ||
+	    (flow->read_ended && flow->len == 0))
 		return;
 	if (flow->len > 0) {
 		out->fd = flow->out;
@@ -301,7 +312,7 @@
 }
 
 static void
-add_poll(GArray *polls, int fd)
+add_poll_fd(GArray *polls, int fd)
 {
 	const struct pollfd poll = { .fd = fd, .events = POLLIN };
 
@@ -309,7 +320,7 @@
 }
 
 static void
-wait_for_work(GArray *polls)
+poll_sockets(GArray *polls)
 {
 	struct connection *connection;
 	struct pollfd *poll_of;
@@ -317,7 +328,7 @@
 
 	g_array_set_size(polls, 0);
 	for (i = 0; i < relay.listeners->len; i++)
-		add_poll(polls,
+		add_poll_fd(polls,
 		    g_array_index(relay.listeners, struct listener, i).fd);
 	g_array_set_size(
 	    polls, relay.listeners->len + 2 * relay.connections->len);
@@ -327,10 +338,12 @@
 		    polls, struct pollfd, relay.listeners->len + 2 * i);
 		poll_of[0] = (struct pollfd){ .fd = -1 };
 		poll_of[1] = (struct pollfd){ .fd = -1 };
-		poll_flow(&connection->flows[0], &poll_of[0], &poll_of[1]);
-		poll_flow(&connection->flows[1], &poll_of[1], &poll_of[0]);
+		set_flow_events(
+		    &connection->flows[0], &poll_of[0], &poll_of[1]);
+		set_flow_events(
+		    &connection->flows[1], &poll_of[1], &poll_of[0]);
 	}
-	poll((struct pollfd *)(void *)polls->data, polls->len, TURN_MS);
+	poll((struct pollfd *)(void *)polls->data, polls->len, POLL_TIMEOUT_MS);
 }
 
 static uint32_t
@@ -350,18 +363,18 @@
 }
 
 static void
-forward(void)
+run_forwarding_loop(void)
 {
 	GArray *polls = g_array_new(FALSE, FALSE, sizeof(struct pollfd));
 	guint i;
 
 	while (!relay.stopping) {
-		wait_for_work(polls);
+		poll_sockets(polls);
 		for (i = 0; i < relay.listeners->len; i++)
-			accept_from(&g_array_index(
+			accept_connections(&g_array_index(
 			    relay.listeners, struct listener, i));
 		for (i = relay.connections->len; i > 0; i--) {
-			if (!connection_move(
+			if (!connection_forward(
 				g_ptr_array_index(relay.connections, i - 1)))
 				g_ptr_array_remove_index_fast(
 				    relay.connections, i - 1);
@@ -373,16 +386,16 @@
 	g_array_free(polls, TRUE);
 }
 
-/* "1,2,251"; empty for none. */
+/* Parses a comma-separated list such as "1,2,251"; NULL or "" is no host. */
 static void
-read_hosts(const char *text, bool member[NODES])
+parse_hosts(const char *text, bool is_member[HOST_ID_COUNT])
 {
 	char **words = g_strsplit(text != NULL ? text : "", ",", -1);
 	char **word;
 
-	memset(member, 0, NODES * sizeof(bool));
+	memset(is_member, 0, HOST_ID_COUNT * sizeof(bool));
 	for (word = words; *word != NULL; word++)
-		member[strtoul(*word, NULL, 10) % NODES] = true;
+		is_member[strtoul(*word, NULL, 10) % HOST_ID_COUNT] = true;
 	g_strfreev(words);
 }
 
@@ -394,11 +407,11 @@
 }
 
 static bool
-read_cut(const char *mode, enum cut *cut)
+parse_cut_mode(const char *mode, enum cut *cut)
 {
 	int i;
 
-	for (i = CUT_HOLD; i < CUTS; i++) {
+	for (i = CUT_HOLD; i < CUT_COUNT; i++) {
 		if (g_strcmp0(mode, cut_names[i]) == 0) {
 			*cut = (enum cut)i;
 			return true;
@@ -411,17 +424,17 @@
 set_cut(struct MHD_Connection *connection)
 {
 	bool both = g_strcmp0(argument(connection, "ways"), "one") != 0;
-	bool from[NODES], to[NODES];
+	bool from[HOST_ID_COUNT], to[HOST_ID_COUNT];
 	enum cut cut;
 	int i, j;
 
-	if (!read_cut(argument(connection, "mode"), &cut))
+	if (!parse_cut_mode(argument(connection, "mode"), &cut))
 		return false;
-	read_hosts(argument(connection, "from"), from);
-	read_hosts(argument(connection, "to"), to);
+	parse_hosts(argument(connection, "from"), from);
+	parse_hosts(argument(connection, "to"), to);
 	g_mutex_lock(&relay.lock);
-	for (i = 0; i < NODES; i++) {
-		for (j = 0; j < NODES; j++) {
+	for (i = 0; i < HOST_ID_COUNT; i++) {
+		for (j = 0; j < HOST_ID_COUNT; j++) {
 			if (from[i] && to[j])
 				relay.cuts[i][j] = cut;
 			if (both && from[i] && to[j])
@@ -433,7 +446,7 @@
 }
 
 static void
-heal(void)
+clear_cuts(void)
 {
 	g_mutex_lock(&relay.lock);
 	memset(relay.cuts, 0, sizeof(relay.cuts));
@@ -441,7 +454,7 @@
 }
 
 static enum MHD_Result
-answer(struct MHD_Connection *connection, unsigned status)
+send_held_count(struct MHD_Connection *connection, unsigned status)
 {
 	struct MHD_Response *response;
 	enum MHD_Result queued;
@@ -458,7 +471,7 @@
 }
 
 static enum MHD_Result
-handle(void *arg, struct MHD_Connection *connection, const char *url,
+on_request(void *arg, struct MHD_Connection *connection, const char *url,
     const char *method, const char *version, const char *data, size_t *size,
     void **state)
 {
@@ -469,18 +482,18 @@
 	*size = 0;
 	(void)state;
 	if (strcmp(url, "/test/held") == 0)
-		return answer(connection, MHD_HTTP_OK);
+		return send_held_count(connection, MHD_HTTP_OK);
 	if (strcmp(url, "/test/heal") == 0) {
-		heal();
-		return answer(connection, MHD_HTTP_OK);
+		clear_cuts();
+		return send_held_count(connection, MHD_HTTP_OK);
 	}
 	if (strcmp(url, "/test/cut") == 0 && set_cut(connection))
-		return answer(connection, MHD_HTTP_OK);
-	return answer(connection, MHD_HTTP_BAD_REQUEST);
+		return send_held_count(connection, MHD_HTTP_OK);
+	return send_held_count(connection, MHD_HTTP_BAD_REQUEST);
 }
 
 static struct sockaddr_in
-address_of(uint32_t ip, uint16_t port)
+make_address(uint32_t ip, uint16_t port)
 {
 	return (struct sockaddr_in){
 		.sin_family = AF_INET,
@@ -492,7 +505,7 @@
 static void
 add_listener(uint8_t host, uint16_t port, struct sockaddr_in target)
 {
-	struct sockaddr_in address = address_of(relay.net << 8 | host, port);
+	struct sockaddr_in address = make_address(relay.net << 8 | host, port);
 	struct listener listener = { .host = host, .target = target };
 	const int one = 1;
 
@@ -508,7 +521,7 @@
 	g_array_append_val(relay.listeners, listener);
 }
 
-/* "LISTEN:TARGET" for each port of the hosts. */
+/* Adds a listener for each host; pair is "LISTEN:TARGET", two ports. */
 static void
 add_hosts(int hosts, const char *pair)
 {
@@ -516,33 +529,35 @@
 	int i;
 
 	if (sscanf(pair, "%u:%u", &listen_port, &target_port) != 2) {
-		fprintf(stderr, "relay: no pair of ports: %s\n", pair);
+		fprintf(
+		    stderr, "relay: --ports is not LISTEN:TARGET: %s\n", pair);
 		exit(EXIT_FAILURE);
 	}
 	for (i = 1; i <= hosts; i++)
 		add_listener((uint8_t)i, (uint16_t)listen_port,
-		    address_of(
+		    make_address(
 			relay.net << 8 | (uint32_t)i, (uint16_t)target_port));
 }
 
 static void
-stop(int signal_number)
+on_signal(int signal_number)
 {
 	(void)signal_number;
 	relay.stopping = 1;
 }
 
 static struct MHD_Daemon *
-serve_switch(void)
+start_control_server(void)
 {
-	const struct sockaddr_in address = address_of(INADDR_LOOPBACK, 0);
+	const struct sockaddr_in address = make_address(INADDR_LOOPBACK, 0);
 	const union MHD_DaemonInfo *info;
 	struct MHD_Daemon *daemon;
 
 	daemon = MHD_start_daemon(MHD_USE_INTERNAL_POLLING_THREAD, 0, NULL,
-	    NULL, handle, NULL, MHD_OPTION_SOCK_ADDR, &address, MHD_OPTION_END);
+	    NULL, on_request, NULL, MHD_OPTION_SOCK_ADDR, &address,
+	    MHD_OPTION_END);
 	if (daemon == NULL) {
-		fprintf(stderr, "relay: no switch\n");
+		fprintf(stderr, "relay: MHD error\n");
 		exit(EXIT_FAILURE);
 	}
 	info = MHD_get_daemon_info(daemon, MHD_DAEMON_INFO_BIND_PORT);
@@ -554,13 +569,13 @@
 int
 main(int argc, char **argv)
 {
-	struct arg_str *net =
-	    arg_str1(NULL, "net", "IP", "address of the hosts, last number 0");
-	struct arg_int *hosts = arg_int1(NULL, "hosts", "N", "how many");
+	struct arg_str *net = arg_str1(NULL, "net", "IP",
+	    "network address of the hosts; the last octet is 0");
+	struct arg_int *hosts = arg_int1(NULL, "hosts", "N", "number of hosts");
 	struct arg_str *ports = arg_strn(NULL, "ports", "LISTEN:TARGET", 1, 4,
-	    "ports of each host that are forwarded");
+	    "listening port and target port on each host");
 	struct arg_int *platform = arg_int0(NULL, "platform", "PORT",
-	    "the platform's on 127.0.0.1; forwarded from the first LISTEN");
+	    "platform's port on 127.0.0.1; forwarded from the first LISTEN");
 	struct arg_end *end = arg_end(4);
 	void *table[] = { net, hosts, ports, platform, end };
 	struct MHD_Daemon *daemon;
@@ -572,7 +587,7 @@
 		return EXIT_FAILURE;
 	}
 	signal(SIGPIPE, SIG_IGN);
-	signal(SIGTERM, stop);
+	signal(SIGTERM, on_signal);
 	relay.net = ntohl(inet_addr(net->sval[0])) >> 8;
 	relay.listeners = g_array_new(FALSE, FALSE, sizeof(struct listener));
 	relay.connections = g_ptr_array_new_with_free_func(connection_free);
@@ -581,9 +596,9 @@
 	if (platform->count > 0)
 		add_listener(PLATFORM_HOST,
 		    (uint16_t)strtoul(ports->sval[0], NULL, 10),
-		    address_of(INADDR_LOOPBACK, (uint16_t)platform->ival[0]));
-	daemon = serve_switch();
-	forward();
+		    make_address(INADDR_LOOPBACK, (uint16_t)platform->ival[0]));
+	daemon = start_control_server();
+	run_forwarding_loop();
 	MHD_stop_daemon(daemon);
 	g_ptr_array_unref(relay.connections);
 	g_array_free(relay.listeners, TRUE);
