--- a/tests/standin/relay.c
+++ b/tests/standin/relay.c
@@ -291,7 +291,7 @@
 	    !(flows[0].write_ended && flows[1].write_ended);
 }
 
-/* Adds the events that the flow waits for.  poll() reports POLLERR and POLLHUP
+/* Sets the events that the flow waits for.  poll() reports POLLERR and POLLHUP
  * even if no event is requested, so a broken socket would make the loop spin;
  * its descriptor is left out while the flow is held. */
 static void
--- a/tests/standin/upstream.c
+++ b/tests/standin/upstream.c
@@ -1,23 +1,25 @@
 /*
- * An upstream's stand-in: a service with slots and a service time, which
- * calls deeper services through its local daemon, and a ledger of what it
- * ran.
+ * Test server that plays an upstream.  It has a limited number of slots and a
+ * configurable service time, makes nested calls to other services through its
+ * local daemon, and writes the requests it received to a log file, the ledger.
  *
- * A test steers it by the request's own headers:
+ * A test controls it by request headers:
  *
- *   X-Test-Id: WORD            stands in the ledger
- *   X-Test-Service-Ms: N       how long the work takes
- *   X-Test-Status: N           the answer's status
- *   X-Test-Answer-Bytes: N     the length of the answer's body
- *   X-Test-Cut-After: N        break the connection after N bytes of it
- *   X-Test-Answer-Gap-Ms: N    a pause in the middle of the answer
- *   X-Test-Crash: SERVICE      exit before answering; with --held-socket
- *                              start anew at once, the listening socket kept
- *   X-Test-Fail: SERVICE       break the connection before answering
+ *   X-Test-Id: WORD            identifies the request in the ledger
+ *   X-Test-Service-Ms: N       how long the simulated work takes
+ *   X-Test-Status: N           status of the response
+ *   X-Test-Answer-Bytes: N     length of the response body
+ *   X-Test-Cut-After: N        close the connection after N body bytes
+ *   X-Test-Answer-Gap-Ms: N    pause in the middle of the response body
+ *   X-Test-Crash: SERVICE      exit before the response if this is SERVICE;
+ *                              with --held-socket restart at once and keep
+ *                              the listening socket
+ *   X-Test-Fail: SERVICE       close the connection instead of responding if
+ *                              this is SERVICE
  *
  * and by "GET /test/set?service_ms=N&slots=N&load=N".  Each line of the
- * ledger is "EVENT ID METHOD PATH TEAM", EVENT one of start, done, cancelled,
- * crash, fail and shed.
+ * ledger is "EVENT ID METHOD PATH TEAM"; EVENT is start, done, cancelled,
+ * crash, fail or shed.
  */
 
 #include <argtable2.h>
@@ -39,51 +41,53 @@
 
 #include "loom/clock.h"
 
-#define BLOCK (32 * 1024)
+#define BODY_BLOCK_BYTES (32 * 1024)
 #define STACK_BYTES (256 * 1024)
 #define TICKET_MAX 160
 #define TICKET_NEEDED_STATUS 428
-#define HELD_FD "UPSTREAM_HELD_FD"
+#define HELD_FD_VARIABLE "UPSTREAM_HELD_FD"
 #define BACKLOG 128
 
 struct upstream {
 	const char *service; /* borrowed */
-	const char *daemon; /* borrowed: "ip:port" of the local daemon */
-	const char **calls; /* borrowed: "METHOD PATH" each */
+	const char *daemon; /* borrowed; "ip:port" of the local daemon */
+	const char **calls; /* borrowed; nested calls, each "METHOD PATH" */
 	int ncalls;
 	int ledger_fd; /* -1 for none */
-	int dump_fd; /* all bytes of requests; -1 for none */
+	int dump_fd; /* receives request headers and bodies; -1 for none */
 	atomic_int slots;
 	atomic_int service_ms;
-	atomic_int load; /* what the report says; -1 for the truth */
+	atomic_int
+	    load; /* reported load in percent; -1 reports the real load */
 	atomic_int inside;
 	struct MHD_Daemon *mhd;
-	char **argv; /* borrowed; its own, to start anew with */
-	int held_fd; /* the listening socket that outlives it; -1 for none */
+	char **argv; /* borrowed; for the restart, NULL without --held-socket */
+	int held_fd; /* listening socket kept across a restart; -1 for none */
 };
 
 struct request {
 	struct upstream *upstream; /* borrowed */
 	GString *body; /* owned */
 	uint64_t sent_bytes;
-	uint64_t answer_bytes;
+	uint64_t body_bytes;
 	uint64_t cut_after; /* 0 for never */
-	uint64_t gap_ms; /* before the second half of the answer */
+	uint64_t gap_ms; /* pause before the second half of the body */
 	int fd;
 };
 
 static const char *
-header(struct MHD_Connection *connection, const char *name)
+request_header(struct MHD_Connection *connection, const char *name)
 {
 	return MHD_lookup_connection_value(connection, MHD_HEADER_KIND, name);
 }
 
 static long
-header_number(struct MHD_Connection *connection, const char *name, long other)
+request_header_number(
+    struct MHD_Connection *connection, const char *name, long fallback)
 {
-	const char *text = header(connection, name);
+	const char *text = request_header(connection, name);
 
-	return text == NULL ? other : strtol(text, NULL, 10);
+	return text == NULL ? fallback : strtol(text, NULL, 10);
 }
 
 static void
@@ -98,11 +102,11 @@
 }
 
 static void
-note(struct upstream *upstream, struct MHD_Connection *connection,
+log_event(struct upstream *upstream, struct MHD_Connection *connection,
     const char *event, const char *method, const char *url)
 {
-	const char *id = header(connection, "X-Test-Id");
-	const char *team = header(connection, "Loom-Team");
+	const char *id = request_header(connection, "X-Test-Id");
+	const char *team = request_header(connection, "Loom-Team");
 	char *line;
 
 	line = g_strdup_printf("%s %s %s %s %s\n", event, id != NULL ? id : "-",
@@ -135,9 +139,9 @@
 	g_string_free(text, TRUE);
 }
 
-/* Work for a time; true when the caller went away meanwhile. */
+/* Waits for service_ms; returns true if the caller disconnected first. */
 static bool
-work(int fd, long service_ms)
+simulate_work(int fd, long service_ms)
 {
 	struct pollfd poll_fd = { .fd = fd, .events = POLLRDHUP };
 	uint64_t until_us = loom_now_us() + (uint64_t)service_ms * 1000;
@@ -156,7 +160,7 @@
 }
 
 static size_t
-drop_data(char *data, size_t size, size_t n, void *arg) /* NOLINT */
+discard_data(char *data, size_t size, size_t n, void *arg) /* NOLINT */
 {
 	(void)data;
 	(void)arg;
@@ -164,10 +168,10 @@
 }
 
 static struct curl_slist *
-pass_header(struct curl_slist *list, struct MHD_Connection *connection,
+forward_header(struct curl_slist *list, struct MHD_Connection *connection,
     const char *name)
 {
-	const char *value = header(connection, name);
+	const char *value = request_header(connection, name);
 	char *line;
 
 	if (value == NULL)
@@ -179,7 +183,7 @@
 }
 
 static size_t
-take_ticket(char *line, size_t size, size_t n, void *arg)
+read_ticket_header(char *line, size_t size, size_t n, void *arg)
 {
 	static const char name[] = "Loom-Ticket:";
 	char *ticket = arg;
@@ -188,14 +192,14 @@
 	if (len > sizeof(name) && len < TICKET_MAX &&
 	    g_ascii_strncasecmp(line, name, sizeof(name) - 1) == 0) {
 		g_strlcpy(ticket, line, len);
-		/* libcurl sends a line end in a header as it stands. */
+		/* libcurl would send a line end within a header unchanged. */
 		g_strchomp(ticket);
 	}
 	return len;
 }
 
 static long
-send_deeper(const char *method, const char *url, struct curl_slist *list,
+send_nested_call(const char *method, const char *url, struct curl_slist *list,
     long timeout_ms, char *ticket)
 {
 	CURL *easy = curl_easy_init();
@@ -206,9 +210,9 @@
 	if (strcmp(method, "POST") == 0)
 		curl_easy_setopt(easy, CURLOPT_COPYPOSTFIELDS, "{}");
 	curl_easy_setopt(easy, CURLOPT_HTTPHEADER, list);
-	curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, take_ticket);
+	curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, read_ticket_header);
 	curl_easy_setopt(easy, CURLOPT_HEADERDATA, ticket);
-	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, drop_data);
+	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, discard_data);
 	curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, timeout_ms);
 	if (curl_easy_perform(easy) == CURLE_OK)
@@ -218,14 +222,15 @@
 }
 
 /*
- * One call to a deeper service through the local daemon; its status.  A route
- * that needs a ticket answers with one, and the call is sent again with it.
+ * Makes one nested call through the local daemon and returns its status.  If
+ * the route requires a ticket, the first response carries one, and the call is
+ * sent again with it.
  */
 static long
-call_deeper(struct upstream *upstream, struct MHD_Connection *connection,
+make_nested_call(struct upstream *upstream, struct MHD_Connection *connection,
     const char *call)
 {
-	static const char *const passed[] = { "Loom-Context", "traceparent",
+	static const char *const forwarded[] = { "Loom-Context", "traceparent",
 		"X-Test-Id", "X-Test-Service-Ms", "X-Test-Crash",
 		"X-Test-Fail" };
 	char **words = g_strsplit(call, " ", 2);
@@ -235,14 +240,16 @@
 	char *url;
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(passed); i++)
-		list = pass_header(list, connection, passed[i]);
+	for (i = 0; i < G_N_ELEMENTS(forwarded); i++)
+		list = forward_header(list, connection, forwarded[i]);
 	url = g_strconcat("http://", upstream->daemon, words[1], NULL);
-	timeout_ms = header_number(connection, "Loom-Deadline-Ms", 10000);
-	status = send_deeper(words[0], url, list, timeout_ms, ticket);
+	timeout_ms =
+	    request_header_number(connection, "Loom-Deadline-Ms", 10000);
+	status = send_nested_call(words[0], url, list, timeout_ms, ticket);
 	if (status == TICKET_NEEDED_STATUS && ticket[0] != '\0') {
 		list = curl_slist_append(list, ticket);
-		status = send_deeper(words[0], url, list, timeout_ms, ticket);
+		status =
+		    send_nested_call(words[0], url, list, timeout_ms, ticket);
 	}
 	curl_slist_free_all(list);
 	g_strfreev(words);
@@ -250,18 +257,19 @@
 	return status;
 }
 
-/* The request's id goes back, so that a caller can tell whose answer it is. */
+/* Returns the request's ID, so that the caller can check that the response
+ * belongs to its request. */
 static void
 echo_id(struct MHD_Connection *connection, struct MHD_Response *response)
 {
-	const char *id = header(connection, "X-Test-Id");
+	const char *id = request_header(connection, "X-Test-Id");
 
 	if (id != NULL)
 		MHD_add_response_header(response, "X-Test-Id", id);
 }
 
 static enum MHD_Result
-answer(struct MHD_Connection *connection, unsigned status, const char *text)
+send_text(struct MHD_Connection *connection, unsigned status, const char *text)
 {
 	struct MHD_Response *response;
 	enum MHD_Result result;
@@ -275,16 +283,16 @@
 }
 
 static ssize_t
-fill(void *cls, uint64_t pos, char *buf, size_t max)
+generate_body(void *cls, uint64_t pos, char *buf, size_t max)
 {
 	struct request *request = cls;
-	uint64_t half = request->answer_bytes / 2;
+	uint64_t half = request->body_bytes / 2;
 
-	if (pos >= request->answer_bytes)
+	if (pos >= request->body_bytes)
 		return MHD_CONTENT_READER_END_OF_STREAM;
 	if (request->cut_after > 0 && pos >= request->cut_after)
 		return MHD_CONTENT_READER_END_WITH_ERROR;
-	max = MIN(max, request->answer_bytes - pos);
+	max = MIN(max, request->body_bytes - pos);
 	if (request->cut_after > 0)
 		max = MIN(max, request->cut_after - pos);
 	if (request->gap_ms > 0 && pos < half)
@@ -296,14 +304,14 @@
 }
 
 static enum MHD_Result
-answer_bytes(
+send_generated_body(
     struct MHD_Connection *connection, unsigned status, struct request *request)
 {
 	struct MHD_Response *response;
 	enum MHD_Result result;
 
-	response = MHD_create_response_from_callback(
-	    request->answer_bytes, BLOCK, fill, request, NULL);
+	response = MHD_create_response_from_callback(request->body_bytes,
+	    BODY_BLOCK_BYTES, generate_body, request, NULL);
 	echo_id(connection, response);
 	result = MHD_queue_response(connection, status, response);
 	MHD_destroy_response(response);
@@ -311,7 +319,7 @@
 }
 
 static void
-set_number(
+set_from_argument(
     struct MHD_Connection *connection, const char *name, atomic_int *value)
 {
 	const char *text = MHD_lookup_connection_value(
@@ -322,38 +330,39 @@
 }
 
 static enum MHD_Result
-answer_test(struct upstream *upstream, struct MHD_Connection *connection)
+handle_set(struct upstream *upstream, struct MHD_Connection *connection)
 {
-	set_number(connection, "service_ms", &upstream->service_ms);
-	set_number(connection, "slots", &upstream->slots);
-	set_number(connection, "load", &upstream->load);
-	return answer(connection, 200, "set\n");
+	set_from_argument(connection, "service_ms", &upstream->service_ms);
+	set_from_argument(connection, "slots", &upstream->slots);
+	set_from_argument(connection, "load", &upstream->load);
+	return send_text(connection, 200, "set\n");
 }
 
 static enum MHD_Result
-answer_load(struct upstream *upstream, struct MHD_Connection *connection)
+handle_load(struct upstream *upstream, struct MHD_Connection *connection)
 {
-	int lie = atomic_load(&upstream->load);
+	int fake_load = atomic_load(&upstream->load);
 	char text[64];
 
 	snprintf(text, sizeof(text), "{\"load\":%.2f}\n",
-	    lie >= 0 ? lie / 100.0
-		     : (double)atomic_load(&upstream->inside) /
+	    fake_load >= 0 ? fake_load / 100.0
+			   : (double)atomic_load(&upstream->inside) /
 		    atomic_load(&upstream->slots));
-	return answer(connection, 200, text);
+	return send_text(connection, 200, text);
 }
 
 static bool
-is_marked(const struct upstream *upstream, struct MHD_Connection *connection,
-    const char *name)
+header_names_service(const struct upstream *upstream,
+    struct MHD_Connection *connection, const char *name)
 {
-	const char *service = header(connection, name);
+	const char *service = request_header(connection, name);
 
 	return service != NULL && strcmp(service, upstream->service) == 0;
 }
 
-/* As a supervisor does that holds the listening socket: no connection is
- * refused meanwhile, and all that stood are gone. */
+/* With a held socket, restarts the way a supervisor that keeps the listening
+ * socket open does: no new connection is refused meanwhile, but all existing
+ * ones are closed.  Otherwise exits. */
 static void
 crash(const struct upstream *upstream)
 {
@@ -362,87 +371,90 @@
 	if (upstream->held_fd < 0)
 		_exit(3);
 	snprintf(fd, sizeof(fd), "%d", upstream->held_fd);
-	setenv(HELD_FD, fd, 1);
+	setenv(HELD_FD_VARIABLE, fd, 1);
 	execv(upstream->argv[0], upstream->argv);
 	_exit(127);
 }
 
 static enum MHD_Result
-run(struct upstream *upstream, struct MHD_Connection *connection,
+run_request(struct upstream *upstream, struct MHD_Connection *connection,
     const char *method, const char *url, struct request *request)
 {
 	GString *text = g_string_new(NULL);
 	enum MHD_Result result;
 	unsigned status;
-	long deeper;
+	long nested_status;
 	int i;
 
-	note(upstream, connection, "start", method, url);
-	if (is_marked(upstream, connection, "X-Test-Crash")) {
-		note(upstream, connection, "crash", method, url);
+	log_event(upstream, connection, "start", method, url);
+	if (header_names_service(upstream, connection, "X-Test-Crash")) {
+		log_event(upstream, connection, "crash", method, url);
 		crash(upstream);
 	}
-	if (work(request->fd,
-		header_number(connection, "X-Test-Service-Ms",
+	if (simulate_work(request->fd,
+		request_header_number(connection, "X-Test-Service-Ms",
 		    atomic_load(&upstream->service_ms)))) {
-		note(upstream, connection, "cancelled", method, url);
+		log_event(upstream, connection, "cancelled", method, url);
 		g_string_free(text, TRUE);
 		return MHD_NO;
 	}
-	status = (unsigned)header_number(connection, "X-Test-Status", 200);
+	status =
+	    (unsigned)request_header_number(connection, "X-Test-Status", 200);
 	g_string_append_printf(text, "%s id=%s body=%zu", upstream->service,
-	    header(connection, "X-Test-Id"), request->body->len);
+	    request_header(connection, "X-Test-Id"), request->body->len);
 	for (i = 0; i < upstream->ncalls; i++) {
-		deeper = call_deeper(upstream, connection, upstream->calls[i]);
-		g_string_append_printf(text, " %ld", deeper);
-		if (deeper != 200)
+		nested_status =
+		    make_nested_call(upstream, connection, upstream->calls[i]);
+		g_string_append_printf(text, " %ld", nested_status);
+		if (nested_status != 200)
 			status = 502;
 	}
-	if (is_marked(upstream, connection, "X-Test-Fail")) {
-		note(upstream, connection, "fail", method, url);
+	if (header_names_service(upstream, connection, "X-Test-Fail")) {
+		log_event(upstream, connection, "fail", method, url);
 		g_string_free(text, TRUE);
 		return MHD_NO;
 	}
-	note(upstream, connection, "done", method, url);
+	log_event(upstream, connection, "done", method, url);
 	g_string_append_c(text, '\n');
-	request->answer_bytes =
-	    (uint64_t)header_number(connection, "X-Test-Answer-Bytes", -1);
+	request->body_bytes = (uint64_t)request_header_number(
+	    connection, "X-Test-Answer-Bytes", -1);
 	request->cut_after =
-	    (uint64_t)header_number(connection, "X-Test-Cut-After", 0);
-	request->gap_ms =
-	    (uint64_t)header_number(connection, "X-Test-Answer-Gap-Ms", 0);
-	if (header(connection, "X-Test-Answer-Bytes") != NULL)
-		result = answer_bytes(connection, status, request);
+	    (uint64_t)request_header_number(connection, "X-Test-Cut-After", 0);
+	request->gap_ms = (uint64_t)request_header_number(
+	    connection, "X-Test-Answer-Gap-Ms", 0);
+	if (request_header(connection, "X-Test-Answer-Bytes") != NULL)
+		result = send_generated_body(connection, status, request);
 	else
-		result = answer(connection, status, text->str);
+		result = send_text(connection, status, text->str);
 	g_string_free(text, TRUE);
 	return result;
 }
 
 static enum MHD_Result
-serve(struct upstream *upstream, struct MHD_Connection *connection,
+dispatch(struct upstream *upstream, struct MHD_Connection *connection,
     const char *method, const char *url, struct request *request)
 {
 	enum MHD_Result result;
 
 	if (strncmp(url, "/test/", 6) == 0)
-		return answer_test(upstream, connection);
+		return handle_set(upstream, connection);
 	if (strcmp(url, "/load") == 0)
-		return answer_load(upstream, connection);
+		return handle_load(upstream, connection);
 	dump_headers(upstream, connection, url);
 	if (atomic_fetch_add(&upstream->inside, 1) >=
 	    atomic_load(&upstream->slots)) {
-		note(upstream, connection, "shed", method, url);
-		result = answer(connection, 503, "no slot\n");
+		log_event(upstream, connection, "shed", method, url);
+		result = send_text(connection, 503, "no slot\n");
 	} else {
-		result = run(upstream, connection, method, url, request);
+		result =
+		    run_request(upstream, connection, method, url, request);
 	}
 	atomic_fetch_sub(&upstream->inside, 1);
 	return result;
 }
 
 static enum MHD_Result
-on_access(void *cls, struct MHD_Connection *connection, const char *url,
+on_request(void *cls, struct MHD_Connection *connection, const char *url,
     const char *method, const char *version, const char *upload,
     size_t *upload_len, void **con_cls)
 {
@@ -462,17 +474,18 @@
 	}
 	if (*upload_len > 0) {
 		write_all(upstream->dump_fd, upload, *upload_len);
-		/* Only the length is of interest: memory stays flat. */
+		/* Only the length is needed; storing the data would make memory
+		 * grow with the body. */
 		request->body->len += *upload_len;
 		*upload_len = 0;
 		return MHD_YES;
 	}
-	return serve(upstream, connection, method, url, request);
+	return dispatch(upstream, connection, method, url, request);
 }
 
 static void
-on_completed(void *cls, struct MHD_Connection *connection, void **con_cls,
-    enum MHD_RequestTerminationCode code)
+on_request_completed(void *cls, struct MHD_Connection *connection,
+    void **con_cls, enum MHD_RequestTerminationCode code)
 {
 	struct request *request = *con_cls;
 
@@ -494,11 +507,12 @@
 	return open(file, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
 }
 
-/* It outlives this program, or did so already. */
+/* Returns a listening socket that execv() leaves open: the one inherited from
+ * before the restart, or else a new one. */
 static int
-hold_socket(const struct sockaddr_in *address)
+listen_or_inherit(const struct sockaddr_in *address)
 {
-	const char *held = getenv(HELD_FD);
+	const char *held = getenv(HELD_FD_VARIABLE);
 	int on = 1, fd;
 
 	if (held != NULL)
@@ -529,12 +543,12 @@
 	pthread_sigmask(SIG_BLOCK, &set, NULL);
 	signal(SIGPIPE, SIG_IGN);
 	if (upstream->argv != NULL)
-		upstream->held_fd = hold_socket(&address);
+		upstream->held_fd = listen_or_inherit(&address);
 	upstream->mhd = MHD_start_daemon(
 	    MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD,
-	    (uint16_t)port, NULL, NULL, on_access, upstream,
+	    (uint16_t)port, NULL, NULL, on_request, upstream,
 	    MHD_OPTION_SOCK_ADDR, &address, MHD_OPTION_NOTIFY_COMPLETED,
-	    on_completed, NULL, MHD_OPTION_THREAD_STACK_SIZE,
+	    on_request_completed, NULL, MHD_OPTION_THREAD_STACK_SIZE,
 	    (size_t)STACK_BYTES, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U,
 	    upstream->held_fd < 0 ? MHD_OPTION_END : MHD_OPTION_LISTEN_SOCKET,
 	    upstream->held_fd, MHD_OPTION_END);
@@ -552,22 +566,23 @@
 int
 main(int argc, char **argv)
 {
-	struct arg_lit *help = arg_lit0(NULL, "help", "show this");
+	struct arg_lit *help = arg_lit0(NULL, "help", "show this help");
 	struct arg_str *service =
-	    arg_str1(NULL, "service", "NAME", "the service it is");
+	    arg_str1(NULL, "service", "NAME", "name of this service");
 	struct arg_str *ip = arg_str0(NULL, "ip", "IP", "default 127.0.0.1");
-	struct arg_int *port = arg_int0(NULL, "port", "N", "0: a free one");
+	struct arg_int *port =
+	    arg_int0(NULL, "port", "N", "default 0: any free port");
 	struct arg_str *daemon =
-	    arg_str0(NULL, "daemon", "IP:PORT", "its local daemon");
-	struct arg_str *calls = arg_strn(
-	    NULL, "call", "'METHOD PATH'", 0, 16, "a call to a deeper service");
+	    arg_str0(NULL, "daemon", "IP:PORT", "address of the local daemon");
+	struct arg_str *calls = arg_strn(NULL, "call", "'METHOD PATH'", 0, 16,
+	    "nested call to another service");
 	struct arg_int *slots = arg_int0(NULL, "slots", "N", "default 16");
 	struct arg_int *ms = arg_int0(NULL, "service-ms", "N", "default 1");
 	struct arg_str *ledger = arg_str0(NULL, "ledger", "FILE", "");
-	struct arg_str *dump =
-	    arg_str0(NULL, "dump", "FILE", "write all that requests bring");
+	struct arg_str *dump = arg_str0(
+	    NULL, "dump", "FILE", "write headers and bodies of requests");
 	struct arg_lit *held = arg_lit0(
-	    NULL, "held-socket", "a crash starts it anew, on its old socket");
+	    NULL, "held-socket", "restart after a crash, on the same socket");
 	struct arg_end *end = arg_end(8);
 	void *table[] = { help, service, ip, port, daemon, calls, slots, ms,
 		ledger, dump, held, end };
