--- a/tests/standin/platform.c
+++ b/tests/standin/platform.c
@@ -453,6 +453,8 @@
 	    connection, MHD_HTTP_NOT_FOUND, "error", "no such page");
 }
 
+/* libmicrohttpd calls this once for the headers, then for each part of the
+ * body, and once more at the end, with *size 0, for the response. */
 static enum MHD_Result
 on_request(void *arg, struct MHD_Connection *connection, const char *url,
     const char *method, const char *version, const char *data, size_t *size,
--- a/tests/standin/relay.c
+++ b/tests/standin/relay.c
@@ -132,6 +132,7 @@
 	setsockopt(fd, SOL_SOCKET, SO_LINGER, &linger, sizeof(linger));
 }
 
+/* Closes both sockets, with a reset if any bytes were discarded. */
 static void
 connection_free(void *arg)
 {
@@ -362,6 +363,7 @@
 	return held;
 }
 
+/* Accepts connections and forwards their data until SIGTERM. */
 static void
 run_forwarding_loop(void)
 {
@@ -420,6 +422,7 @@
 	return false;
 }
 
+/* Applies the query of /test/cut; returns false if the mode is unknown. */
 static bool
 set_cut(struct MHD_Connection *connection)
 {
--- a/tests/standin/upstream.c
+++ b/tests/standin/upstream.c
@@ -57,9 +57,8 @@
 	int dump_fd; /* receives request headers and bodies; -1 for none */
 	atomic_int slots;
 	atomic_int service_ms;
-	atomic_int
-	    load; /* reported load in percent; -1 reports the real load */
-	atomic_int inside;
+	atomic_int load; /* reported load in percent; -1 for the real one */
+	atomic_int inside; /* requests in progress, shed ones included */
 	struct MHD_Daemon *mhd;
 	char **argv; /* borrowed; for the restart, NULL without --held-socket */
 	int held_fd; /* listening socket kept across a restart; -1 for none */
@@ -101,6 +100,7 @@
 	(void)written;
 }
 
+/* Appends one line to the ledger. */
 static void
 log_event(struct upstream *upstream, struct MHD_Connection *connection,
     const char *event, const char *method, const char *url)
@@ -282,6 +282,8 @@
 	return result;
 }
 
+/* Produces a body of body_bytes, with the pause and the early end that the
+ * request asked for. */
 static ssize_t
 generate_body(void *cls, uint64_t pos, char *buf, size_t max)
 {
@@ -376,6 +378,7 @@
 	_exit(127);
 }
 
+/* Simulates the work of one request, makes the nested calls and responds. */
 static enum MHD_Result
 run_request(struct upstream *upstream, struct MHD_Connection *connection,
     const char *method, const char *url, struct request *request)
@@ -430,6 +433,7 @@
 	return result;
 }
 
+/* Handles a complete request; rejects it with 503 if no slot is free. */
 static enum MHD_Result
 dispatch(struct upstream *upstream, struct MHD_Connection *connection,
     const char *method, const char *url, struct request *request)
