--- a/tests/support/testbed_read.c
+++ b/tests/support/testbed_read.c
@@ -1,6 +1,7 @@
 /*
- * What a fleet shows and left behind: counters and memory, sums over ledgers,
- * headers from the upstreams' dumps, and the executors of tickets.
+ * Reads the state of a testbed: metrics and status of its daemons, memory and
+ * CPU time of processes, the ledgers and request dumps that the upstreams
+ * write, and the host that a ticket belongs to.
  */
 
 #include <json-c/json.h>
@@ -14,9 +15,13 @@
 #include "loom/ticket.h"
 #include "support/testbed.h"
 
-/* A paused daemon does not answer. */
-#define TICKET_GIVE_UP_MS 1000
+/*
+ * A daemon that a test has stopped with SIGSTOP never responds.  The request
+ * for a ticket fails after this time rather than after TESTBED_WAIT_MS.
+ */
+#define TICKET_TIMEOUT_MS 1000
 
+/* The content of a host's file, owned; "" when it can't be read. */
 static char *
 read_file(const struct testbed *testbed, uint32_t host, const char *suffix,
     gsize *len)
@@ -31,25 +36,26 @@
 }
 
 static void *
-as_pointer(guint n)
+count_to_pointer(guint count)
 {
-	return GUINT_TO_POINTER(n); /* NOLINT(performance-no-int-to-ptr) */
+	return GUINT_TO_POINTER(count); /* NOLINT(performance-no-int-to-ptr) */
 }
 
+/* Counts the lines "EVENT ID ..." of a ledger by ID. */
 static void
-add_lines(GHashTable *table, const char *text, const char *event)
+count_event_lines(GHashTable *counts, const char *text, const char *event)
 {
 	char **lines = g_strsplit(text, "\n", -1);
 	char **line, **words;
-	guint n;
+	guint count;
 
 	for (line = lines; *line != NULL; line++) {
 		words = g_strsplit(*line, " ", 3);
 		if (g_strcmp0(words[0], event) == 0 && words[1] != NULL) {
-			n = GPOINTER_TO_UINT(
-			    g_hash_table_lookup(table, words[1]));
-			g_hash_table_replace(
-			    table, g_strdup(words[1]), as_pointer(n + 1));
+			count = GPOINTER_TO_UINT(
+			    g_hash_table_lookup(counts, words[1]));
+			g_hash_table_replace(counts, g_strdup(words[1]),
+			    count_to_pointer(count + 1));
 		}
 		g_strfreev(words);
 	}
@@ -60,7 +66,7 @@
 testbed_ledger(
     const struct testbed *testbed, const char *service, const char *event)
 {
-	GHashTable *table =
+	GHashTable *counts =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	uint32_t i;
 	char *text;
@@ -70,20 +76,20 @@
 		    strcmp(testbed->hosts[i].service->name, service) != 0)
 			continue;
 		text = read_file(testbed, i, "ledger", NULL);
-		add_lines(table, text, event);
+		count_event_lines(counts, text, event);
 		g_free(text);
 	}
-	return table;
+	return counts;
 }
 
 uint32_t
-testbed_ledger_most(GHashTable *table)
+testbed_ledger_most(GHashTable *counts)
 {
 	GHashTableIter iter;
 	uint32_t most = 0;
 	void *key, *count;
 
-	g_hash_table_iter_init(&iter, table);
+	g_hash_table_iter_init(&iter, counts);
 	while (g_hash_table_iter_next(&iter, &key, &count))
 		most = MAX(most, GPOINTER_TO_UINT(count));
 	return most;
@@ -94,15 +100,15 @@
     const struct testbed *testbed, uint32_t host, const char *header)
 {
 	char *text = read_file(testbed, host, "dump", NULL);
-	char *start = g_strdup_printf("\n%s: ", header);
-	char *at = g_strrstr(text, start);
+	char *line_start = g_strdup_printf("\n%s: ", header);
+	char *found = g_strrstr(text, line_start);
 	char *value = NULL;
 
-	if (at != NULL) {
-		at += strlen(start);
-		value = g_strndup(at, strcspn(at, "\n"));
+	if (found != NULL) {
+		found += strlen(line_start);
+		value = g_strndup(found, strcspn(found, "\n"));
 	}
-	g_free(start);
+	g_free(line_start);
 	g_free(text);
 	return value;
 }
@@ -111,27 +117,27 @@
 testbed_ticket(struct testbed *testbed, uint32_t host, const char *key_header,
     const char *route)
 {
-	static const char start[] = "{\"tickets\":[\"";
+	static const char response_start[] = "{\"tickets\":[\"";
 	const char *headers[] = { key_header, NULL };
 	char *path = g_strconcat("/.loom/tickets?route=", route, NULL);
-	const struct testbed_request asked = {
+	const struct testbed_request request = {
 		.host = host,
 		.method = "POST",
 		.path = path,
 		.headers = headers,
 		.body = "",
-		.give_up_ms = TICKET_GIVE_UP_MS,
+		.give_up_ms = TICKET_TIMEOUT_MS,
 	};
 	struct testbed_caller caller;
 	struct testbed_reply reply;
 	char *ticket = NULL;
 
 	testbed_caller_init(&caller, testbed);
-	testbed_caller_call(&caller, &asked, &reply);
+	testbed_caller_call(&caller, &request, &reply);
 	testbed_caller_clear(&caller);
-	if (reply.status == 200 && g_str_has_prefix(reply.body, start))
-		ticket = g_strndup(reply.body + strlen(start),
-		    strcspn(reply.body + strlen(start), "\""));
+	if (reply.status == 200 && g_str_has_prefix(reply.body, response_start))
+		ticket = g_strndup(reply.body + strlen(response_start),
+		    strcspn(reply.body + strlen(response_start), "\""));
 	testbed_reply_clear(&reply);
 	g_free(path);
 	return ticket;
@@ -156,24 +162,26 @@
 testbed_cpu_s(pid_t pid)
 {
 	char *file = g_strdup_printf("/proc/%d/stat", (int)pid);
-	unsigned long user = 0, system = 0;
-	char *text = NULL, *at;
+	unsigned long user_ticks = 0, system_ticks = 0;
+	char *text = NULL, *name_end;
 
 	if (g_file_get_contents(file, &text, NULL, NULL)) {
-		at = strrchr(text, ')');
-		sscanf(at + 2,
+		/* The process name in parentheses may contain spaces. */
+		name_end = strrchr(text, ')');
+		sscanf(name_end + 2,
 		    "%*c %*d %*d %*d %*d %*d %*u %*u %*u %*u %*u %lu %lu",
-		    &user, &system);
+		    &user_ticks, &system_ticks);
 	}
 	g_free(text);
 	g_free(file);
-	return (double)(user + system) / (double)sysconf(_SC_CLK_TCK);
+	return (double)(user_ticks + system_ticks) /
+	    (double)sysconf(_SC_CLK_TCK);
 }
 
 int64_t
 testbed_in_force(struct testbed *testbed, uint32_t host, char digest[32])
 {
-	struct json_object *status, *versions, *list, *entry, *value;
+	struct json_object *status, *versions, *entries, *entry, *value;
 	struct testbed_reply reply;
 	int64_t version = 0;
 	size_t i;
@@ -182,9 +190,9 @@
 	    testbed, host, "GET", "/.loom/status", NULL, NULL, 0, &reply);
 	status = json_tokener_parse(reply.body);
 	if (json_object_object_get_ex(status, "versions", &versions) &&
-	    json_object_object_get_ex(versions, "versions", &list)) {
-		for (i = 0; i < json_object_array_length(list); i++) {
-			entry = json_object_array_get_idx(list, i);
+	    json_object_object_get_ex(versions, "versions", &entries)) {
+		for (i = 0; i < json_object_array_length(entries); i++) {
+			entry = json_object_array_get_idx(entries, i);
 			json_object_object_get_ex(entry, "name", &value);
 			if (strcmp(json_object_get_string(value),
 				"manifest/test") != 0)
@@ -204,12 +212,13 @@
 testbed_memory_kb(pid_t pid)
 {
 	char *file = g_strdup_printf("/proc/%d/status", (int)pid);
-	char *text = NULL, *at;
+	char *text = NULL, *field;
 	long kb = -1;
 
 	if (g_file_get_contents(file, &text, NULL, NULL)) {
-		at = strstr(text, "VmRSS:");
-		kb = at == NULL ? -1 : strtol(at + strlen("VmRSS:"), NULL, 10);
+		field = strstr(text, "VmRSS:");
+		kb = field == NULL ? -1
+				   : strtol(field + strlen("VmRSS:"), NULL, 10);
 	}
 	g_free(text);
 	g_free(file);
@@ -229,7 +238,7 @@
 }
 
 static uint32_t
-count_lines(const char *text, const char *prefix)
+count_lines_with_prefix(const char *text, const char *prefix)
 {
 	char **lines = g_strsplit(text, "\n", -1);
 	uint32_t n = 0;
@@ -254,7 +263,7 @@
 		if (strcmp(testbed->hosts[i].service->name, service) != 0)
 			continue;
 		text = read_file(testbed, i, "ledger", NULL);
-		n += count_lines(text, prefix);
+		n += count_lines_with_prefix(text, prefix);
 		g_free(text);
 	}
 	g_free(prefix);
@@ -282,18 +291,19 @@
 {
 	struct testbed_reply reply;
 	double value = -1;
-	const char *at;
+	const char *match;
 
 	testbed_call(
 	    testbed, host, "GET", "/.loom/metrics", NULL, NULL, 0, &reply);
-	at = reply.body;
-	while ((at = strstr(at, series)) != NULL) {
-		if ((at == reply.body || at[-1] == '\n') &&
-		    at[strlen(series)] == ' ') {
-			value = g_ascii_strtod(at + strlen(series), NULL);
+	match = reply.body;
+	/* The series must begin a line and be followed by its value. */
+	while ((match = strstr(match, series)) != NULL) {
+		if ((match == reply.body || match[-1] == '\n') &&
+		    match[strlen(series)] == ' ') {
+			value = g_ascii_strtod(match + strlen(series), NULL);
 			break;
 		}
-		at += strlen(series);
+		match += strlen(series);
 	}
 	testbed_reply_clear(&reply);
 	return value;
