--- a/tests/support/testbed.c
+++ b/tests/support/testbed.c
@@ -1,5 +1,6 @@
 /*
- * Starting and steering a fleet of real processes.
+ * Starts, configures and stops the processes of a testbed, and partitions the
+ * network between them.
  */
 
 #include <curl/curl.h>
@@ -17,21 +18,30 @@
 #include "loom/manifest.h"
 #include "support/testbed.h"
 
-#define POLL_US 5000
+#define POLL_INTERVAL_US 5000
 
-/* A whole fleet that starts on a busy machine gets this many limits. */
-#define READY_WAITS 3
+/*
+ * On a busy machine, starting all daemons can take longer than TESTBED_WAIT_MS.
+ * testbed_wait_ready() waits up to this many times that limit.
+ */
+#define READY_WAIT_COUNT 3
 
-#define FIRST_NET 64
-#define NETS 60
+/* The second number of a host's loopback address: 64 to 123. */
+#define LOOPBACK_NET_FIRST 64
+#define LOOPBACK_NET_COUNT 60
 #define PORT_CALLERS TESTBED_PORT_CALLERS
 #define PORT_PEERS 7100
 #define PORT_CONTROL TESTBED_PORT_CONTROL
 #define PORT_UPSTREAM TESTBED_PORT_UPSTREAM
-/* Where hosts know each other when a relay stands between them. */
+/*
+ * With a relay, the host list names these ports.  The relay listens on them and
+ * forwards to PORT_PEERS and PORT_CONTROL of the same host.
+ */
 #define PORT_PEERS_RELAYED 7300
 #define PORT_CONTROL_RELAYED 7400
-#define RELAY_PLATFORM 251
+/* The last number of the address at which the relay offers the platform; it is
+ * above TESTBED_HOSTS_MAX, so that no host has it. */
+#define RELAY_PLATFORM_HOST 251
 
 char *
 testbed_file(const struct testbed *testbed, uint32_t host, const char *suffix)
@@ -41,12 +51,13 @@
 }
 
 static pid_t
-spawn(const char *const *argv, const char *log)
+spawn_process(const char *const *argv, const char *log)
 {
 	pid_t pid = fork();
 
 	if (pid != 0)
 		return pid;
+	/* Kill the process when the thread that started it ends. */
 	prctl(PR_SET_PDEATHSIG, SIGKILL);
 	if (freopen(log, "a", stderr) == NULL ||
 	    freopen("/dev/null", "w", stdout) == NULL)
@@ -56,18 +67,23 @@
 }
 
 static char *
-program(const char *name)
+program_path(const char *name)
 {
 	const char *bin = getenv("LOOM_BIN");
 
 	return g_build_filename(bin != NULL ? bin : "build/bin", name, NULL);
 }
 
+/*
+ * Gives each host a name, a data centre and an address.  The network depends on
+ * the process id, so that test programs can run at the same time.
+ */
 static void
-lay_out(struct testbed *testbed)
+assign_addresses(struct testbed *testbed)
 {
-	unsigned net = FIRST_NET + (unsigned)getpid() % NETS;
-	unsigned block = (unsigned)getpid() / NETS % 250;
+	unsigned net =
+	    LOOPBACK_NET_FIRST + (unsigned)getpid() % LOOPBACK_NET_COUNT;
+	unsigned block = (unsigned)getpid() / LOOPBACK_NET_COUNT % 250;
 	struct testbed_host *host;
 	uint32_t i, j;
 
@@ -87,13 +103,13 @@
 }
 
 static int
-known_peer_port(const struct testbed *testbed)
+listed_peer_port(const struct testbed *testbed)
 {
 	return testbed->relay.pid > 0 ? PORT_PEERS_RELAYED : PORT_PEERS;
 }
 
 static int
-known_control_port(const struct testbed *testbed)
+listed_control_port(const struct testbed *testbed)
 {
 	return testbed->relay.pid > 0 ? PORT_CONTROL_RELAYED : PORT_CONTROL;
 }
@@ -120,8 +136,8 @@
 			    text->len > 1 ? "," : "", host->name,
 			    host->data_centre,
 			    host->leaving ? "leaving" : "live", host->ip,
-			    known_peer_port(testbed), host->ip,
-			    known_control_port(testbed));
+			    listed_peer_port(testbed), host->ip,
+			    listed_control_port(testbed));
 		}
 		g_string_append_c(text, ']');
 		path = g_strconcat(
@@ -182,7 +198,7 @@
 	    TESTBED_FLEET_SECRET, signer);
 	for (i = 0; i < testbed->nhosts && i < 3; i++)
 		g_string_append_printf(text, "%s\"%s:%d\"", i > 0 ? "," : "",
-		    testbed->hosts[i].ip, known_control_port(testbed));
+		    testbed->hosts[i].ip, listed_control_port(testbed));
 	g_string_append_c(text, ']');
 	if (host->tls_key_file != NULL)
 		g_string_append_printf(text,
@@ -204,11 +220,11 @@
 {
 	char *settings = testbed_file(testbed, index, "json");
 	char *log = testbed_file(testbed, index, "log");
-	char *path = program("loomd");
+	char *path = program_path("loomd");
 	const char *argv[] = { path, settings, NULL };
 
 	write_settings(testbed, index);
-	testbed->hosts[index].daemon = spawn(argv, log);
+	testbed->hosts[index].daemon = spawn_process(argv, log);
 	g_free(path);
 	g_free(log);
 	g_free(settings);
@@ -222,7 +238,7 @@
 	char *log = testbed_file(testbed, index, "upstream.log");
 	char *ledger = testbed_file(testbed, index, "ledger");
 	char *dump = testbed_file(testbed, index, "dump");
-	char *path = program("upstream");
+	char *path = program_path("upstream");
 	char *port = g_strdup_printf("--port=%d", PORT_UPSTREAM);
 	char *ip = g_strdup_printf("--ip=%s", host->ip);
 	char *service = g_strdup_printf("--service=%s", host->service->name);
@@ -252,7 +268,7 @@
 		g_ptr_array_add(argv, (gpointer)host->service->calls[i]);
 	}
 	g_ptr_array_add(argv, NULL);
-	host->upstream = spawn((const char *const *)argv->pdata, log);
+	host->upstream = spawn_process((const char *const *)argv->pdata, log);
 	g_ptr_array_free(argv, TRUE);
 	g_free(ms);
 	g_free(slots);
@@ -270,39 +286,42 @@
 static bool
 start_relay(struct testbed *testbed)
 {
-	char *first = g_strdup(testbed->hosts[0].ip);
-	char net[48], hosts[32], platform[32], peers[32], control[32];
-	const char *argv[] = { net, hosts, peers, control, platform, NULL };
+	char *net_prefix = g_strdup(testbed->hosts[0].ip);
+	char net[48], hosts[32], platform[32], peer_ports[32],
+	    control_ports[32];
+	const char *argv[] = { net, hosts, peer_ports, control_ports, platform,
+		NULL };
 	bool started;
 
-	*strrchr(first, '.') = '\0';
-	g_snprintf(net, sizeof(net), "--net=%s.0", first);
+	*strrchr(net_prefix, '.') = '\0';
+	g_snprintf(net, sizeof(net), "--net=%s.0", net_prefix);
 	g_snprintf(hosts, sizeof(hosts), "--hosts=%u", testbed->nhosts);
-	g_snprintf(peers, sizeof(peers), "--ports=%d:%d", PORT_PEERS_RELAYED,
-	    PORT_PEERS);
-	g_snprintf(control, sizeof(control), "--ports=%d:%d",
+	g_snprintf(peer_ports, sizeof(peer_ports), "--ports=%d:%d",
+	    PORT_PEERS_RELAYED, PORT_PEERS);
+	g_snprintf(control_ports, sizeof(control_ports), "--ports=%d:%d",
 	    PORT_CONTROL_RELAYED, PORT_CONTROL);
 	g_snprintf(platform, sizeof(platform), "--platform=%u",
 	    testbed->platform.port);
 	g_snprintf(testbed->platform_via_relay,
-	    sizeof(testbed->platform_via_relay), "http://%s.%d:%d", first,
-	    RELAY_PLATFORM, PORT_PEERS_RELAYED);
+	    sizeof(testbed->platform_via_relay), "http://%s.%d:%d", net_prefix,
+	    RELAY_PLATFORM_HOST, PORT_PEERS_RELAYED);
 	started = test_standin_start(&testbed->relay, "relay", argv);
-	g_free(first);
+	g_free(net_prefix);
 	return started;
 }
 
+/* The hosts as the relay's "from" and "to" take them; owned. */
 static char *
-relay_hosts(const struct testbed *testbed, const bool *member)
+relay_host_list(const struct testbed *testbed, const bool *included)
 {
 	GString *text = g_string_new(NULL);
 	uint32_t i;
 
 	for (i = 0; i <= testbed->nhosts; i++) {
-		if (member[i])
+		if (included[i])
 			g_string_append_printf(text, "%s%u",
 			    text->len > 0 ? "," : "",
-			    i < testbed->nhosts ? i + 1 : RELAY_PLATFORM);
+			    i < testbed->nhosts ? i + 1 : RELAY_PLATFORM_HOST);
 	}
 	return g_string_free(text, FALSE);
 }
@@ -310,8 +329,8 @@
 void
 testbed_cut(struct testbed *testbed, const struct testbed_cut *cut)
 {
-	char *from = relay_hosts(testbed, cut->from);
-	char *to = relay_hosts(testbed, cut->to);
+	char *from = relay_host_list(testbed, cut->from);
+	char *to = relay_host_list(testbed, cut->to);
 	char *path = g_strdup_printf("/test/cut?from=%s&to=%s&ways=%s&mode=%s",
 	    from, to, cut->one_way ? "one" : "both", cut->mode);
 
@@ -324,21 +343,21 @@
 void
 testbed_cut_halves(struct testbed *testbed, const char *mode, bool one_way)
 {
-	bool first[TESTBED_HOSTS_MAX + 1] = { false };
+	bool first_centre[TESTBED_HOSTS_MAX + 1] = { false };
 	bool others[TESTBED_HOSTS_MAX + 1] = { false };
 	const struct testbed_cut cut = {
 		.from = others,
-		.to = first,
+		.to = first_centre,
 		.mode = mode,
 		.one_way = one_way,
 	};
 	uint32_t i;
 
 	for (i = 0; i < testbed->nhosts; i++) {
-		first[i] = testbed->hosts[i].data_centre == 0;
-		others[i] = !first[i];
+		first_centre[i] = testbed->hosts[i].data_centre == 0;
+		others[i] = !first_centre[i];
 	}
-	first[testbed->nhosts] = true;
+	first_centre[testbed->nhosts] = true;
 	testbed_cut(testbed, &cut);
 }
 
@@ -349,7 +368,7 @@
 }
 
 static bool
-start_fleet(struct testbed *testbed, const struct testbed_service *services,
+start_testbed(struct testbed *testbed, const struct testbed_service *services,
     uint32_t nservices, uint32_t data_centres, bool relayed,
     const char *document)
 {
@@ -365,7 +384,7 @@
 	    !test_standin_start(&testbed->platform, "platform", NULL))
 		return false;
 	loom_key_pair(&testbed->public_key, &testbed->secret_key);
-	lay_out(testbed);
+	assign_addresses(testbed);
 	if (relayed && !start_relay(testbed))
 		return false;
 	testbed_put_hosts(testbed);
@@ -387,7 +406,7 @@
 testbed_start(struct testbed *testbed, const struct testbed_service *services,
     uint32_t nservices, uint32_t data_centres, const char *document)
 {
-	return start_fleet(
+	return start_testbed(
 	    testbed, services, nservices, data_centres, false, document);
 }
 
@@ -396,7 +415,7 @@
     const struct testbed_service *services, uint32_t nservices,
     uint32_t data_centres, const char *document)
 {
-	return start_fleet(
+	return start_testbed(
 	    testbed, services, nservices, data_centres, true, document);
 }
 
@@ -440,7 +459,7 @@
 	}
 	test_standin_stop(&testbed->relay);
 	test_standin_stop(&testbed->platform);
-	/* Kept for reading when asked for. */
+	/* LOOM_KEEP in the environment keeps the logs for inspection. */
 	if (getenv("LOOM_KEEP") == NULL && testbed->dir != NULL)
 		remove_dir(testbed->dir);
 	g_free(testbed->dir);
@@ -450,12 +469,12 @@
 bool
 testbed_wait_condition(bool (*condition)(void *arg), void *arg)
 {
-	gint64 until_us = g_get_monotonic_time() + TESTBED_WAIT_MS * 1000;
+	gint64 deadline_us = g_get_monotonic_time() + TESTBED_WAIT_MS * 1000;
 
 	while (!condition(arg)) {
-		if (g_get_monotonic_time() > until_us)
+		if (g_get_monotonic_time() > deadline_us)
 			return false;
-		g_usleep(POLL_US);
+		g_usleep(POLL_INTERVAL_US);
 	}
 	return true;
 }
@@ -466,7 +485,7 @@
 };
 
 static bool
-is_ready(void *arg)
+daemon_is_ready(void *arg)
 {
 	struct ready_wait *wait = arg;
 	struct testbed_reply reply;
@@ -486,7 +505,7 @@
 	bool ready = false;
 	uint32_t i;
 
-	for (i = 0; i < READY_WAITS && !ready; i++)
-		ready = testbed_wait_condition(is_ready, &wait);
+	for (i = 0; i < READY_WAIT_COUNT && !ready; i++)
+		ready = testbed_wait_condition(daemon_is_ready, &wait);
 	return ready;
 }
