--- a/tests/support/fleet.c
+++ b/tests/support/fleet.c
@@ -1,5 +1,6 @@
 /*
- * The schedule player: a heap of events on true time.
+ * A discrete-event simulation of a fleet: a binary heap of events, ordered by
+ * simulated time.  Each daemon reads that time with an offset of its own.
  */
 
 #include <math.h>
@@ -19,7 +20,7 @@
 
 struct event {
 	uint64_t at_us;
-	uint64_t order; /* events of one time: first in, first out */
+	uint64_t order; /* of insertion; orders events of the same time */
 	enum event_kind kind;
 	unsigned daemon;
 	unsigned sender;
@@ -41,9 +42,9 @@
 	struct loom_hosts *hosts;
 	uint64_t offset_us;
 	uint64_t stopped_until_us;
-	uint64_t busy_until_us; /* with the last message */
+	uint64_t busy_until_us; /* handling the last message */
 	unsigned group;
-	uint64_t tick; /* number of the tick to come; older ones are void */
+	uint64_t tick; /* number of the next tick; earlier ones are ignored */
 	uint64_t tick_at_us;
 	bool woken;
 	uint64_t messages;
@@ -62,7 +63,7 @@
 	GArray *heap; /* of struct event */
 	struct fleet_team teams[FLEET_TEAMS];
 	uint64_t team_ids[FLEET_TEAMS];
-	GHashTable *waiting; /* owned: calls that were not ended yet */
+	GHashTable *waiting; /* owned: calls without a result yet */
 };
 
 struct call {
@@ -73,9 +74,12 @@
 	uint64_t began_us;
 };
 
-/* Lower priority first; a binary heap by hand as GLib has none. */
+/*
+ * The heap is written out here because GLib has none.  The earliest event comes
+ * first, events of the same time in the order in which they were pushed.
+ */
 static bool
-before(const struct event *a, const struct event *b)
+event_is_before(const struct event *a, const struct event *b)
 {
 	if (a->at_us != b->at_us)
 		return a->at_us < b->at_us;
@@ -85,7 +89,7 @@
 #define HEAP(fleet, i) g_array_index((fleet)->heap, struct event, (i))
 
 static void
-swap(struct fleet *fleet, guint i, guint j)
+swap_events(struct fleet *fleet, guint i, guint j)
 {
 	struct event event = HEAP(fleet, i);
 
@@ -94,46 +98,48 @@
 }
 
 static void
-push(struct fleet *fleet, struct event event)
+push_event(struct fleet *fleet, struct event event)
 {
 	guint i = fleet->heap->len;
 
 	event.order = fleet->order++;
 	g_array_append_val(fleet->heap, event);
-	while (i > 0 && before(&HEAP(fleet, i), &HEAP(fleet, (i - 1) / 2))) {
-		swap(fleet, i, (i - 1) / 2);
+	while (i > 0 &&
+	    event_is_before(&HEAP(fleet, i), &HEAP(fleet, (i - 1) / 2))) {
+		swap_events(fleet, i, (i - 1) / 2);
 		i = (i - 1) / 2;
 	}
 }
 
 static struct event
-pop(struct fleet *fleet)
+pop_event(struct fleet *fleet)
 {
 	struct event first = HEAP(fleet, 0);
 	guint child, i = 0, n = fleet->heap->len - 1;
 
-	swap(fleet, 0, n);
+	swap_events(fleet, 0, n);
 	g_array_set_size(fleet->heap, n);
 	while ((child = 2 * i + 1) < n) {
 		if (child + 1 < n &&
-		    before(&HEAP(fleet, child + 1), &HEAP(fleet, child)))
+		    event_is_before(
+			&HEAP(fleet, child + 1), &HEAP(fleet, child)))
 			child++;
-		if (!before(&HEAP(fleet, child), &HEAP(fleet, i)))
+		if (!event_is_before(&HEAP(fleet, child), &HEAP(fleet, i)))
 			break;
-		swap(fleet, i, child);
+		swap_events(fleet, i, child);
 		i = child;
 	}
 	return first;
 }
 
 static uint64_t
-local_us(const struct fleet_daemon *daemon)
+daemon_now_us(const struct fleet_daemon *daemon)
 {
 	return daemon->fleet->now_us + daemon->offset_us;
 }
 
 static void
-bucket_to(struct fleet_bucket *bucket, uint64_t now_us)
+bucket_refill(struct fleet_bucket *bucket, uint64_t now_us)
 {
 	bucket->level +=
 	    bucket->rate_per_s * (double)(now_us - bucket->at_us) / 1e6;
@@ -145,36 +151,43 @@
 push_tick(struct fleet_daemon *daemon, uint64_t at_us)
 {
 	daemon->tick_at_us = at_us;
-	push(daemon->fleet,
+	push_event(daemon->fleet,
 	    (struct event){ .at_us = at_us,
 		.kind = EVENT_TICK,
 		.tick = ++daemon->tick,
 		.daemon = daemon->index });
 }
 
-/* As the control thread does: fast while something waits. */
+/*
+ * The control thread of a real daemon chooses its interval in the same way: the
+ * shorter one while the component is busy.
+ */
 static uint64_t
-tick_gap_us(const struct fleet_daemon *daemon)
+tick_interval_us(const struct fleet_daemon *daemon)
 {
 	if (loom_rights_set_ops.busy(daemon->rights))
 		return loom_rights_set_ops.busy_tick_us;
 	return loom_rights_set_ops.tick_us;
 }
 
+/*
+ * Schedules an earlier tick when the interval has become shorter.  The one that
+ * was scheduled before is then ignored.
+ */
 static void
-hurry_tick(struct fleet_daemon *daemon)
+reschedule_tick(struct fleet_daemon *daemon)
 {
 	uint64_t at_us;
 
 	if (daemon->rights == NULL)
 		return;
-	at_us = daemon->fleet->now_us + tick_gap_us(daemon);
+	at_us = daemon->fleet->now_us + tick_interval_us(daemon);
 	if (at_us < daemon->tick_at_us)
 		push_tick(daemon, at_us);
 }
 
 static struct fleet_daemon *
-by_host(struct fleet *fleet, uint64_t host_id)
+daemon_by_host_id(struct fleet *fleet, uint64_t host_id)
 {
 	unsigned i;
 
@@ -186,7 +199,7 @@
 }
 
 static void
-deliver_later(struct fleet_daemon *sender, struct fleet_daemon *to,
+schedule_delivery(struct fleet_daemon *sender, struct fleet_daemon *to,
     uint8_t type, const void *payload, size_t len)
 {
 	struct fleet *fleet = sender->fleet;
@@ -200,11 +213,11 @@
 	delay_us +=
 	    loom_random_below(&fleet->random, fleet->network.jitter_us + 1);
 	at_us = fleet->now_us + delay_us;
-	/* one connection between two daemons: what is sent later comes later */
+	/* Two daemons share one connection, which keeps messages in order. */
 	if (!fleet->network.reorder)
 		at_us = MAX(at_us, sender->last_us[to->index]);
 	sender->last_us[to->index] = at_us;
-	push(fleet,
+	push_event(fleet,
 	    (struct event){
 		.at_us = at_us,
 		.kind = EVENT_MESSAGE,
@@ -222,58 +235,63 @@
     void *arg, uint64_t host_id, uint8_t type, const void *payload, size_t len)
 {
 	struct fleet_daemon *sender = arg;
-	struct fleet_daemon *to = by_host(sender->fleet, host_id);
+	struct fleet_daemon *to = daemon_by_host_id(sender->fleet, host_id);
 	struct fleet *fleet = sender->fleet;
 
 	sender->messages++;
 	sender->bytes += len;
 	if (to == NULL || to->group != sender->group)
 		return;
-	deliver_later(sender, to, type, payload, len);
+	schedule_delivery(sender, to, type, payload, len);
 	if (loom_random_unit(&fleet->random) < fleet->network.repeat)
-		deliver_later(sender, to, type, payload, len);
+		schedule_delivery(sender, to, type, payload, len);
 }
 
 static void
-wake(void *arg)
+wake_daemon(void *arg)
 {
 	struct fleet_daemon *daemon = arg;
 
 	daemon->woken = true;
 }
 
+/*
+ * Follows each call into a daemon's rights: does the work for which they have
+ * asked to be woken, and reschedules the next tick if needed.
+ */
 static void
-after(struct fleet_daemon *daemon)
+run_pending_work(struct fleet_daemon *daemon)
 {
 	if (daemon->woken && daemon->rights != NULL) {
 		daemon->woken = false;
-		loom_rights_set_run(daemon->rights, local_us(daemon));
+		loom_rights_set_run(daemon->rights, daemon_now_us(daemon));
 	}
-	hurry_tick(daemon);
+	reschedule_tick(daemon);
 }
 
 static void
-play(struct fleet *fleet, struct event *event)
+run_event(struct fleet *fleet, struct event *event)
 {
 	struct fleet_daemon *daemon = &fleet->daemons[event->daemon];
 
 	if (daemon->stopped_until_us > fleet->now_us) {
-		/* it waits in the socket until the process runs again */
+		/* It stays in the socket buffer until the process runs. */
 		event->at_us = daemon->stopped_until_us;
-		push(fleet, *event);
+		push_event(fleet, *event);
 		return;
 	}
+	/* A daemon handles one message at a time. */
 	if (event->kind == EVENT_MESSAGE &&
 	    daemon->busy_until_us > fleet->now_us) {
 		event->at_us = daemon->busy_until_us;
-		push(fleet, *event);
+		push_event(fleet, *event);
 		return;
 	}
 	if (event->kind == EVENT_TICK && event->tick != daemon->tick)
 		return;
 	if (daemon->rights != NULL && event->kind == EVENT_TICK) {
-		loom_rights_set_ops.tick(daemon->rights, local_us(daemon));
-		push_tick(daemon, fleet->now_us + tick_gap_us(daemon));
+		loom_rights_set_ops.tick(daemon->rights, daemon_now_us(daemon));
+		push_tick(daemon, fleet->now_us + tick_interval_us(daemon));
 	}
 	if (event->kind == EVENT_MESSAGE)
 		daemon->busy_until_us =
@@ -281,8 +299,9 @@
 	if (daemon->rights != NULL && event->kind == EVENT_MESSAGE &&
 	    daemon->group == fleet->daemons[event->sender].group)
 		loom_rights_set_ops.message(daemon->rights, &event->from,
-		    event->type, event->payload, event->len, local_us(daemon));
-	after(daemon);
+		    event->type, event->payload, event->len,
+		    daemon_now_us(daemon));
+	run_pending_work(daemon);
 	g_free(event->payload);
 }
 
@@ -292,31 +311,32 @@
 	struct event event;
 
 	while (fleet->heap->len > 0 && HEAP(fleet, 0).at_us <= until_us) {
-		event = pop(fleet);
+		event = pop_event(fleet);
 		fleet->now_us = MAX(fleet->now_us, event.at_us);
-		play(fleet, &event);
+		run_event(fleet, &event);
 	}
 	fleet->now_us = MAX(fleet->now_us, until_us);
 }
 
+/* Takes an admitted call out of the bucket that bounds the team. */
 static void
-admitted(struct fleet *fleet, unsigned index)
+count_admission(struct fleet *fleet, unsigned index)
 {
 	struct fleet_team *team = &fleet->teams[index];
 
 	team->admitted++;
-	bucket_to(&team->bound, fleet->now_us);
+	bucket_refill(&team->bound, fleet->now_us);
 	team->bound.level -= 1;
 	team->worst = MIN(team->worst, team->bound.level);
 }
 
 static void
-finished(struct call *call, enum loom_result result, uint64_t retry_us)
+count_result(struct call *call, enum loom_result result, uint64_t retry_us)
 {
 	struct fleet_team *team = &call->fleet->teams[call->team];
 
 	if (result == LOOM_OK) {
-		admitted(call->fleet, call->team);
+		count_admission(call->fleet, call->team);
 		return;
 	}
 	team->retry_us += retry_us;
@@ -325,21 +345,25 @@
 }
 
 static void
-wait_done(struct loom_rights_waiter *waiter, enum loom_result result,
+waiter_done(struct loom_rights_waiter *waiter, enum loom_result result,
     uint64_t retry_us)
 {
 	struct call *call = waiter->arg;
 
 	call->fleet->teams[call->team].waited_us +=
 	    call->fleet->now_us - call->began_us;
-	finished(call, result, retry_us);
+	count_result(call, result, retry_us);
 	g_hash_table_remove(call->fleet->waiting, call);
 }
 
+/*
+ * Takes a call out of the team's ideal bucket, a single one for the whole
+ * fleet; false when it is empty.
+ */
 static bool
-ideal_takes(struct fleet_team *team, uint64_t now_us)
+ideal_bucket_admits(struct fleet_team *team, uint64_t now_us)
 {
-	bucket_to(&team->ideal, now_us);
+	bucket_refill(&team->ideal, now_us);
 	if (team->ideal.level < 1)
 		return false;
 	team->ideal.level -= 1;
@@ -362,29 +386,30 @@
 	call->fleet = fleet;
 	call->team = team;
 	call->began_us = fleet->now_us;
-	call->ideal = ideal_takes(&fleet->teams[team], fleet->now_us);
-	call->waiter.done = wait_done;
+	call->ideal = ideal_bucket_admits(&fleet->teams[team], fleet->now_us);
+	call->waiter.done = waiter_done;
 	call->waiter.arg = call;
 	fleet->teams[team].arrived++;
 	rights = loom_rights_of(daemon->rights, fleet->team_ids[team]);
 	result = loom_rights_take(
-	    rights, fleet->team_ids[team], local_us(daemon), &retry_us);
+	    rights, fleet->team_ids[team], daemon_now_us(daemon), &retry_us);
 	if (result == LOOM_RIGHTS_PENDING) {
 		fleet->teams[team].waited++;
 		g_hash_table_add(fleet->waiting, call);
 		loom_rights_wait(rights, fleet->team_ids[team], &call->waiter,
-		    local_us(daemon));
+		    daemon_now_us(daemon));
 	} else {
-		finished(call, result, retry_us);
+		count_result(call, result, retry_us);
 		g_free(call);
 	}
-	after(daemon);
+	run_pending_work(daemon);
 }
 
+/* A random daemon, chosen in proportion to weights; NULL for equal ones. */
 static unsigned
-pick(struct fleet *fleet, const double *weights)
+pick_daemon(struct fleet *fleet, const double *weights)
 {
-	double at, sum = 0;
+	double remaining, sum = 0;
 	unsigned i;
 
 	if (weights == NULL)
@@ -392,9 +417,9 @@
 		    &fleet->random, fleet->ndaemons);
 	for (i = 0; i < fleet->ndaemons; i++)
 		sum += weights[i];
-	at = loom_random_unit(&fleet->random) * sum;
-	for (i = 0; i + 1 < fleet->ndaemons && at >= weights[i]; i++)
-		at -= weights[i];
+	remaining = loom_random_unit(&fleet->random) * sum;
+	for (i = 0; i + 1 < fleet->ndaemons && remaining >= weights[i]; i++)
+		remaining -= weights[i];
 	return i;
 }
 
@@ -402,23 +427,23 @@
 fleet_load(struct fleet *fleet, unsigned team, double per_s,
     const double *weights, uint64_t until_us)
 {
-	double gap_us;
+	double interval_s;
 	uint64_t next_us = fleet->now_us;
 
 	for (;;) {
-		gap_us = -log(1 - loom_random_unit(&fleet->random)) / per_s;
-		next_us += (uint64_t)(gap_us * 1e6);
+		interval_s = -log(1 - loom_random_unit(&fleet->random)) / per_s;
+		next_us += (uint64_t)(interval_s * 1e6);
 		if (next_us >= until_us)
 			break;
 		fleet_run(fleet, next_us);
-		fleet_call(fleet, pick(fleet, weights), team);
+		fleet_call(fleet, pick_daemon(fleet, weights), team);
 	}
 	fleet_run(fleet, until_us);
 }
 
-/* Rounded up. */
+/* One tenth, rounded up. */
 static uint32_t
-tenth(uint32_t burst)
+tenth_of(uint32_t burst)
 {
 	return (burst + 9) / 10;
 }
@@ -432,7 +457,7 @@
 static uint32_t
 team_burst(unsigned team, uint32_t burst)
 {
-	return team == 1 ? tenth(burst) : burst;
+	return team == 1 ? tenth_of(burst) : burst;
 }
 
 static struct loom_manifest *
@@ -470,7 +495,7 @@
 {
 	struct fleet_bucket *bound = &fleet->teams[team].bound;
 
-	bucket_to(bound, fleet->now_us);
+	bucket_refill(bound, fleet->now_us);
 	bound->rate_per_s = MAX(bound->rate_per_s, rate);
 	bound->burst = MAX(bound->burst, burst);
 }
@@ -490,20 +515,21 @@
 	daemon->manifest = make_manifest(rate_per_s, burst, slots);
 	if (daemon->rights != NULL)
 		loom_rights_set_ops.manifest_changed(
-		    daemon->rights, daemon->manifest, local_us(daemon));
+		    daemon->rights, daemon->manifest, daemon_now_us(daemon));
 }
 
 static void
-settle(struct fleet *fleet, unsigned team, double rate, double burst)
+set_rate_and_burst(
+    struct fleet *fleet, unsigned index, double rate, double burst)
 {
-	struct fleet_team *at = &fleet->teams[team];
+	struct fleet_team *team = &fleet->teams[index];
 
-	bucket_to(&at->bound, fleet->now_us);
-	bucket_to(&at->ideal, fleet->now_us);
-	at->bound.rate_per_s = at->ideal.rate_per_s = rate;
-	at->bound.burst = at->ideal.burst = burst;
-	at->bound.level = MIN(at->bound.level, burst);
-	at->ideal.level = MIN(at->ideal.level, burst);
+	bucket_refill(&team->bound, fleet->now_us);
+	bucket_refill(&team->ideal, fleet->now_us);
+	team->bound.rate_per_s = team->ideal.rate_per_s = rate;
+	team->bound.burst = team->ideal.burst = burst;
+	team->bound.level = MIN(team->bound.level, burst);
+	team->ideal.level = MIN(team->ideal.level, burst);
 }
 
 void
@@ -512,7 +538,7 @@
 	unsigned i;
 
 	for (i = 0; i < FLEET_TEAMS; i++)
-		settle(
+		set_rate_and_burst(
 		    fleet, i, team_rate(i, rate_per_s), team_burst(i, burst));
 }
 
@@ -553,7 +579,7 @@
 	g_array_free(hosts, TRUE);
 	if (daemon->rights != NULL)
 		loom_rights_set_ops.hosts_changed(
-		    daemon->rights, daemon->hosts, local_us(daemon));
+		    daemon->rights, daemon->hosts, daemon_now_us(daemon));
 }
 
 void
@@ -561,7 +587,7 @@
 {
 	struct fleet_daemon *daemon = &fleet->daemons[index];
 	struct loom_sender sender = { .send = send_message, .arg = daemon };
-	struct loom_rights_waker waker = { .wake = wake, .arg = daemon };
+	struct loom_rights_waker waker = { .wake = wake_daemon, .arg = daemon };
 	uint64_t now_us;
 
 	if (daemon->rights != NULL)
@@ -570,7 +596,7 @@
 	daemon->offset_us =
 	    loom_random_below(&fleet->random, CLOCK_OFFSET_MAX_US);
 	daemon->stopped_until_us = 0;
-	now_us = local_us(daemon);
+	now_us = daemon_now_us(daemon);
 	daemon->rights = loom_rights_set_new(NULL, &daemon->self, &sender,
 	    &fleet->random, &waker, &fleet->settings, now_us);
 	if (daemon->manifest != NULL)
@@ -584,7 +610,10 @@
 		loom_random_below(&fleet->random, loom_rights_set_ops.tick_us));
 }
 
-/* Calls that wait there get no answer: the caller's connection breaks. */
+/*
+ * Calls that wait at the daemon never get a result; the connections of real
+ * callers would break.
+ */
 void
 fleet_kill(struct fleet *fleet, unsigned index)
 {
@@ -600,7 +629,7 @@
 {
 	struct fleet_daemon *daemon = &fleet->daemons[index];
 
-	loom_rights_set_ops.drain(daemon->rights, local_us(daemon));
+	loom_rights_set_ops.drain(daemon->rights, daemon_now_us(daemon));
 }
 
 void
@@ -713,7 +742,7 @@
 			loom_hosts_release(fleet->daemons[i].hosts);
 	}
 	while (fleet->heap->len > 0) {
-		event = pop(fleet);
+		event = pop_event(fleet);
 		g_free(event.payload);
 	}
 	g_hash_table_destroy(fleet->waiting);
