--- a/tests/support/testbed.h
+++ b/tests/support/testbed.h
@@ -2,12 +2,15 @@
 #define LOOM_TEST_TESTBED_H
 
 /*
- * A small fleet of real processes: a platform stand-in and, for each host, an
- * upstream stand-in with its daemon.  Each host has a loopback address of its
- * own (127.X.SERVICE.HOST), so that ports are fixed and never collide.
+ * Runs a small fleet of real processes for a test: one stand-in for the
+ * platform and, for each host, a daemon and a stand-in for its upstream.  Each
+ * host has its own loopback address 127.X.Y.HOST, where X and Y come from the
+ * process id of the test.  Port numbers are therefore fixed, and test programs
+ * that run at the same time don't collide.
  *
- * All children die with the test.  Nothing in here waits for a time: the
- * wait functions poll a condition with a generous limit.
+ * All child processes are killed when the test ends.  No function sleeps for a
+ * fixed time: the wait functions poll a condition, for at most TESTBED_WAIT_MS
+ * (three times that in testbed_wait_ready()).
  */
 
 #include <glib.h>
@@ -28,15 +31,15 @@
 	"000102030405060708090a0b0c0d0e0f" \
 	"101112131415161718191a1b1c1d1e1f"
 
-/* One service of the testbed. */
 struct testbed_service {
 	const char *name;
 	uint32_t hosts;
 	const char *calls[5]; /* "METHOD PATH", NULL-terminated */
 	uint32_t slots;
 	uint32_t service_ms;
-	bool daemons_only; /* no upstream stands beside them */
-	bool held_socket; /* an upstream that crashes is back at once */
+	bool daemons_only; /* without upstream processes */
+	bool held_socket; /* an upstream that crashes restarts on the
+			   * listening socket that it kept open */
 };
 
 struct testbed_host {
@@ -44,11 +47,11 @@
 	char ip[32];
 	const struct testbed_service *service; /* borrowed */
 	uint32_t data_centre;
-	bool leaving; /* as the platform lists it */
-	bool unlisted;
+	bool leaving; /* the state in the platform's host list */
+	bool unlisted; /* not in the platform's host list */
 	const char *platform_url; /* borrowed; NULL for the testbed's */
-	/* PEM files, borrowed; NULL for plain HTTP.  Callers trust the
-	 * certificate alone. */
+	/* PEM files, borrowed; NULL for plain HTTP.  Callers trust this
+	 * certificate and no other. */
 	const char *tls_key_file;
 	const char *tls_cert_file;
 	pid_t daemon;
@@ -57,31 +60,30 @@
 
 struct testbed {
 	struct test_standin platform;
-	struct test_standin relay; /* pid 0 without one */
-	char platform_via_relay[64]; /* its URL for daemons */
+	struct test_standin relay; /* pid 0 when no relay runs */
+	char platform_via_relay[64]; /* the platform's URL on the relay */
 	struct loom_public_key public_key;
 	struct loom_secret_key secret_key;
 	const struct testbed_service *services; /* borrowed */
 	uint32_t nservices;
-	uint32_t data_centres; /* hosts go to them in turn */
+	uint32_t data_centres; /* hosts are assigned to them in turn */
 	struct testbed_host hosts[TESTBED_HOSTS_MAX];
 	uint32_t nhosts;
-	char *dir; /* owned: settings, logs and ledgers */
+	char *dir; /* owned: with settings, logs, ledgers and dumps */
 };
 
-/* A whole answer. */
+/* The response to one request. */
 struct testbed_reply {
-	int curl; /* CURLcode; 0 for a whole answer */
+	int curl; /* CURLcode; 0 when the response is complete */
 	long status;
 	char *headers; /* owned */
 	char *body; /* owned */
 	size_t body_len;
-	int code; /* of Loom-Code, 0 for none */
-	char outcome[16]; /* of Loom-Outcome, "" for none */
+	int code; /* value of Loom-Code; 0 when missing */
+	char outcome[16]; /* value of Loom-Outcome; "" when missing */
 	double total_ms;
 };
 
-/* One request of a caller. */
 struct testbed_request {
 	uint32_t host;
 	const char *method;
@@ -89,141 +91,150 @@
 	const char *const *headers; /* NULL-terminated, or NULL */
 	const char *body; /* or NULL */
 	size_t body_len;
-	uint32_t give_up_ms; /* the caller goes away then; 0 for never */
+	uint32_t give_up_ms; /* the caller's timeout; 0 for TESTBED_WAIT_MS */
 };
 
-/* A caller that keeps its connections; for one thread at a time. */
+/* A caller that reuses its connections.  Only one thread may use it at a time.
+ */
 struct testbed_caller {
 	struct testbed *testbed; /* borrowed */
 	void *easy; /* owned */
 };
 
-/* Start everything; the document is signed and put.  False when some part
- * does not come up. */
+/* Starts all processes, with the document signed and published as "test". False
+ * when a process does not start or a daemon does not become ready. */
 bool testbed_start(struct testbed *, const struct testbed_service *services,
     uint32_t nservices, uint32_t data_centres, const char *document);
 void testbed_stop(struct testbed *);
 
 /*
- * The same with a relay between the hosts, and between them and the platform,
- * so that a test can cut them off from each other.  Callers and upstreams
- * reach their daemon directly.
+ * Like testbed_start(), with a relay between the hosts and between them and the
+ * platform, so that a test can partition the network.  Callers and upstreams
+ * connect to their daemon directly.
  */
 bool testbed_start_relayed(struct testbed *,
     const struct testbed_service *services, uint32_t nservices,
     uint32_t data_centres, const char *document);
 
-/* What a cut does; tests/standin/relay.c has the words. */
+/* A network partition; tests/standin/relay.c describes the modes. */
 struct testbed_cut {
-	const bool *from; /* hosts by their index, the platform at nhosts */
+	const bool *from; /* by host index; the platform is at nhosts */
 	const bool *to;
 	const char *mode; /* "hold", "drop" or "reset" */
-	bool one_way; /* only what from sends to to */
+	bool one_way; /* blocks only traffic from "from" to "to" */
 };
 
-/* Cuts add up until they are healed.  Both return when the relay has them. */
+/* Cuts accumulate until testbed_heal() removes all of them.  Both functions
+ * return when the relay has applied the change. */
 void testbed_cut(struct testbed *, const struct testbed_cut *);
 void testbed_heal(struct testbed *);
 
-/* Cut the first data centre, with the platform, off from all others; one way:
- * what the first sends still arrives. */
+/* Separates the first data centre and the platform from all other data centres.
+ * With one_way, traffic from the first data centre still arrives at the others.
+ */
 void testbed_cut_halves(struct testbed *, const char *mode, bool one_way);
 
-/* Sign a document and put it on the platform. */
+/* Signs a manifest document and publishes it on the platform. */
 void testbed_put_document(struct testbed *, const char *name, const char *text);
-/* Put the host lists as the hosts' marks say. */
+/* Publishes the host lists on the platform, from leaving and unlisted of each
+ * host. */
 void testbed_put_hosts(struct testbed *);
 
-/* A call to the platform stand-in's own side; owned, g_free. */
+/* Calls the test interface of the platform stand-in.  The response body is
+ * owned: g_free(). */
 char *testbed_platform_call(
     struct testbed *, const char *method, const char *path);
 
-/* Single processes.  They die with the thread that started them: start none
- * from a thread that ends. */
+/* Start a single process.  It is killed when the thread that started it ends,
+ * so that thread must live as long as the process is needed. */
 bool testbed_start_daemon(struct testbed *, uint32_t host);
 bool testbed_start_upstream(struct testbed *, uint32_t host);
-void testbed_kill(
-    pid_t *pid, int signal_number); /* and reap, for deadly ones */
+/* Sends a signal.  Unless it is SIGSTOP or SIGCONT, also waits for the process
+ * to end and sets *pid to 0. */
+void testbed_kill(pid_t *pid, int signal_number);
 
-/* Owned: the path of a host's log, ledger, dump or settings ("json"). */
+/* The path of a host's file; owned.  The suffix is "log", "upstream.log",
+ * "ledger", "dump" or, for its settings, "json". */
 char *testbed_file(const struct testbed *, uint32_t host, const char *suffix);
 
-/* Poll until the daemon's health page says ready. */
+/* Polls until the daemon's health page responds with status 200. */
 bool testbed_wait_ready(struct testbed *, uint32_t host);
-/* Poll until the host's upstream takes connections. */
+/* Polls until the host's upstream accepts connections. */
 bool testbed_wait_upstream(struct testbed *, uint32_t host);
-/* Poll until the condition holds; false after TESTBED_WAIT_MS. */
+/* Polls until the condition is true; false after TESTBED_WAIT_MS. */
 bool testbed_wait_condition(bool (*condition)(void *arg), void *arg);
 
 /*
- * One request to a host's daemon.  headers is NULL-terminated "Name: value",
- * may be NULL; body may be NULL.  The reply is owned: testbed_reply_clear().
+ * Sends one request to a host's daemon, over a new connection.  headers is a
+ * NULL-terminated array of "Name: value" or NULL; body may be NULL.  The reply
+ * is owned: testbed_reply_clear().
  */
 void testbed_call(struct testbed *, uint32_t host, const char *method,
     const char *path, const char *const *headers, const char *body,
     size_t body_len, struct testbed_reply *);
 void testbed_reply_clear(struct testbed_reply *);
 
-/* The same over connections that are kept from call to call. */
+/* Like testbed_call(), over connections that are reused by later requests. */
 void testbed_caller_init(struct testbed_caller *, struct testbed *);
 void testbed_caller_clear(struct testbed_caller *);
 void testbed_caller_call(struct testbed_caller *,
     const struct testbed_request *, struct testbed_reply *);
 
-/* Send raw bytes to a host's daemon and read until it closes, or until the
- * answer holds until (may be NULL).  Owned, g_free. */
+/* Sends raw bytes to a host's daemon and reads until the connection ends or the
+ * response contains the text until (may be NULL).  Owned: g_free(). */
 char *testbed_raw(struct testbed *, uint32_t host, const char *bytes,
     size_t len, const char *until);
 
-/* All that comes on a connection; owned, g_free.  closed says that it ended in
- * order, without a reset and before the limit. */
+/* Reads a connection to its end; owned: g_free().  closed is true when the peer
+ * closed it in an orderly way, without a reset or a timeout. */
 char *testbed_read_to_end(int fd, bool *closed);
 
-/* A connection to a host's daemon; -1 when it is refused. */
+/* Connects to the address for callers of a host's daemon; -1 when refused. */
 int testbed_connect(struct testbed *, uint32_t host);
-/* The same to its control address. */
+/* Connects to the control address of a host's daemon; -1 when refused. */
 int testbed_connect_control(struct testbed *, uint32_t host);
 
-/* The resident memory of a process in KiB; -1 when it is gone. */
+/* The resident set size of a process in KiB; -1 when it has ended. */
 long testbed_memory_kb(pid_t);
 
-/* The processor time that a process has used, in seconds. */
+/* The user and system CPU time of a process, in seconds. */
 double testbed_cpu_s(pid_t);
 
-/* The first host of a service. */
+/* The index of the first host of a service. */
 uint32_t testbed_host_of(const struct testbed *, const char *service);
 
-/* How many lines of all ledgers of a service begin with "EVENT ID"; id NULL
- * for any. */
+/* The number of lines in the ledgers of a service that begin with "EVENT ID";
+ * id NULL for any. */
 uint32_t testbed_ledger_count(const struct testbed *, const char *service,
     const char *event, const char *id);
-/* Whether what a service's upstreams received holds the text. */
+/* Whether a request that any upstream received contains the text. */
 bool testbed_dump_contains(const struct testbed *, const char *text);
 
-/* How many lines of each request are of that event, by X-Test-Id: a table of
- * (char *, GUINT_TO_POINTER); owned.  service NULL for all of them. */
+/* The number of ledger lines of an event for each X-Test-Id: a hash table from
+ * char * to GUINT_TO_POINTER; owned.  service NULL for all services. */
 GHashTable *testbed_ledger(
     const struct testbed *, const char *service, const char *event);
-/* The greatest of these counts; 0 for an empty table. */
+/* The highest count in such a table; 0 when it is empty. */
 uint32_t testbed_ledger_most(GHashTable *);
 
-/* The last value of a header that a host's upstream received; owned, NULL
- * when there was none. */
+/* The value of a header in the last request to a host's upstream that had it;
+ * owned, NULL when there was none. */
 char *testbed_dump_last(
     const struct testbed *, uint32_t host, const char *header);
 
-/* Take a ticket for a route through a host's daemon; owned, NULL when it is
- * refused. */
+/* Requests a ticket for a route from a host's daemon; owned, NULL when it gives
+ * none. */
 char *testbed_ticket(
     struct testbed *, uint32_t host, const char *key_header, const char *route);
-/* The host whose daemon executes the ticket; nhosts when it is none. */
+/* The index of the host whose daemon executes the ticket; nhosts when the
+ * ticket is invalid or names an unknown host. */
 uint32_t testbed_ticket_host(const struct testbed *, const char *ticket);
 
-/* The version and digest of the document "test" in force at a host; 0 when it
- * does not answer. */
+/* The version, with the digest, of the document "test" that a host's daemon
+ * applies; 0 when the daemon does not respond or has none. */
 int64_t testbed_in_force(struct testbed *, uint32_t host, char digest[32]);
 
-/* A number from a daemon's metrics page; -1 when it is not there. */
+/* The value of a series on a daemon's metrics page; -1 when it is missing. */
 double testbed_metric(struct testbed *, uint32_t host, const char *series);
 
 /* The SHA-256 of a caller's key in hex; static buffer. */
