--- a/tests/support/fleet.h
+++ b/tests/support/fleet.h
@@ -2,13 +2,17 @@
 #define LOOM_TEST_FLEET_H
 
 /*
- * Many rights parts on one fake clock and a fake network: a schedule player.
+ * A discrete-event simulation of the rights components of a fleet, with a
+ * simulated clock and network.
  *
- * Each daemon has a clock of its own (an offset to true time).  Messages take
- * time and may be lost, repeated and reordered; daemons may be stopped, killed
- * and started anew, or cut off.  Every call that is let in is checked at once
- * against one ideal bucket of the team's rate and burst: its level may never
- * go below zero, which is the promise over every window.
+ * Each daemon has its own clock, at an offset from simulated time.  Messages
+ * are delayed and may be lost, duplicated and reordered.  Daemons may be
+ * stopped, killed, restarted and partitioned from each other.
+ *
+ * Every admitted call is taken from one token bucket with the team's rate and
+ * burst (fleet_team.bound).  If its level goes below zero, the fleet admitted
+ * more than burst + rate * length in some window of time, which it guarantees
+ * not to do.  Tests check the lowest level (fleet_team.worst).
  */
 
 #include <stdbool.h>
@@ -21,13 +25,13 @@
 #define FLEET_TEAMS 9
 
 struct fleet_network {
-	uint64_t near_us; /* one way within a data centre */
-	uint64_t far_us; /* one way between data centres */
-	uint64_t jitter_us; /* added, uniform */
-	bool reorder; /* jitter may also change the order of messages */
-	double loss;
-	double repeat;
-	uint64_t handling_us; /* that a daemon takes for a message */
+	uint64_t near_us; /* one-way delay within a data centre */
+	uint64_t far_us; /* one-way delay between data centres */
+	uint64_t jitter_us; /* maximum added delay; uniform */
+	bool reorder; /* jitter may change the order of messages */
+	double loss; /* probability */
+	double repeat; /* probability that a message arrives twice */
+	uint64_t handling_us; /* time a daemon needs for one message */
 };
 
 struct fleet_bucket {
@@ -38,21 +42,23 @@
 };
 
 struct fleet_team {
-	struct fleet_bucket bound; /* fed with what was let in */
-	struct fleet_bucket ideal; /* fed with what arrived */
-	double worst; /* lowest level of the bound */
+	struct fleet_bucket bound; /* charged with each admitted call */
+	/* takes each arriving call, unless its level is below 1 */
+	struct fleet_bucket ideal;
+	double worst; /* lowest level of bound */
 	uint64_t arrived;
 	uint64_t admitted;
-	uint64_t waited;
+	uint64_t waited; /* calls without an immediate result */
 	uint64_t waited_us;
 	uint64_t ideal_admitted;
-	uint64_t wrongful; /* refused, but the ideal let it in */
-	uint64_t retry_us; /* sum over refusals */
+	uint64_t wrongful; /* refused, though ideal admitted it */
+	uint64_t retry_us; /* sum of the retry delays of refusals */
 };
 
 struct fleet;
 
-/* ndaemons over ndcs data centres of one region, all started at time 0. */
+/* ndaemons daemons, assigned in turn to ndcs data centres of one region, all
+ * started when the simulation begins. */
 struct fleet *fleet_new(unsigned ndaemons, unsigned ndcs, uint32_t seed,
     const struct loom_rights_settings *settings);
 void fleet_free(struct fleet *);
@@ -62,51 +68,57 @@
 uint64_t fleet_now(const struct fleet *);
 unsigned fleet_size(const struct fleet *);
 struct loom_random *fleet_random(struct fleet *);
-/* Of the first partition. */
+/* The first partition of a daemon's rights. */
 struct loom_rights *fleet_rights(struct fleet *, unsigned daemon);
 
-/* A running daemon that takes itself for the topmost pool. */
+/* A running daemon that considers itself the topmost pool; 0 if none does. */
 unsigned fleet_pool(struct fleet *);
 
-/* Ship rate, burst and slots to one daemon, the same for all teams but team 1,
- * which has a tenth.  The bound takes the larger of old and new until
- * fleet_settled(). */
+/* Gives one daemon a manifest with this rate, burst and slots.  All teams have
+ * the same rate and burst, except team 1, which has a tenth.  Until
+ * fleet_settled(), bound uses the larger of the old and new values, as daemons
+ * may differ. */
 void fleet_manifest(struct fleet *, unsigned daemon, double rate_per_s,
     uint32_t burst, uint32_t slots);
+/* Gives all daemons such a manifest and calls fleet_settled(). */
 void fleet_manifest_all(
     struct fleet *, double rate_per_s, uint32_t burst, uint32_t slots);
-/* All daemons have this rate and burst from now on. */
+/* From now on, bound and ideal use this rate and burst.  To be called when all
+ * daemons have them. */
 void fleet_settled(struct fleet *, double rate_per_s, uint32_t burst);
 
-/* The host list that a daemon sees: those of the mask. */
+/* Sets the host list of one daemon: those with listed[i]; NULL for all. */
 void fleet_hosts(struct fleet *, unsigned daemon, const bool *listed);
 
-/* Play until a time. */
+/* Runs all events until a time. */
 void fleet_run(struct fleet *, uint64_t until_us);
 
-/* A call of a team comes to a daemon now. */
+/* A call of a team arrives at a daemon now; ignored unless it is up. */
 void fleet_call(struct fleet *, unsigned daemon, unsigned team);
 
-/* Poisson arrivals: calls per second of a team, spread over daemons by
- * weights (NULL: evenly), until a time. */
+/* Simulates Poisson arrivals of a team until a time: per_s calls a second, each
+ * at a random daemon in proportion to weights (NULL for equal ones). */
 void fleet_load(struct fleet *, unsigned team, double per_s,
     const double *weights, uint64_t until_us);
 
-/* Calls of all teams by chance, per_s in all, each at any daemon, until a time.
- * The first team sends so many times what each of the others does. */
+/* Simulates calls of all teams at random daemons until a time, per_s calls a
+ * second in total.  The first team sends first_times as many as each other. */
 void fleet_load_all(
     struct fleet *, double per_s, unsigned first_times, uint64_t until_us);
 
+/* The daemon handles nothing for this time; messages and ticks wait, and calls
+ * that arrive are ignored. */
 void fleet_stop(struct fleet *, unsigned daemon, uint64_t for_us);
 void fleet_kill(struct fleet *, unsigned daemon);
 void fleet_start(struct fleet *, unsigned daemon);
 void fleet_drain(struct fleet *, unsigned daemon);
 bool fleet_is_up(const struct fleet *, unsigned daemon);
-/* Messages pass only within a group. */
+/* Assigns a daemon to a group.  Messages pass only within a group; fleet_heal()
+ * assigns all daemons to group 0. */
 void fleet_cut(struct fleet *, unsigned daemon, unsigned group);
 void fleet_heal(struct fleet *);
 
-/* Measured from here: counts are set to nothing. */
+/* Sets all counts to 0 and worst to the burst; keeps the buckets. */
 void fleet_reset_counts(struct fleet *);
 
 /* Messages and bytes sent so far by one daemon. */
--- a/tests/support/testbed.h
+++ b/tests/support/testbed.h
@@ -94,8 +94,7 @@
 	uint32_t give_up_ms; /* the caller's timeout; 0 for TESTBED_WAIT_MS */
 };
 
-/* A caller that reuses its connections.  Only one thread may use it at a time.
- */
+/* A caller that reuses its connections; for one thread at a time. */
 struct testbed_caller {
 	struct testbed *testbed; /* borrowed */
 	void *easy; /* owned */
@@ -130,7 +129,7 @@
 void testbed_heal(struct testbed *);
 
 /* Separates the first data centre and the platform from all other data centres.
- * With one_way, traffic from the first data centre still arrives at the others.
+ * With one_way, what the first data centre and the platform send still arrives.
  */
 void testbed_cut_halves(struct testbed *, const char *mode, bool one_way);
 
