--- a/tests/support/fleet.c
+++ b/tests/support/fleet.c
@@ -160,7 +160,7 @@
 
 /*
  * The control thread of a real daemon chooses its interval in the same way: the
- * shorter one while the component is busy.
+ * shorter one while the rights set is busy.
  */
 static uint64_t
 tick_interval_us(const struct fleet_daemon *daemon)
@@ -256,8 +256,8 @@
 }
 
 /*
- * Follows each call into a daemon's rights: does the work for which they have
- * asked to be woken, and reschedules the next tick if needed.
+ * To be called after each call into a daemon's rights set.  Does the work for
+ * which the set has called wake_daemon(), and reschedules the next tick.
  */
 static void
 run_pending_work(struct fleet_daemon *daemon)
@@ -275,7 +275,7 @@
 	struct fleet_daemon *daemon = &fleet->daemons[event->daemon];
 
 	if (daemon->stopped_until_us > fleet->now_us) {
-		/* It stays in the socket buffer until the process runs. */
+		/* A message stays in the socket buffer until it runs. */
 		event->at_us = daemon->stopped_until_us;
 		push_event(fleet, *event);
 		return;
--- a/tests/support/testbed.h
+++ b/tests/support/testbed.h
@@ -129,8 +129,8 @@
 void testbed_heal(struct testbed *);
 
 /* Separates the first data centre and the platform from all other data centres.
- * With one_way, what the first data centre and the platform send still arrives.
- */
+ * With one_way, only traffic towards the first data centre and the platform is
+ * blocked. */
 void testbed_cut_halves(struct testbed *, const char *mode, bool one_way);
 
 /* Signs a manifest document and publishes it on the platform. */
