--- a/tests/support/allocations.c
+++ b/tests/support/allocations.c
@@ -1,6 +1,6 @@
 /*
- * malloc(), calloc() and realloc() in place of the C library's, which they
- * call.
+ * Overrides malloc(), calloc() and realloc() with versions that count the call
+ * and forward to the C library's own.
  */
 
 #include <stdlib.h>
--- a/tests/support/allocations.h
+++ b/tests/support/allocations.h
@@ -2,17 +2,19 @@
 #define LOOM_TEST_ALLOCATIONS_H
 
 /*
- * Counts of heap allocations.  A program that asks for them has malloc() and
- * its like counted, those of libraries too.
+ * Counts heap allocations.  A program that calls a function of this header is
+ * linked with counting versions of malloc(), calloc() and realloc(), so the
+ * allocations made by libraries are counted too.
  */
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* False under a sanitizer that has an allocator of its own. */
+/* Return false under AddressSanitizer, which brings its own allocator, so
+ * nothing is counted. */
 bool test_counts_allocations(void);
 
-/* Of the calling thread, since it began. */
+/* Return the number of allocations by the calling thread since it started. */
 uint64_t test_allocations(void);
 
 #endif
--- a/tests/support/certificate.c
+++ b/tests/support/certificate.c
@@ -1,5 +1,5 @@
 /*
- * Certificates for tests, by GnuTLS.
+ * Generates self-signed certificates for tests with GnuTLS.
  */
 
 #include <arpa/inet.h>
@@ -9,8 +9,8 @@
 
 #include "support/certificate.h"
 
-#define CURVE_BITS GNUTLS_CURVE_TO_BITS(GNUTLS_ECC_CURVE_SECP256R1)
-#define VALID_S (24 * 60 * 60)
+#define KEY_BITS GNUTLS_CURVE_TO_BITS(GNUTLS_ECC_CURVE_SECP256R1)
+#define VALIDITY_S (24 * 60 * 60)
 
 static bool
 write_pem(const char *file, gnutls_datum_t *pem)
@@ -23,7 +23,8 @@
 }
 
 static void
-fill(gnutls_x509_crt_t cert, gnutls_x509_privkey_t key, const char *ip)
+set_certificate_fields(
+    gnutls_x509_crt_t cert, gnutls_x509_privkey_t key, const char *ip)
 {
 	const unsigned char serial = 1;
 	struct in_addr address;
@@ -33,8 +34,8 @@
 	gnutls_x509_crt_set_version(cert, 3);
 	gnutls_x509_crt_set_serial(cert, &serial, sizeof(serial));
 	gnutls_x509_crt_set_dn(cert, "CN=loom test", NULL);
-	gnutls_x509_crt_set_activation_time(cert, now - VALID_S);
-	gnutls_x509_crt_set_expiration_time(cert, now + VALID_S);
+	gnutls_x509_crt_set_activation_time(cert, now - VALIDITY_S);
+	gnutls_x509_crt_set_expiration_time(cert, now + VALIDITY_S);
 	gnutls_x509_crt_set_basic_constraints(cert, 1, -1);
 	gnutls_x509_crt_set_subject_alt_name(cert, GNUTLS_SAN_IPADDRESS,
 	    &address, sizeof(address), GNUTLS_FSAN_SET);
@@ -52,9 +53,9 @@
 
 	gnutls_x509_privkey_init(&key);
 	gnutls_x509_crt_init(&cert);
-	ok = gnutls_x509_privkey_generate(
-		 key, GNUTLS_PK_ECDSA, CURVE_BITS, 0) == GNUTLS_E_SUCCESS;
-	fill(cert, key, ip);
+	ok = gnutls_x509_privkey_generate(key, GNUTLS_PK_ECDSA, KEY_BITS, 0) ==
+	    GNUTLS_E_SUCCESS;
+	set_certificate_fields(cert, key, ip);
 	ok = ok &&
 	    gnutls_x509_crt_sign2(cert, cert, key, GNUTLS_DIG_SHA256, 0) ==
 		GNUTLS_E_SUCCESS &&
--- a/tests/support/certificate.h
+++ b/tests/support/certificate.h
@@ -3,8 +3,8 @@
 
 #include <stdbool.h>
 
-/* Make a key and a certificate for it that signs itself and names the IP
- * address.  Both are written to files. */
+/* Generate a private key and a self-signed certificate with the IP address as
+ * its subject alternative name, and write both as PEM files. */
 bool test_certificate_write(
     const char *ip, const char *key_file, const char *cert_file);
 
--- a/tests/support/loop.c
+++ b/tests/support/loop.c
@@ -1,14 +1,14 @@
 /*
- * The limit of a wait.
+ * The time limit of WAIT().
  */
 
 #include "support/loop.h"
 
-#define LIMIT_S 30
+#define WAIT_LIMIT_S 30
 
 static void
-fired(struct tevent_context *ev, struct tevent_timer *timer, struct timeval now,
-    void *arg)
+limit_expired(struct tevent_context *ev, struct tevent_timer *timer,
+    struct timeval now, void *arg)
 {
 	bool *passed = arg;
 
@@ -21,6 +21,6 @@
 struct tevent_timer *
 test_loop_limit(TALLOC_CTX *mem, struct tevent_context *ev, bool *passed)
 {
-	return tevent_add_timer(
-	    ev, mem, tevent_timeval_current_ofs(LIMIT_S, 0), fired, passed);
+	return tevent_add_timer(ev, mem,
+	    tevent_timeval_current_ofs(WAIT_LIMIT_S, 0), limit_expired, passed);
 }
