--- a/tests/support/standin.c
+++ b/tests/support/standin.c
@@ -1,6 +1,6 @@
 /*
- * Starting and stopping stand-ins.  They take a free port themselves, so two
- * test runs on one machine never collide.
+ * Starts and stops stand-in servers.  Each binds a free port of its own choice,
+ * so concurrent test runs on one machine don't conflict.
  */
 
 #include <curl/curl.h>
@@ -19,7 +19,7 @@
 #define ARGS_MAX 16
 
 static void
-run_child(const char *path, int out, const char *const *argv)
+exec_standin(const char *path, int stdout_fd, const char *const *argv)
 {
 	const char *args[ARGS_MAX] = { path };
 	size_t n = 1;
@@ -27,7 +27,7 @@
 	while (argv != NULL && *argv != NULL && n + 1 < ARGS_MAX)
 		args[n++] = *argv++;
 	prctl(PR_SET_PDEATHSIG, SIGKILL);
-	dup2(out, STDOUT_FILENO);
+	dup2(stdout_fd, STDOUT_FILENO);
 	execv(path, (char *const *)args);
 	_exit(127);
 }
@@ -38,7 +38,7 @@
 {
 	const char *bin = getenv("LOOM_BIN");
 	unsigned port = 0;
-	FILE *lines;
+	FILE *output;
 	char *path;
 	int fds[2];
 
@@ -49,14 +49,14 @@
 	}
 	standin->pid = fork();
 	if (standin->pid == 0)
-		run_child(path, fds[1], argv);
+		exec_standin(path, fds[1], argv);
 	g_free(path);
 	close(fds[1]);
-	lines = fdopen(fds[0], "r");
-	if (lines == NULL || fscanf(lines, "listening on %u", &port) != 1)
+	output = fdopen(fds[0], "r");
+	if (output == NULL || fscanf(output, "listening on %u", &port) != 1)
 		port = 0;
-	if (lines != NULL)
-		fclose(lines);
+	if (output != NULL)
+		fclose(output);
 	standin->port = (uint16_t)port;
 	g_snprintf(
 	    standin->url, sizeof(standin->url), "http://127.0.0.1:%u", port);
@@ -74,7 +74,7 @@
 }
 
 static size_t
-append(char *data, size_t size, size_t n, void *arg)
+append_response(char *data, size_t size, size_t n, void *arg)
 {
 	g_string_append_len(arg, data, (gssize)(size * n));
 	return size * n;
@@ -84,7 +84,7 @@
 test_standin_call(const struct test_standin *standin, const char *method,
     const char *path, const char *body)
 {
-	GString *answer = g_string_new(NULL);
+	GString *response = g_string_new(NULL);
 	CURL *easy = curl_easy_init();
 	CURLcode result;
 	char *url;
@@ -93,12 +93,12 @@
 	curl_easy_setopt(easy, CURLOPT_URL, url);
 	curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, method);
 	curl_easy_setopt(easy, CURLOPT_PROXY, "");
-	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, append);
-	curl_easy_setopt(easy, CURLOPT_WRITEDATA, answer);
+	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, append_response);
+	curl_easy_setopt(easy, CURLOPT_WRITEDATA, response);
 	if (body != NULL)
 		curl_easy_setopt(easy, CURLOPT_POSTFIELDS, body);
 	result = curl_easy_perform(easy);
 	curl_easy_cleanup(easy);
 	g_free(url);
-	return g_string_free(answer, result != CURLE_OK);
+	return g_string_free(response, result != CURLE_OK);
 }
--- a/tests/support/test.c
+++ b/tests/support/test.c
@@ -1,5 +1,5 @@
 /*
- * Running a table of tests under CUnit, and repeatable randomness.
+ * Runs a table of tests under CUnit and provides seeded random numbers.
  */
 
 #include <CUnit/Basic.h>
@@ -11,7 +11,7 @@
 #include "support/test.h"
 
 static void
-list_cases(const struct test_case *tests, size_t n)
+print_case_names(const struct test_case *tests, size_t n)
 {
 	size_t i;
 
@@ -19,7 +19,8 @@
 		printf("case: %s\n", tests[i].name);
 }
 
-/* Each failed case once; tools/run-tests compares them with KNOWN-RED.txt. */
+/* Print the name of each failed test once.  tools/run-tests compares the names
+ * with KNOWN-RED.txt. */
 static void
 print_failed_cases(CU_pSuite suite)
 {
@@ -52,7 +53,7 @@
 
 	setvbuf(stdout, NULL, _IOLBF, 0);
 	if (getenv("LOOM_TEST_LIST") != NULL) {
-		list_cases(tests, n);
+		print_case_names(tests, n);
 		return EXIT_SUCCESS;
 	}
 	if (CU_initialize_registry() != CUE_SUCCESS)
@@ -75,7 +76,7 @@
 }
 
 static uint64_t
-seeded_next(void *arg)
+next_seeded_value(void *arg)
 {
 	GRand *rand = arg;
 	uint64_t high = g_rand_int(rand);
@@ -87,7 +88,7 @@
 test_random_new(uint32_t seed)
 {
 	return (struct loom_random){
-		.next = seeded_next,
+		.next = next_seeded_value,
 		.arg = g_rand_new_with_seed(seed),
 	};
 }
--- a/tests/support/test.h
+++ b/tests/support/test.h
@@ -2,8 +2,8 @@
 #define LOOM_TEST_H
 
 /*
- * What every test program needs: a list of named tests for CUnit, a fake
- * clock's seed and random numbers that repeat.
+ * Common to all test programs: running a table of named tests under CUnit,
+ * checks with a message, and random numbers that repeat for a seed.
  */
 
 #include <CUnit/CUnit.h>
@@ -18,13 +18,14 @@
 	void (*run)(void);
 };
 
-/* Run all and return the exit code of main().  With LOOM_TEST set, only the
- * test of that name runs; with LOOM_TEST_LIST set, their names are printed and
- * none runs. */
+/* Run all tests and return the exit code of main().  If LOOM_TEST is set, only
+ * the test of that name runs; if LOOM_TEST_LIST is set, the names are printed
+ * and no test runs. */
 int test_main(const char *suite, const struct test_case *tests, size_t n);
 
-/* The same for tests that share what the first of them starts; finish ends it
- * after the last and may not check anything. */
+/* Like test_main(), for tests that share resources which the first of them
+ * creates.  finish() releases the resources after the last test and must not
+ * make checks of its own. */
 int test_main_shared(const char *suite, const struct test_case *tests, size_t n,
     void (*finish)(void));
 
@@ -34,13 +35,14 @@
 		return test_main((suite), (tests), G_N_ELEMENTS(tests)); \
 	}
 
-/* Randomness that repeats for a seed (GLib's Mersenne twister). */
+/* A random number generator (GLib's Mersenne Twister) that yields the same
+ * sequence for the same seed. */
 struct loom_random test_random_new(uint32_t seed);
 void test_random_free(struct loom_random *);
 
 /*
- * Check with a message: prints the formatted text when the condition fails,
- * so that a row of a table of cases names itself.
+ * Check a condition and print the formatted message if it fails.  The message
+ * tells which row of a table of cases has failed.
  */
 #define TEST_CHECK(condition, ...) \
 	test_check((condition), #condition, __FILE__, __LINE__, __VA_ARGS__)
