--- a/tests/support/player.c
+++ b/tests/support/player.c
@@ -1,5 +1,5 @@
 /*
- * The player of loads against one admission.
+ * Simulates load against one struct loom_admission.
  */
 
 #include <math.h>
@@ -10,14 +10,14 @@
 #include "support/test.h"
 
 #define STEP_US LOOM_US_PER_MS
-#define TICK_STEPS 10
-#define DEADLINE_MS 1000
-#define LEAD_MS 600 /* of light use, one call after the other */
-#define LEAD_GAP_US (UINT64_C(10) * LOOM_US_PER_MS)
+#define STEPS_PER_TICK 10
+#define DEFAULT_DEADLINE_MS 1000
+#define WARM_UP_MS 600 /* light load before the loads begin */
+#define WARM_UP_GAP_US (UINT64_C(10) * LOOM_US_PER_MS)
 
 enum play_state {
-	PLAY_WAITS,
-	PLAY_RUNS, /* forwarded; the upstream may still queue it */
+	PLAY_WAITING,
+	PLAY_FORWARDED, /* the upstream may still queue it */
 	PLAY_DONE,
 };
 
@@ -36,16 +36,17 @@
 	struct loom_admission *admission;
 	struct loom_random random;
 	struct play_result *result;
-	GPtrArray *calls; /* not done */
-	struct play_outcome light; /* of the calls at ease */
+	GPtrArray *calls; /* those not yet done */
+	struct play_outcome warm_up; /* of the warm-up calls */
 	uint64_t now_us;
-	uint64_t start_us; /* when the loads begin */
-	uint32_t running; /* in the upstream's slots */
+	uint64_t start_us; /* end of the warm-up, when the loads begin */
+	uint32_t running; /* calls that occupy a slot of the upstream */
 	void *ctx;
 };
 
+/* Mark a call as done.  Ending a call twice violates an invariant. */
 static void
-settle(struct player *player, struct play_call *call)
+end_call(struct player *player, struct play_call *call)
 {
 	if (call->state == PLAY_DONE)
 		player->result->broken++;
@@ -53,14 +54,14 @@
 }
 
 static void
-refused(struct player *player, struct play_call *call)
+record_refusal(struct player *player, struct play_call *call)
 {
 	struct play_outcome *outcome = call->outcome;
 	uint64_t wait_us = player->now_us - call->arrived_us;
 
-	if (call->state != PLAY_WAITS || call->waiting.code == LOOM_OK)
+	if (call->state != PLAY_WAITING || call->waiting.code == LOOM_OK)
 		player->result->broken++;
-	settle(player, call);
+	end_call(player, call);
 	outcome->refused++;
 	outcome->refused_wait_sum_us += wait_us;
 	outcome->refused_wait_max_us =
@@ -73,36 +74,36 @@
 }
 
 static void
-forward(struct player *player, struct play_call *call)
+record_forwarding(struct player *player, struct play_call *call)
 {
-	if (call->state != PLAY_WAITS)
+	if (call->state != PLAY_WAITING)
 		player->result->broken++;
-	call->state = PLAY_RUNS;
+	call->state = PLAY_FORWARDED;
 	call->forwarded_us = player->now_us;
 }
 
 static void
-handle_moved(struct player *player, const struct loom_moved *moved)
+record_moved_calls(struct player *player, const struct loom_moved *moved)
 {
 	struct loom_waiting *w, *next;
 
 	for (w = moved->go; w != NULL; w = next) {
 		next = w->next;
-		forward(player, w->arg);
+		record_forwarding(player, w->arg);
 	}
 	for (w = moved->refused; w != NULL; w = next) {
 		next = w->next;
-		refused(player, w->arg);
+		record_refusal(player, w->arg);
 	}
 }
 
 static void
-offer(struct player *player, const struct play_load *load,
+offer_call(struct player *player, const struct play_load *load,
     struct play_outcome *outcome)
 {
 	struct play_call *call = talloc_zero(player->ctx, struct play_call);
 	uint32_t deadline_ms =
-	    load->deadline_ms > 0 ? load->deadline_ms : DEADLINE_MS;
+	    load->deadline_ms > 0 ? load->deadline_ms : DEFAULT_DEADLINE_MS;
 	struct loom_moved moved;
 	enum loom_admit verdict;
 
@@ -125,10 +126,10 @@
 	verdict = loom_admission_offer(
 	    player->admission, &call->waiting, player->now_us, &moved);
 	if (verdict == LOOM_ADMITTED)
-		forward(player, call);
+		record_forwarding(player, call);
 	else if (verdict == LOOM_REFUSED)
-		refused(player, call);
-	handle_moved(player, &moved);
+		record_refusal(player, call);
+	record_moved_calls(player, &moved);
 }
 
 static bool
@@ -142,23 +143,26 @@
 }
 
 static void
-arrivals(struct player *player, const struct play_load loads[PLAY_LOADS])
+generate_arrivals(
+    struct player *player, const struct play_load loads[PLAY_LOADS])
 {
-	static const struct play_load light = { .team = UINT64_MAX };
+	static const struct play_load warm_up_load = { .team = UINT64_MAX };
 	double expected, draw;
 	int i;
 
 	if (player->now_us < player->start_us &&
-	    player->now_us % LEAD_GAP_US == 0)
-		offer(player, &light, &player->light);
+	    player->now_us % WARM_UP_GAP_US == 0)
+		offer_call(player, &warm_up_load, &player->warm_up);
 	for (i = 0; i < PLAY_LOADS; i++) {
 		if (!is_within(player, loads[i].from_ms, loads[i].until_ms))
 			continue;
-		/* Exponential gaps, counted within one step. */
+		/* A Poisson process: count the exponentially distributed gaps
+		 * that fit into one step. */
 		expected = loads[i].per_s * STEP_US / LOOM_US_PER_S;
 		draw = -log(1.0 - loom_random_unit(&player->random));
 		while (draw < expected) {
-			offer(player, &loads[i], &player->result->loads[i]);
+			offer_call(
+			    player, &loads[i], &player->result->loads[i]);
 			draw += -log(1.0 - loom_random_unit(&player->random));
 		}
 	}
@@ -173,14 +177,15 @@
 
 	if (is_within(player, upstream->slow_from_ms, upstream->slow_until_ms))
 		took_ms *= upstream->slow_factor;
-	/* Between 0.75 and 1.25 of it. */
+	/* Vary the service time uniformly by up to 25%. */
 	took_ms *= 0.75 + 0.5 * loom_random_unit(&player->random);
 	return (uint64_t)(took_ms * LOOM_US_PER_MS);
 }
 
-/* The upstream starts what it has slots for, in order. */
+/* Let the upstream start forwarded calls in arrival order while it has free
+ * slots. */
 static void
-upstream_starts(struct player *player)
+start_queued_calls(struct player *player)
 {
 	uint32_t slots = player->upstream->real_slots;
 	struct play_call *call;
@@ -190,7 +195,7 @@
 		slots = player->upstream->slots;
 	for (i = 0; i < player->calls->len && player->running < slots; i++) {
 		call = g_ptr_array_index(player->calls, i);
-		if (call->state != PLAY_RUNS || call->ends_us != 0)
+		if (call->state != PLAY_FORWARDED || call->ends_us != 0)
 			continue;
 		call->ends_us = player->now_us + service_us(player, call);
 		player->running++;
@@ -198,7 +203,7 @@
 }
 
 static void
-finish(struct player *player, struct play_call *call)
+complete_call(struct player *player, struct play_call *call)
 {
 	struct loom_call_result result = {
 		.end = LOOM_CALL_OK,
@@ -207,7 +212,7 @@
 	struct loom_moved moved;
 
 	player->running--;
-	settle(player, call);
+	end_call(player, call);
 	call->outcome->took_sum_us += player->now_us - call->arrived_us;
 	if (player->now_us <= call->waiting.deadline_us)
 		call->outcome->served++;
@@ -216,22 +221,22 @@
 	loom_moved_init(&moved);
 	loom_admission_done(
 	    player->admission, &call->waiting, &result, player->now_us, &moved);
-	handle_moved(player, &moved);
+	record_moved_calls(player, &moved);
 }
 
 static void
-give_up(struct player *player, struct play_call *call)
+cancel_call(struct player *player, struct play_call *call)
 {
 	if (!loom_admission_cancel(player->admission, &call->waiting)) {
 		player->result->broken++;
 		return;
 	}
-	settle(player, call);
+	end_call(player, call);
 	call->outcome->cancelled++;
 }
 
 static void
-end_calls(struct player *player)
+complete_and_cancel_calls(struct player *player)
 {
 	struct play_call *call;
 	uint64_t age_us;
@@ -240,18 +245,18 @@
 	for (i = 0; i < player->calls->len; i++) {
 		call = g_ptr_array_index(player->calls, i);
 		age_us = player->now_us - call->arrived_us;
-		if (call->state == PLAY_RUNS && call->ends_us != 0 &&
+		if (call->state == PLAY_FORWARDED && call->ends_us != 0 &&
 		    call->ends_us <= player->now_us)
-			finish(player, call);
-		else if (call->state == PLAY_WAITS &&
+			complete_call(player, call);
+		else if (call->state == PLAY_WAITING &&
 		    call->load->gives_up_ms > 0 &&
 		    age_us >= call->load->gives_up_ms * LOOM_US_PER_MS)
-			give_up(player, call);
+			cancel_call(player, call);
 	}
 }
 
 static void
-forget_done(struct player *player)
+free_done_calls(struct player *player)
 {
 	struct play_call *call;
 	guint i, kept = 0;
@@ -266,8 +271,10 @@
 	g_ptr_array_set_size(player->calls, (gint)kept);
 }
 
+/* Calls already inside are not ended when the limit falls below their number,
+ * so their number may exceed the limit but must not grow. */
 static void
-check_step(struct player *player, uint32_t inside_before)
+check_invariants(struct player *player, uint32_t inside_before)
 {
 	struct loom_admission_state state;
 	struct play_result *result = player->result;
@@ -283,38 +290,38 @@
 }
 
 static void
-step(struct player *player, const struct play_load loads[PLAY_LOADS],
-    uint64_t number)
+run_step(struct player *player, const struct play_load loads[PLAY_LOADS],
+    uint64_t step_index)
 {
 	uint32_t inside_before = player->result->state.inside;
 	struct loom_moved moved;
 
 	if (player->upstream->says_full)
 		loom_admission_hint_full(player->admission, player->now_us);
-	end_calls(player);
-	if (number % TICK_STEPS == 0) {
+	complete_and_cancel_calls(player);
+	if (step_index % STEPS_PER_TICK == 0) {
 		loom_moved_init(&moved);
 		loom_admission_tick(player->admission, player->now_us, &moved);
-		handle_moved(player, &moved);
+		record_moved_calls(player, &moved);
 	}
-	arrivals(player, loads);
-	upstream_starts(player);
-	forget_done(player);
-	check_step(player, inside_before);
+	generate_arrivals(player, loads);
+	start_queued_calls(player);
+	free_done_calls(player);
+	check_invariants(player, inside_before);
 }
 
-/* Nobody may be left waiting once arrivals have ended for long enough. */
+/* Check that each offered call either has exactly one outcome or is still
+ * tracked, and that the admission counts no calls once all are done. */
 static void
-check_end(struct player *player)
+check_totals(struct player *player)
 {
 	struct play_outcome *outcome;
 	uint32_t settled, offered;
 	int i;
 
-	outcome = &player->light;
+	outcome = &player->warm_up;
 	offered = outcome->offered;
 	settled = outcome->served + outcome->late + outcome->refused;
-
 	for (i = 0; i < PLAY_LOADS; i++) {
 		outcome = &player->result->loads[i];
 		offered += outcome->offered;
@@ -351,17 +358,17 @@
 		.queue = upstream->queue,
 		.random = player.random,
 	};
-	uint32_t lead_ms = upstream->fresh ? 0 : LEAD_MS;
-	uint64_t number;
+	uint32_t warm_up_ms = upstream->fresh ? 0 : WARM_UP_MS;
+	uint64_t step_index;
 
 	*result = (struct play_result){ .limit_min = UINT32_MAX };
 	player.admission = loom_admission_new(player.ctx, &settings, 0);
-	player.start_us = lead_ms * LOOM_US_PER_MS;
-	for (number = 0; number < end_ms + lead_ms; number++) {
-		player.now_us = number * STEP_US;
-		step(&player, loads, number);
+	player.start_us = warm_up_ms * LOOM_US_PER_MS;
+	for (step_index = 0; step_index < end_ms + warm_up_ms; step_index++) {
+		player.now_us = step_index * STEP_US;
+		run_step(&player, loads, step_index);
 	}
-	check_end(&player);
+	check_totals(&player);
 	g_ptr_array_free(player.calls, TRUE);
 	talloc_free(player.ctx);
 	test_random_free(&player.random);
--- a/tests/support/player.h
+++ b/tests/support/player.h
@@ -2,13 +2,13 @@
 #define LOOM_TEST_PLAYER_H
 
 /*
- * Plays loads against one struct loom_admission on a fake clock, in steps of
- * a millisecond, with an upstream that has its own slots and queue.  After
- * each step it checks what must always hold: calls inside are never let in
- * above the limit, the queue keeps its bound, each call gets one verdict.
+ * Simulates load against one struct loom_admission and an upstream with its
+ * own slots and queue.  The simulation uses a fake clock with steps of 1 ms.
+ * After each step it checks the invariants: no call is admitted above the
+ * limit, the queue stays within its bound, and each call gets one verdict.
  *
- * Before the loads begin the upstream is lightly used for a while, as it is
- * when a daemon has run for longer than the test, unless it is fresh.
+ * Unless the upstream is fresh, the loads begin after a warm-up of light load,
+ * since a daemon has usually been running for longer than a test takes.
  */
 
 #include <stdbool.h>
@@ -18,7 +18,8 @@
 
 #define PLAY_LOADS 4
 
-/* Callers of one kind: Poisson arrivals while from_ms <= now < until_ms. */
+/* One group of callers with Poisson arrivals while from_ms <= now < until_ms,
+ * counted from the end of the warm-up. */
 struct play_load {
 	uint64_t team;
 	double per_s;
@@ -26,8 +27,8 @@
 	enum loom_importance importance;
 	uint32_t from_ms, until_ms;
 	uint32_t deadline_ms; /* 0: 1000 */
-	uint32_t service_ms; /* 0: that of the upstream */
-	uint32_t gives_up_ms; /* cancels while it waits; 0: never */
+	uint32_t service_ms; /* 0: the upstream's */
+	uint32_t gives_up_ms; /* cancel a call that waits this long; 0: never */
 	uint8_t call_class;
 };
 
@@ -39,18 +40,18 @@
 	uint32_t cold_start_ms;
 	uint32_t slow_from_ms, slow_until_ms;
 	double slow_factor;
-	bool says_full; /* its report, all the time */
-	bool fresh; /* no calls at ease before the loads begin */
+	bool says_full; /* reports in each step that it is full */
+	bool fresh; /* no warm-up before the loads begin */
 };
 
 struct play_outcome {
 	uint32_t offered;
-	uint32_t served; /* in time */
-	uint32_t late; /* run, but not in time */
-	uint64_t took_sum_us; /* of those that ran */
+	uint32_t served; /* completed within the deadline */
+	uint32_t late; /* completed after the deadline */
+	uint64_t took_sum_us; /* arrival to completion, served and late calls */
 	uint32_t refused;
 	uint32_t cancelled;
-	uint64_t refused_wait_max_us; /* until its refusal */
+	uint64_t refused_wait_max_us; /* arrival to refusal */
 	uint64_t refused_wait_sum_us;
 	uint64_t retry_after_min_us, retry_after_max_us;
 };
@@ -59,14 +60,17 @@
 	struct play_outcome loads[PLAY_LOADS];
 	struct loom_admission_state state; /* at the end */
 	uint32_t limit_min, limit_max;
-	uint32_t broken; /* invariants that did not hold */
+	uint32_t broken; /* number of violated invariants */
 };
 
+/* Run the simulation for end_ms after the warm-up and fill in the result.  The
+ * same seed gives the same run. */
 void play(const struct play_upstream *,
     const struct play_load loads[PLAY_LOADS], uint32_t end_ms, uint32_t seed,
     struct play_result *);
 
-/* Share of the offered calls that were served in time; 1 for none offered. */
+/* Return the share of offered calls that were completed within their deadline,
+ * or 1 if none was offered. */
 double play_served(const struct play_outcome *);
 
 #endif
