--- a/tests/support/player.c
+++ b/tests/support/player.c
@@ -53,8 +53,9 @@
 	call->state = PLAY_DONE;
 }
 
+/* Record the refusal of a call. */
 static void
-record_refusal(struct player *player, struct play_call *call)
+refused(struct player *player, struct play_call *call)
 {
 	struct play_outcome *outcome = call->outcome;
 	uint64_t wait_us = player->now_us - call->arrived_us;
@@ -93,7 +94,7 @@
 	}
 	for (w = moved->refused; w != NULL; w = next) {
 		next = w->next;
-		record_refusal(player, w->arg);
+		refused(player, w->arg);
 	}
 }
 
@@ -128,7 +129,7 @@
 	if (verdict == LOOM_ADMITTED)
 		record_forwarding(player, call);
 	else if (verdict == LOOM_REFUSED)
-		record_refusal(player, call);
+		refused(player, call);
 	record_moved_calls(player, &moved);
 }
 
--- a/tests/support/standin.c
+++ b/tests/support/standin.c
@@ -38,7 +38,7 @@
 {
 	const char *bin = getenv("LOOM_BIN");
 	unsigned port = 0;
-	FILE *output;
+	FILE *lines;
 	char *path;
 	int fds[2];
 
@@ -52,11 +52,11 @@
 		exec_standin(path, fds[1], argv);
 	g_free(path);
 	close(fds[1]);
-	output = fdopen(fds[0], "r");
-	if (output == NULL || fscanf(output, "listening on %u", &port) != 1)
+	lines = fdopen(fds[0], "r");
+	if (lines == NULL || fscanf(lines, "listening on %u", &port) != 1)
 		port = 0;
-	if (output != NULL)
-		fclose(output);
+	if (lines != NULL)
+		fclose(lines);
 	standin->port = (uint16_t)port;
 	g_snprintf(
 	    standin->url, sizeof(standin->url), "http://127.0.0.1:%u", port);
