--- a/tests/support/leg.c
+++ b/tests/support/leg.c
@@ -1,6 +1,7 @@
 /*
- * The client and the server of a thread, each against a thread that reads and
- * writes bytes prepared beforehand.
+ * Measures the HTTP client or one of the HTTP servers on the calling thread.
+ * The other side of the connections runs on threads that send prepared
+ * messages, and whose CPU time and allocations aren't counted.
  */
 
 #include <arpa/inet.h>
@@ -19,10 +20,10 @@
 #include "support/allocations.h"
 #include "support/leg.h"
 
-#define WARM 100
+#define WARM_UP_REQUESTS 100
 #define READ_SIZE (128 * 1024)
 
-/* The headers of a call between two daemons, by size. */
+/* Headers about as long as those of a call between two daemons. */
 static const struct loom_header headers[] = {
 	{ "Host", "hulo84.example" },
 	{ "Request-Id", "9c41d07be2a35f68" },
@@ -56,9 +57,10 @@
 	}
 }
 
-/* What a message of the other side looks like, and where its body begins. */
+/* Build a request or response with the headers above and a body of the given
+ * length. */
 static GString *
-message(const char *first_line, size_t body_bytes)
+build_message(const char *first_line, size_t body_bytes)
 {
 	GString *text = g_string_new(first_line);
 	size_t i;
@@ -72,7 +74,7 @@
 	return text;
 }
 
-/* Read one message; false at the end of the connection. */
+/* Read one message; return false if the connection ends first. */
 static bool
 read_message(int fd, char *buf)
 {
@@ -97,7 +99,7 @@
 	return true;
 }
 
-/* An upstream: answers whatever comes. */
+/* An upstream that sends the same response to every request. */
 struct upstream {
 	int listen_fd;
 	const struct leg_load *load;
@@ -109,11 +111,11 @@
 };
 
 static void *
-answer_connection(void *arg)
+serve_connection(void *arg)
 {
 	struct upstream_connection *connection = arg;
 	GString *answer =
-	    message("HTTP/1.1 200 OK\r\n", connection->body_bytes);
+	    build_message("HTTP/1.1 200 OK\r\n", connection->body_bytes);
 	char *buf = g_malloc(READ_SIZE);
 
 	while (read_message(connection->fd, buf))
@@ -137,12 +139,12 @@
 		connection->fd = fd;
 		connection->body_bytes = upstream->load->body_bytes;
 		g_thread_unref(
-		    g_thread_new("connection", answer_connection, connection));
+		    g_thread_new("connection", serve_connection, connection));
 	}
 	return NULL;
 }
 
-/* The measuring thread as client. */
+/* The client, which runs on the measuring thread. */
 struct client {
 	struct tevent_context *ev;
 	struct loom_fetcher *fetcher;
@@ -155,7 +157,7 @@
 	uint32_t target;
 };
 
-/* One request of the client, used again by the next. */
+/* A request of the client; the next request reuses the struct. */
 struct client_request {
 	struct client *client;
 	size_t sent;
@@ -177,7 +179,7 @@
 }
 
 static bool
-take_data(void *arg, const uint8_t *data, size_t len)
+discard_data(void *arg, const uint8_t *data, size_t len)
 {
 	(void)arg;
 	(void)data;
@@ -199,7 +201,7 @@
 
 static const struct loom_fetch_ops client_ops = {
 	.read_body = read_body,
-	.data = take_data,
+	.data = discard_data,
 	.done = request_done,
 };
 
@@ -227,7 +229,7 @@
 }
 
 static void
-client_run(struct client *client, uint32_t rounds)
+run_client(struct client *client, uint32_t rounds)
 {
 	struct client_request requests[LEG_CONNECTIONS_MAX];
 	uint32_t i;
@@ -243,8 +245,8 @@
 		tevent_loop_once(client->ev);
 }
 
-/* The measuring thread as server: it answers each request with a body as long
- * as the request's. */
+/* The server, which runs on the measuring thread.  It responds to each request
+ * with a body as long as that of the request. */
 struct server {
 	struct tevent_context *ev;
 	const struct leg_load *load;
@@ -253,7 +255,7 @@
 };
 
 static void
-answer(struct server *server, struct loom_exchange *x)
+send_response(struct server *server, struct loom_exchange *x)
 {
 	loom_exchange_answer(x, 200, headers, G_N_ELEMENTS(headers),
 	    server->body, server->load->body_bytes);
@@ -264,7 +266,7 @@
 {
 	loom_exchange_set_user(x, arg);
 	if (loom_exchange_body_length(x) == 0)
-		answer(arg, x);
+		send_response(arg, x);
 	else
 		loom_exchange_take_body(x);
 }
@@ -280,11 +282,11 @@
 static void
 on_body_end(struct loom_exchange *x)
 {
-	answer(loom_exchange_user(x), x);
+	send_response(loom_exchange_user(x), x);
 }
 
 static void
-on_nothing(struct loom_exchange *x)
+ignore_event(struct loom_exchange *x)
 {
 	(void)x;
 }
@@ -301,12 +303,13 @@
 	.request = on_request,
 	.body = on_body,
 	.body_end = on_body_end,
-	.drained = on_nothing,
-	.gone = on_nothing,
+	.drained = ignore_event,
+	.gone = ignore_event,
 	.end = on_end,
 };
 
-/* A caller that sends as soon as it is answered, on a connection it keeps. */
+/* A caller with a persistent connection that sends its next request as soon as
+ * it has the response to the last. */
 struct caller {
 	uint16_t port;
 	const struct leg_load *load;
@@ -322,10 +325,10 @@
 		.sin_port = htons(caller->port),
 		.sin_addr.s_addr = htonl(INADDR_LOOPBACK),
 	};
-	GString *request =
-	    message(caller->load->body_bytes > 0 ? "POST /sheets/7 HTTP/1.1\r\n"
-						 : "GET /sheets/7 HTTP/1.1\r\n",
-		caller->load->body_bytes);
+	GString *request = build_message(caller->load->body_bytes > 0
+		? "POST /sheets/7 HTTP/1.1\r\n"
+		: "GET /sheets/7 HTTP/1.1\r\n",
+	    caller->load->body_bytes);
 	char *buf = g_malloc(READ_SIZE);
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
 	uint32_t i;
@@ -345,7 +348,7 @@
 }
 
 static void
-server_run(struct server *server, uint16_t port, uint32_t rounds)
+run_server(struct server *server, uint16_t port, uint32_t rounds)
 {
 	struct caller caller = { .port = port, .load = server->load };
 	GThread *threads[LEG_CONNECTIONS_MAX];
@@ -362,14 +365,15 @@
 		g_thread_join(threads[i]);
 }
 
-/* Its own function, so that callgrind can begin and end at it. */
+/* A function of its own, not inlined, so that tools/count-instructions can tell
+ * callgrind to count inside it only. */
 static void __attribute__((noinline)) counted_run(struct client *client,
     struct server *server, uint16_t port, uint32_t rounds)
 {
 	if (client != NULL)
-		client_run(client, rounds);
+		run_client(client, rounds);
 	else
-		server_run(server, port, rounds);
+		run_server(server, port, rounds);
 }
 
 static struct leg_cost
@@ -381,9 +385,9 @@
 	double cpu_us;
 
 	if (client != NULL)
-		client_run(client, WARM);
+		run_client(client, WARM_UP_REQUESTS);
 	else
-		server_run(server, port, WARM);
+		run_server(server, port, WARM_UP_REQUESTS);
 	allocated = test_allocations();
 	cpu_us = thread_cpu_us();
 	counted_run(client, server, port, rounds);
@@ -402,7 +406,7 @@
 	struct leg_cost cost;
 
 	upstream.listen_fd = loom_server_listen("127.0.0.1:0", &error);
-	/* accept() shall wait */
+	/* run_upstream() relies on a blocking accept(). */
 	(void)g_unix_set_fd_nonblocking(upstream.listen_fd, FALSE, NULL);
 	thread = g_thread_new("upstream", run_upstream, &upstream);
 	client.ev = tevent_context_init(NULL);
--- a/tests/support/leg.h
+++ b/tests/support/leg.h
@@ -2,12 +2,13 @@
 #define LOOM_TEST_LEG_H
 
 /*
- * What one HTTP request costs a daemon's thread, by side: as client of an
- * upstream or peer, and as server of a caller or peer.
+ * Measures what one HTTP request costs a thread of the daemon: as the client of
+ * an upstream or peer, and as the server of a caller or peer.
  *
- * Allocations and instructions repeat from run to run; the processor time is
- * of the measuring thread alone, user and system.  What is measured runs inside
- * a function counted_run(), for callgrind.
+ * The numbers of allocations and instructions are the same in each run.  The
+ * CPU time is the user and system time of the measuring thread only.  The
+ * measured requests run inside the function counted_run(), so that callgrind
+ * can count their instructions.
  */
 
 #include <stddef.h>
@@ -15,21 +16,22 @@
 
 #define LEG_CONNECTIONS_MAX 32
 
-/* A body in each direction, and requests side by side. */
+/* The length of the request and response bodies, and the number of concurrent
+ * connections, each with one request at a time. */
 struct leg_load {
 	const char *name;
-	size_t body_bytes; /* 0: a GET */
+	size_t body_bytes; /* 0: GET requests, otherwise POST */
 	uint32_t connections;
 };
 
-/* The figures of a run, for each request. */
+/* Averages per request. */
 struct leg_cost {
 	double cpu_us;
 	double allocations;
 };
 
 struct leg_cost leg_measure_client(const struct leg_load *, uint32_t rounds);
-/* loom/server.h and loom/peer_server.h */
+/* The servers of loom/server.h and loom/peer_server.h. */
 struct leg_cost leg_measure_server(const struct leg_load *, uint32_t rounds);
 struct leg_cost leg_measure_peer_server(
     const struct leg_load *, uint32_t rounds);
