--- a/tests/support/player.c
+++ b/tests/support/player.c
@@ -317,19 +317,19 @@
 check_totals(struct player *player)
 {
 	struct play_outcome *outcome;
-	uint32_t settled, offered;
+	uint32_t ended, offered;
 	int i;
 
 	outcome = &player->warm_up;
 	offered = outcome->offered;
-	settled = outcome->served + outcome->late + outcome->refused;
+	ended = outcome->served + outcome->late + outcome->refused;
 	for (i = 0; i < PLAY_LOADS; i++) {
 		outcome = &player->result->loads[i];
 		offered += outcome->offered;
-		settled += outcome->served + outcome->late + outcome->refused +
+		ended += outcome->served + outcome->late + outcome->refused +
 		    outcome->cancelled;
 	}
-	if (settled + player->calls->len != offered)
+	if (ended + player->calls->len != offered)
 		player->result->broken++;
 	if (player->result->state.inside > 0 ||
 	    player->result->state.waiting > 0) {
