--- a/include/loom/costs.h
+++ b/include/loom/costs.h
@@ -30,12 +30,12 @@
 
 /*
  * Begins to record an answer to a request of the route, received from this
- * service. loom_costs_note() has to follow for each downstream cost that the
- * answer reports, and loom_costs_answer_end() after the last one.
+ * service. loom_costs_answer_add() has to follow for each downstream cost that
+ * the answer reports, and loom_costs_answer_end() after the last one.
  */
-struct loom_route_costs *loom_costs_answer(
+struct loom_route_costs *loom_costs_answer_begin(
     struct loom_costs *, uint64_t route_id, uint64_t service_id);
-void loom_costs_note(struct loom_route_costs *, uint64_t service_id,
+void loom_costs_answer_add(struct loom_route_costs *, uint64_t service_id,
     double calls, uint64_t now_us);
 void loom_costs_answer_end(struct loom_route_costs *, uint64_t now_us);
 
@@ -50,7 +50,7 @@
  * Writes the costs by which a root request that arrives now has to be judged to
  * out; returns their number. A cost that the request shall probe is left out.
  */
-uint32_t loom_costs_judge(struct loom_costs *, uint64_t route_id,
+uint32_t loom_costs_to_check(struct loom_costs *, uint64_t route_id,
     uint64_t now_us, struct loom_cost out[LOOM_COSTS_MAX]);
 
 #endif
--- a/include/loom/fanout.h
+++ b/include/loom/fanout.h
@@ -26,18 +26,18 @@
     uint64_t now_us);
 
 /* The upstream made a call on this inner route. */
-void loom_fanout_called(
+void loom_fanout_add_call(
     struct loom_fanout *, uint64_t inner_id, uint64_t now_us);
 
 /* Writes the known inner routes to ids; returns their number. */
-uint32_t loom_fanout_inner(
+uint32_t loom_fanout_inner_routes(
     const struct loom_fanout *, uint64_t ids[LOOM_FANOUT_ROUTES]);
 
 /*
  * Returns the estimated calls on the inner route per request of the route, at
  * least 0.
  */
-double loom_fanout_calls(
+double loom_fanout_calls_per_request(
     const struct loom_fanout *, uint64_t route_id, uint64_t inner_id);
 
 #endif
--- a/include/loom/platform.h
+++ b/include/loom/platform.h
@@ -19,7 +19,7 @@
 
 #include "loom/clock.h"
 #include "loom/multi.h"
-#include "loom/pace.h"
+#include "loom/poll_timing.h"
 #include "loom/result.h"
 
 #define LOOM_PLATFORM_VALUE_MAX UINT32_C(1000000) /* bytes */
@@ -111,7 +111,7 @@
 	const char *prefix; /* as in "manifest/"; "" for all; copied */
 	const char *address; /* source IP, or NULL for any; borrowed */
 	struct loom_random random; /* jitter; arg is borrowed */
-	struct loom_pace pace; /* 0 in a field selects its default */
+	struct loom_poll_timing pace; /* 0 in a field selects its default */
 };
 
 struct loom_platform_reader;
--- a/include/loom/pace.h
+++ b/include/loom/poll_timing.h
@@ -1,5 +1,5 @@
-#ifndef LOOM_PACE_H
-#define LOOM_PACE_H
+#ifndef LOOM_POLL_TIMING_H
+#define LOOM_POLL_TIMING_H
 
 /*
  * Timing and time-outs of a reader's calls to the platform.
@@ -17,31 +17,33 @@
  * Defaults, in milliseconds. A lost watch must be abandoned well within 11 s,
  * the time in which a change has to be in force everywhere.
  */
-#define LOOM_PACE_WAIT_MS 5000
-#define LOOM_PACE_ANSWER_MS 2000
-#define LOOM_PACE_GAP_MS 200
-#define LOOM_PACE_BACKOFF_MS 200
-#define LOOM_PACE_BACKOFF_MAX_MS 1000
+#define LOOM_POLL_WAIT_MS 5000
+#define LOOM_POLL_ANSWER_TIMEOUT_MS 2000
+#define LOOM_POLL_GAP_MS 200
+#define LOOM_POLL_BACKOFF_MS 200
+#define LOOM_POLL_BACKOFF_MAX_MS 1000
 
-struct loom_pace {
+struct loom_poll_timing {
 	uint32_t wait_ms; /* for which the platform may hold a watch */
-	uint32_t answer_ms; /* allowed for the answer in addition to wait_ms */
+	uint32_t answer_timeout_ms; /* allowed for the answer in addition to
+				       wait_ms */
 	uint32_t gap_ms; /* between an answer and the next call */
 	uint32_t backoff_ms; /* first delay after a failure */
 	uint32_t backoff_max_ms; /* longest delay */
 };
 
 /* Replaces each 0 by the default. */
-struct loom_pace loom_pace_with_defaults(const struct loom_pace *);
+struct loom_poll_timing loom_poll_timing_with_defaults(
+    const struct loom_poll_timing *);
 
 /*
  * Returns how long the platform may hold the next call. failures counts the
  * failed calls since the last answer.
  */
-uint32_t loom_pace_wait_ms(const struct loom_pace *, uint32_t failures);
+uint32_t loom_poll_wait_ms(const struct loom_poll_timing *, uint32_t failures);
 
 /* Returns the delay before the next call, in milliseconds. */
-uint32_t loom_pace_delay_ms(
-    const struct loom_pace *, uint32_t failures, const struct loom_random *);
+uint32_t loom_poll_delay_ms(const struct loom_poll_timing *, uint32_t failures,
+    const struct loom_random *);
 
 #endif
--- a/include/loom/retry_after.h
+++ b/include/loom/retry_after.h
@@ -28,6 +28,6 @@
  * Converts an estimate to milliseconds, rounded up and limited to
  * LOOM_RETRY_AFTER_MAX_MS.
  */
-uint32_t loom_retry_after_ms_of(uint64_t wait_us);
+uint32_t loom_retry_after_from_us(uint64_t wait_us);
 
 #endif
--- a/include/loom/returns.h
+++ b/include/loom/return_schedule.h
@@ -1,5 +1,5 @@
-#ifndef LOOM_RETURNS_H
-#define LOOM_RETURNS_H
+#ifndef LOOM_RETURN_SCHEDULE_H
+#define LOOM_RETURN_SCHEDULE_H
 
 /*
  * Schedules when refused callers may return. Each refusal reserves a slot in a
@@ -15,7 +15,7 @@
 #define LOOM_RETURN_MIN_US (UINT64_C(200) * LOOM_US_PER_MS)
 #define LOOM_RETURN_MAX_US (UINT64_C(60) * LOOM_US_PER_S)
 
-struct loom_returns {
+struct loom_return_schedule {
 	/*
 	 * Next free slot. Each importance has its own schedule, so that a
 	 * critical call does not return after a thousand lookups.
@@ -27,7 +27,8 @@
  * Reserves a slot for one refused call at a service that completes rate_per_s
  * calls per second. Returns how long the caller shall wait, jitter included.
  */
-uint64_t loom_returns_after(struct loom_returns *, enum loom_importance,
-    double rate_per_s, const struct loom_random *, uint64_t now_us);
+uint64_t loom_return_schedule_reserve(struct loom_return_schedule *,
+    enum loom_importance, double rate_per_s, const struct loom_random *,
+    uint64_t now_us);
 
 #endif
--- a/include/loom/stop.h
+++ b/include/loom/stop.h
@@ -10,8 +10,8 @@
 #include <stdint.h>
 
 struct loom_stop {
-	uint64_t delay_us; /* requests are served as before */
-	uint64_t end_us; /* for calls in progress, after the delay */
+	uint64_t drain_delay_us; /* requests are served as before */
+	uint64_t drain_timeout_us; /* for calls in progress, after the delay */
 };
 
 /*
--- a/include/loom/keep.h
+++ b/include/loom/throttle.h
@@ -1,5 +1,5 @@
-#ifndef LOOM_KEEP_H
-#define LOOM_KEEP_H
+#ifndef LOOM_THROTTLE_H
+#define LOOM_THROTTLE_H
 
 /*
  * Limits root requests to what the downstream services that they lead to can
@@ -16,54 +16,55 @@
 
 #include "loom/shed.h"
 
-/* The executor's state. loom_keep_control_init() sets both shares to 1. */
-struct loom_keep_control {
+/* The executor's state. loom_throttle_control_init() sets both shares to 1. */
+struct loom_throttle_control {
 	/* integral term; follows the utilization over seconds */
-	double steered;
+	double integral_share;
 	double share; /* reported to entries: lower while a queue stands */
-	uint64_t ticked_us;
+	uint64_t updated_us;
 	/* shortest queue in this and the last window, relative to the limit */
 	double queue_min[2];
-	uint64_t window_us; /* start of the current window */
+	uint64_t window_start_us; /* start of the current window */
 };
 
-void loom_keep_control_init(struct loom_keep_control *, uint64_t now_us);
+void loom_throttle_control_init(
+    struct loom_throttle_control *, uint64_t now_us);
 
 /*
  * utilization: running and waiting calls, divided by the limit of running ones.
  * To be called every few milliseconds.
  */
-void loom_keep_control_tick(
-    struct loom_keep_control *, double utilization, uint64_t now_us);
+void loom_throttle_control_update(
+    struct loom_throttle_control *, double utilization, uint64_t now_us);
 
 /* The entry's state: one for each worker thread, without a lock. */
-struct loom_keep_gate;
+struct loom_throttle;
 
-struct loom_keep_gate *loom_keep_gate_new(void *ctx);
+struct loom_throttle *loom_throttle_new(void *ctx);
 
 /* An answer reported the share of one of the service's executors. */
-void loom_keep_note(struct loom_keep_gate *, uint64_t service_id, double share,
-    uint64_t now_us);
+void loom_throttle_add_report(
+    struct loom_throttle *, uint64_t service_id, double share, uint64_t now_us);
 
 /*
  * Returns the moving average of recently reported shares, 1 if there was no
  * report.
  */
-double loom_keep_share(
-    const struct loom_keep_gate *, uint64_t service_id, uint64_t now_us);
+double loom_throttle_share(
+    const struct loom_throttle *, uint64_t service_id, uint64_t now_us);
 
 /*
  * Returns the time since the last report about the service, 0 if there was
  * none.
  */
-uint64_t loom_keep_age_us(
-    const struct loom_keep_gate *, uint64_t service_id, uint64_t now_us);
+uint64_t loom_throttle_report_age_us(
+    const struct loom_throttle *, uint64_t service_id, uint64_t now_us);
 
 /*
  * Decides whether a root request of this rank, which makes that many calls at
  * the service, is within the share. Counts the calls as offered in either case.
  */
-bool loom_keep_pass(struct loom_keep_gate *, uint64_t service_id, uint16_t rank,
-    double calls, uint64_t now_us);
+bool loom_throttle_admit(struct loom_throttle *, uint64_t service_id,
+    uint16_t rank, double calls, uint64_t now_us);
 
 #endif
--- a/src/control/rights.c
+++ b/src/control/rights.c
@@ -133,7 +133,9 @@
 uint32_t
 loom_rights_partition(uint64_t team_id, uint32_t partitions)
 {
-	return partitions < 2 ? 0 : (uint32_t)(mix_split(team_id) % partitions);
+	return partitions < 2
+	    ? 0
+	    : (uint32_t)(mix_splitmix64(team_id) % partitions);
 }
 
 uint8_t
--- a/src/control/spread_config.c
+++ b/src/control/spread_config.c
@@ -265,7 +265,7 @@
 		.random = options->random,
 		.pace = { .wait_ms =
 			      (uint32_t)(timing.wait_us / LOOM_US_PER_MS),
-		    .answer_ms =
+		    .answer_timeout_ms =
 			(uint32_t)(timing.answer_us / LOOM_US_PER_MS) },
 	};
 	bool reads_all = options->source != NULL && options->source->reads_all;
--- a/src/daemon/busy.h
+++ b/src/daemon/busy.h
@@ -10,12 +10,12 @@
 #include <stdint.h>
 #include <tevent.h>
 
-#include "loom/rest.h"
+#include "loom/loop_pause.h"
 
 struct loop_utilization {
 	atomic_uint_fast64_t wait_start_us; /* 0: not waiting now */
 	atomic_uint_fast64_t total_wait_us; /* of completed waits and pauses */
-	struct loom_rest rest; /* loop's thread only */
+	struct loom_loop_pause rest; /* loop's thread only */
 	/* reading thread only */
 	uint64_t last_read_us;
 	uint64_t last_read_wait_us;
--- a/src/daemon/drain.c
+++ b/src/daemon/drain.c
@@ -81,8 +81,8 @@
 stop_plan_of(const struct daemon_settings *settings)
 {
 	const struct loom_stop wanted = {
-		.delay_us = settings->drain_delay_ms * LOOM_US_PER_MS,
-		.end_us = settings->drain_timeout_s * LOOM_US_PER_S,
+		.drain_delay_us = settings->drain_delay_ms * LOOM_US_PER_MS,
+		.drain_timeout_us = settings->drain_timeout_s * LOOM_US_PER_S,
 	};
 
 	return loom_stop_plan(&wanted,
@@ -102,7 +102,7 @@
 	(void)now;
 	daemon->drain_us = loom_now_us();
 	daemon->drain_until_us =
-	    daemon->drain_us + stop_plan_of(&daemon->settings).end_us;
+	    daemon->drain_us + stop_plan_of(&daemon->settings).drain_timeout_us;
 	atomic_store(&daemon->draining, true);
 	loom_control_drain(daemon->control);
 	for (i = 0; i < daemon->nworkers; i++)
@@ -119,7 +119,7 @@
 void
 daemon_drain(struct loom_daemon *daemon)
 {
-	uint64_t delay_us = stop_plan_of(&daemon->settings).delay_us;
+	uint64_t delay_us = stop_plan_of(&daemon->settings).drain_delay_us;
 
 	loom_log(LOOM_LOG_INFO, "loomd", LOOM_OK, "draining");
 	report_lifecycle(daemon, "drain");
--- a/src/daemon/executor.c
+++ b/src/daemon/executor.c
@@ -68,7 +68,7 @@
 	double share;
 
 	g_mutex_lock(&daemon->wait_lock);
-	loom_wait_share_change(&daemon->wait_share, running, inner, now_us);
+	loom_wait_share_update(&daemon->wait_share, running, inner, now_us);
 	share = loom_wait_share(&daemon->wait_share);
 	g_mutex_unlock(&daemon->wait_lock);
 	return share;
--- a/src/daemon/keep.c
+++ b/src/daemon/keep.c
@@ -68,10 +68,10 @@
 	uint32_t i, n;
 
 	g_mutex_lock(&daemon->wait_lock);
-	n = loom_fanout_inner(daemon->fanout, ids);
+	n = loom_fanout_inner_routes(daemon->fanout, ids);
 	for (i = 0; i < n; i++)
-		calls[i] =
-		    loom_fanout_calls(daemon->fanout, call->route->id, ids[i]);
+		calls[i] = loom_fanout_calls_per_request(
+		    daemon->fanout, call->route->id, ids[i]);
 	g_mutex_unlock(&daemon->wait_lock);
 	for (i = 0; i < n; i++) {
 		if (calls[i] >= LOOM_COSTS_CALLS_MIN)
@@ -108,7 +108,7 @@
 	for (i = 0; i < sums.n; i++) {
 		if (sums.costs[i].service_id != daemon->self.service_id)
 			append_share(text, sums.costs[i].service_id,
-			    loom_keep_share(
+			    loom_throttle_share(
 				worker->keep, sums.costs[i].service_id, now_us),
 			    sums.costs[i].calls);
 	}
@@ -137,7 +137,7 @@
 void
 throttle_learn(const struct call *call, const char *text)
 {
-	struct loom_route_costs *costs = loom_costs_answer(
+	struct loom_route_costs *costs = loom_costs_answer_begin(
 	    call->worker->costs, call->route->id, call->service->id);
 	const uint64_t now_us = loom_now_us();
 	uint64_t service_id;
@@ -147,9 +147,10 @@
 		text = parse_entry(text, &service_id, &share, &calls);
 		if (text == NULL)
 			return;
-		loom_keep_note(call->worker->keep, service_id, share, now_us);
+		loom_throttle_add_report(
+		    call->worker->keep, service_id, share, now_us);
 		if (service_id != call->service->id)
-			loom_costs_note(costs, service_id, calls, now_us);
+			loom_costs_answer_add(costs, service_id, calls, now_us);
 		if (*text == ',')
 			text++;
 	}
@@ -177,7 +178,7 @@
 	struct loom_daemon *daemon = call->worker->daemon;
 
 	g_mutex_lock(&daemon->wait_lock);
-	loom_fanout_called(daemon->fanout, call->route->id, call->arrived_us);
+	loom_fanout_add_call(daemon->fanout, call->route->id, call->arrived_us);
 	g_mutex_unlock(&daemon->wait_lock);
 }
 
@@ -187,8 +188,8 @@
 note_lowest_share(struct call *call, uint64_t service_id, double calls,
     bool pass, uint64_t now_us)
 {
-	struct loom_keep_gate *keep = call->worker->keep;
-	double share = loom_keep_share(keep, service_id, now_us);
+	struct loom_throttle *keep = call->worker->keep;
+	double share = loom_throttle_share(keep, service_id, now_us);
 	bool is_lowest =
 	    call->below_service_id == 0 || share < call->below_share;
 
@@ -197,7 +198,8 @@
 	call->below_service_id = service_id;
 	call->below_calls = calls;
 	call->below_share = share;
-	call->below_age_us = loom_keep_age_us(keep, service_id, now_us);
+	call->below_age_us =
+	    loom_throttle_report_age_us(keep, service_id, now_us);
 }
 
 /*
@@ -210,7 +212,7 @@
 static void
 mark_admitted_by_share(struct call *call, uint64_t now_us)
 {
-	call->admitted_by_share = loom_keep_share(call->worker->keep,
+	call->admitted_by_share = loom_throttle_share(call->worker->keep,
 				      call->service->id, now_us) < 1.0;
 }
 
@@ -218,7 +220,7 @@
 pass_service(
     struct call *call, uint64_t service_id, double calls, uint64_t now_us)
 {
-	bool pass = loom_keep_pass(call->worker->keep, service_id,
+	bool pass = loom_throttle_admit(call->worker->keep, service_id,
 	    call_shed_rank(call), calls, now_us);
 
 	note_lowest_share(call, service_id, calls, pass, now_us);
@@ -236,7 +238,7 @@
 	 * less important requests that run at an overloaded service are
 	 * admitted ahead of more important ones that lead to it. */
 	pass = pass_service(call, call->service->id, 1, now_us);
-	n = loom_costs_judge(
+	n = loom_costs_to_check(
 	    call->worker->costs, call->route->id, now_us, costs);
 	for (i = 0; i < n; i++) {
 		/* Each check counts the offered calls, so all are made even
--- a/src/daemon/refuse.c
+++ b/src/daemon/refuse.c
@@ -102,7 +102,7 @@
 {
 	struct loom_refusal refusal = loom_refusal_of(code);
 
-	refusal.retry_after_ms = loom_retry_after_ms_of(retry_after_us);
+	refusal.retry_after_ms = loom_retry_after_from_us(retry_after_us);
 	return refusal;
 }
 
--- a/src/daemon/run.c
+++ b/src/daemon/run.c
@@ -226,7 +226,7 @@
 
 	g_mutex_init(&daemon->admission_lock);
 	g_mutex_init(&daemon->wait_lock);
-	daemon->wait_share.at_us = now_us;
+	daemon->wait_share.updated_us = now_us;
 	daemon->fanout = loom_fanout_new(daemon, now_us);
 	daemon->calls = loom_calls_new();
 	daemon->replay = loom_replay_new(REPLAY_CAPACITY);
--- a/src/daemon/worker.c
+++ b/src/daemon/worker.c
@@ -182,7 +182,7 @@
 	worker->fetcher = loom_fetcher_new(worker, worker->ev, worker->sockets);
 	worker->shed = loom_shed_new(worker, &loom_random_system);
 	worker->latencies = latencies_new(worker);
-	worker->keep = loom_keep_gate_new(worker);
+	worker->keep = loom_throttle_new(worker);
 	worker->costs = loom_costs_new(worker);
 	if (worker->mailbox == NULL || worker->hangup == NULL ||
 	    worker->sockets == NULL || worker->fetcher == NULL ||
--- a/src/daemon/worker.h
+++ b/src/daemon/worker.h
@@ -16,10 +16,10 @@
 #include "loom/balance.h"
 #include "loom/costs.h"
 #include "loom/fetch.h"
-#include "loom/keep.h"
 #include "loom/peer_server.h"
 #include "loom/server.h"
 #include "loom/shed.h"
+#include "loom/throttle.h"
 
 struct call;
 
@@ -48,7 +48,7 @@
 	struct loom_peer_server *peer_server;
 	struct loom_server *ready_server; /* readiness and metrics; or NULL */
 	struct loom_shed *shed;
-	struct loom_keep_gate *keep;
+	struct loom_throttle *keep;
 	struct loom_costs *costs; /* owned */
 	struct loom_manifest *manifest; /* acquired; NULL before the first */
 	struct loom_hosts *hosts; /* acquired; NULL before the first */
--- a/src/decide/admission.c
+++ b/src/decide/admission.c
@@ -35,8 +35,8 @@
 #include "decide/cuts.h"
 #include "loom/admission.h"
 #include "loom/gate.h"
-#include "loom/keep.h"
-#include "loom/returns.h"
+#include "loom/return_schedule.h"
+#include "loom/throttle.h"
 
 #define STANDING_TIME_MIN_US (UINT64_C(100) * LOOM_US_PER_MS)
 
@@ -85,12 +85,12 @@
 	struct loom_limit limit;
 	struct loom_queue *queue;
 	struct loom_cuts *cuts;
-	struct loom_keep_control keep;
+	struct loom_throttle_control keep;
 	atomic_uint keep_share_millionths; /* keep.share, for any thread */
 	atomic_uint busy_thousandths;
 	atomic_uint lag_us;
 	atomic_uint used_thousandths; /* of the limit, at the last tick */
-	struct loom_returns returns;
+	struct loom_return_schedule returns;
 	struct loom_admission_settings settings;
 	atomic_bool shedding; /* some cut is in force */
 	uint64_t last_short_us; /* when the queue was last short */
@@ -144,7 +144,7 @@
 	adm->settings = *settings;
 	adm->queue = loom_queue_new(adm, settings->queue);
 	adm->cuts = loom_cuts_new(adm);
-	loom_keep_control_init(&adm->keep, now_us);
+	loom_throttle_control_init(&adm->keep, now_us);
 	atomic_store(&adm->keep_share_millionths, MILLION);
 	adm->last_short_us = now_us;
 	adm->critical_last_short_us = now_us;
@@ -270,7 +270,7 @@
 {
 	call->code = code;
 	call->cut = cut_of(adm, call->team_id);
-	call->retry_after_us = loom_returns_after(&adm->returns,
+	call->retry_after_us = loom_return_schedule_reserve(&adm->returns,
 	    call->importance, loom_limit_drain_per_s(&adm->limit),
 	    &adm->settings.random, now_us);
 }
@@ -641,7 +641,7 @@
 	lag = atomic_load_explicit(&adm->lag_us, memory_order_relaxed);
 	if (lag > LAG_NORMAL_US)
 		used = MAX(used, 1.0 + (lag - LAG_NORMAL_US) / LAG_FULL_US);
-	loom_keep_control_tick(&adm->keep, used, now_us);
+	loom_throttle_control_update(&adm->keep, used, now_us);
 	atomic_store_explicit(&adm->used_thousandths,
 	    (unsigned)(used * THOUSAND), memory_order_relaxed);
 	atomic_store_explicit(&adm->keep_share_millionths,
--- a/src/decide/costs.c
+++ b/src/decide/costs.c
@@ -96,7 +96,7 @@
 }
 
 struct loom_route_costs *
-loom_costs_answer(
+loom_costs_answer_begin(
     struct loom_costs *costs, uint64_t route_id, uint64_t service_id)
 {
 	struct loom_route_costs *route = find_or_create_route(costs, route_id);
@@ -112,7 +112,7 @@
 }
 
 void
-loom_costs_note(struct loom_route_costs *route, uint64_t service_id,
+loom_costs_answer_add(struct loom_route_costs *route, uint64_t service_id,
     double calls, uint64_t now_us)
 {
 	struct known_cost *known = find_cost(route, service_id);
@@ -185,8 +185,8 @@
 }
 
 uint32_t
-loom_costs_judge(struct loom_costs *costs, uint64_t route_id, uint64_t now_us,
-    struct loom_cost out[LOOM_COSTS_MAX])
+loom_costs_to_check(struct loom_costs *costs, uint64_t route_id,
+    uint64_t now_us, struct loom_cost out[LOOM_COSTS_MAX])
 {
 	struct loom_route_costs *route =
 	    g_hash_table_lookup(costs->routes, &route_id);
--- a/src/decide/demand.h
+++ b/src/decide/demand.h
@@ -11,7 +11,7 @@
 
 struct loom_demand {
 	double weight; /* number of events, decayed to at_us */
-	uint64_t at_us;
+	uint64_t updated_us;
 };
 
 void loom_demand_add(struct loom_demand *, double events, uint64_t now_us);
--- a/src/decide/excess.c
+++ b/src/decide/excess.c
@@ -191,7 +191,8 @@
 }
 
 void
-loom_excess_called(struct loom_excess *excess, uint32_t inner, uint64_t now_us)
+loom_excess_add_call(
+    struct loom_excess *excess, uint32_t inner, uint64_t now_us)
 {
 	advance(excess, now_us);
 	excess->calls[inner]++;
@@ -215,8 +216,8 @@
 }
 
 void
-loom_excess_ran(struct loom_excess *excess, uint32_t route, uint64_t began_us,
-    uint64_t now_us)
+loom_excess_add_request(struct loom_excess *excess, uint32_t route,
+    uint64_t began_us, uint64_t now_us)
 {
 	advance(excess, now_us);
 	measure_pending(excess);
@@ -236,7 +237,7 @@
 }
 
 void
-loom_excess_forget_inner(struct loom_excess *excess, uint32_t inner)
+loom_excess_reset_inner(struct loom_excess *excess, uint32_t inner)
 {
 	uint32_t i;
 
@@ -245,7 +246,7 @@
 }
 
 void
-loom_excess_forget_route(struct loom_excess *excess, uint32_t route)
+loom_excess_reset_route(struct loom_excess *excess, uint32_t route)
 {
 	memset(excess->excess[route], 0, sizeof(excess->excess[route]));
 	excess->overlaps[route] = (struct overlap){ .duration_us = 0 };
@@ -267,7 +268,7 @@
 }
 
 bool
-loom_excess_denies(const struct loom_excess *excess, uint32_t route,
+loom_excess_rules_out(const struct loom_excess *excess, uint32_t route,
     uint32_t inner, double calls)
 {
 	const struct excess *stats = &excess->excess[route][inner];
@@ -279,7 +280,7 @@
 }
 
 bool
-loom_excess_shows(
+loom_excess_confirms(
     const struct loom_excess *excess, uint32_t route, uint32_t inner)
 {
 	const struct excess *stats = &excess->excess[route][inner];
--- a/src/decide/fanout.c
+++ b/src/decide/fanout.c
@@ -21,8 +21,8 @@
  * downstream service is saturated (excess.c). The rare route's requests would
  * then be refused on behalf of a service that they never reach. So the calls on
  * an inner route are attributed to the route with the most running time, unless
- * loom_excess_denies() rules that out, and to other routes only once
- * loom_excess_shows() confirms them.
+ * loom_excess_rules_out() rules that out, and to other routes only once
+ * loom_excess_confirms() confirms them.
  *
  * The regressor is the time that requests ran, not the number that started:
  * requests that span two bins would add an error as large as the whole part of
@@ -275,7 +275,7 @@
 		fanout->started[route] = 0;
 		fanout->ended[route] = 0;
 		reset_route(fanout, route);
-		loom_excess_forget_route(fanout->excess, route);
+		loom_excess_reset_route(fanout->excess, route);
 	}
 	fanout->running[route]++;
 	fanout->started[route]++;
@@ -294,11 +294,11 @@
 		return;
 	fanout->running[route]--;
 	fanout->ended[route]++;
-	loom_excess_ran(fanout->excess, route, began_us, now_us);
+	loom_excess_add_request(fanout->excess, route, began_us, now_us);
 }
 
 void
-loom_fanout_called(
+loom_fanout_add_call(
     struct loom_fanout *fanout, uint64_t inner_id, uint64_t now_us)
 {
 	uint32_t inner;
@@ -309,14 +309,14 @@
 		inner = replace_least_used(&fanout->inner_routes, inner_id);
 		memset(fanout->calls_per_s[inner], 0,
 		    sizeof(fanout->calls_per_s[inner]));
-		loom_excess_forget_inner(fanout->excess, inner);
+		loom_excess_reset_inner(fanout->excess, inner);
 	}
 	fanout->inner_routes.counts[inner]++;
-	loom_excess_called(fanout->excess, inner, now_us);
+	loom_excess_add_call(fanout->excess, inner, now_us);
 }
 
 uint32_t
-loom_fanout_inner(
+loom_fanout_inner_routes(
     const struct loom_fanout *fanout, uint64_t ids[LOOM_FANOUT_ROUTES])
 {
 	uint32_t i, n = 0;
@@ -355,7 +355,7 @@
 static bool
 is_ruled_out(const struct loom_fanout *fanout, uint32_t route, uint32_t inner)
 {
-	return loom_excess_denies(
+	return loom_excess_rules_out(
 	    fanout->excess, route, inner, fitted_calls(fanout, route, inner));
 }
 
@@ -381,7 +381,7 @@
 	    is_ruled_out(fanout, route, inner))
 		return false;
 	return is_busiest_candidate(fanout, route, inner) ||
-	    loom_excess_shows(fanout->excess, route, inner);
+	    loom_excess_confirms(fanout->excess, route, inner);
 }
 
 /*
@@ -410,7 +410,7 @@
 }
 
 double
-loom_fanout_calls(
+loom_fanout_calls_per_request(
     const struct loom_fanout *fanout, uint64_t route_id, uint64_t inner_id)
 {
 	uint32_t route = find_route(&fanout->routes, route_id);
--- a/src/decide/heirs.c
+++ b/src/decide/heirs.c
@@ -25,7 +25,7 @@
 static uint64_t
 rendezvous_weight(uint64_t source_host_id, uint64_t host_id)
 {
-	return mix_murmur(mix_murmur(source_host_id) ^ host_id);
+	return mix_murmur3(mix_murmur3(source_host_id) ^ host_id);
 }
 
 /*
--- a/src/decide/holding.c
+++ b/src/decide/holding.c
@@ -53,8 +53,8 @@
 		net.refill += bucket->borrowed[i].share.refill;
 		net.capacity += bucket->borrowed[i].share.capacity;
 	}
-	net.refill = less(net.refill, bucket->lent.refill);
-	net.capacity = less(net.capacity, bucket->lent.capacity);
+	net.refill = saturating_sub(net.refill, bucket->lent.refill);
+	net.capacity = saturating_sub(net.capacity, bucket->lent.capacity);
 	return net;
 }
 
--- a/src/decide/integer.h
+++ b/src/decide/integer.h
@@ -19,7 +19,7 @@
 
 /* a - b, or 0 if b is larger. */
 static inline uint64_t
-less(uint64_t a, uint64_t b)
+saturating_sub(uint64_t a, uint64_t b)
 {
 	return a > b ? a - b : 0;
 }
--- a/src/decide/loan.c
+++ b/src/decide/loan.c
@@ -105,7 +105,8 @@
 	if (large_fleet)
 		return LOOM_LOAN_IDLE_RENEW_LARGE_US;
 	return min_u64(LOOM_LOAN_IDLE_RENEW_US,
-	    less(LOOM_LOAN_LONGEST_US, steps_us) / (stages > 0 ? stages : 1));
+	    saturating_sub(LOOM_LOAN_LONGEST_US, steps_us) /
+		(stages > 0 ? stages : 1));
 }
 
 uint64_t
@@ -244,18 +245,20 @@
     uint64_t plenty_max_utok, uint64_t left_utok)
 {
 	uint64_t normal =
-	    less(loom_loan_prefetch_target_utok(
-		     request->demand_per_s, request->borrower_is_pool, false),
+	    saturating_sub(loom_loan_prefetch_target_utok(request->demand_per_s,
+			       request->borrower_is_pool, false),
 		request->held_utok);
 	uint64_t prefetch;
 
 	normal = min_u64(request->prefetch_utok, normal);
-	prefetch = min_u64(normal, less(level_utok, low_level_utok));
+	prefetch = min_u64(normal, saturating_sub(level_utok, low_level_utok));
 	if (request->plenty)
-		prefetch += min_u64(
-		    min_u64(request->prefetch_utok - normal,
-			less(plenty_max_utok, request->held_utok + prefetch)),
-		    less(less(level_utok, plenty_level_utok), prefetch));
+		prefetch += min_u64(min_u64(request->prefetch_utok - normal,
+					saturating_sub(plenty_max_utok,
+					    request->held_utok + prefetch)),
+		    saturating_sub(
+			saturating_sub(level_utok, plenty_level_utok),
+			prefetch));
 	return min_u64(prefetch, left_utok);
 }
 
@@ -326,8 +329,8 @@
 	uint64_t need, prefetch, plenty_max, held, lendable, left, level, room;
 
 	held = request->held_utok;
-	lendable =
-	    less(loom_capacity_utok(team, request->lendable.capacity), held);
+	lendable = saturating_sub(
+	    loom_capacity_utok(team, request->lendable.capacity), held);
 	/*
 	 * Waiting calls come first. Their tokens need a loan of capacity only
 	 * if they stay in the borrower's bucket; otherwise they are used on
@@ -341,9 +344,10 @@
 	else
 		decision.transit_utok = need;
 	/* Capacity that may still be lent in advance. */
-	left =
-	    less(less((uint64_t)(CAPACITY_LENT_MAX_PART * (double)whole), lent),
-		held);
+	left = saturating_sub(
+	    saturating_sub(
+		(uint64_t)(CAPACITY_LENT_MAX_PART * (double)whole), lent),
+	    held);
 	level = request->level_utok - need;
 	decision.scarce = level <= low_level;
 	decision.plenty = request->plenty && level > plenty;
@@ -363,17 +367,19 @@
 	 * Capacity is lent together with the tokens in it; a full pool would
 	 * otherwise lose those tokens with each loan.
 	 */
-	left = less(request->spare_utok,
+	left = saturating_sub(request->spare_utok,
 	    loom_capacity_utok(team,
-		less(decision.share.capacity, request->committed.capacity)));
+		saturating_sub(
+		    decision.share.capacity, request->committed.capacity)));
 	/*
 	 * Then fill the lent capacity: with the tokens that the pool has no
 	 * capacity left for, but at least to the same fraction as the pool.
 	 */
 	level -= prefetch;
-	room = less(loom_capacity_utok(team, decision.share.capacity), held);
+	room = saturating_sub(
+	    loom_capacity_utok(team, decision.share.capacity), held);
 	room = min_u64(room,
-	    max_u64(less(level, left),
+	    max_u64(saturating_sub(level, left),
 		tokens_to_balance(level, left, held, held + room)));
 	decision.added_utok = need + prefetch + min_u64(room, level);
 	return decision;
--- a/src/decide/rest.c
+++ b/src/decide/loop_pause.c
@@ -11,7 +11,7 @@
  * benefit.
  */
 
-#include "loom/rest.h"
+#include "loom/loop_pause.h"
 
 /* Two ticks of admission, which runs on another thread. */
 #define WINDOW_US (20 * LOOM_US_PER_MS)
@@ -23,17 +23,18 @@
 #define WAIT_MIN_US 50
 
 void
-loom_rest_init(struct loom_rest *rest, uint64_t now_us)
+loom_loop_pause_init(struct loom_loop_pause *rest, uint64_t now_us)
 {
-	*rest = (struct loom_rest){ .since_us = now_us };
+	*rest = (struct loom_loop_pause){ .window_start_us = now_us };
 }
 
 bool
-loom_rest_due(struct loom_rest *rest, uint64_t waited_us, uint64_t now_us)
+loom_loop_pause_due(
+    struct loom_loop_pause *rest, uint64_t waited_us, uint64_t now_us)
 {
 	if (waited_us >= WAIT_MIN_US)
 		rest->waited_us += waited_us;
-	if (rest->waited_us >= LOOM_REST_US)
-		loom_rest_init(rest, now_us);
-	return now_us - rest->since_us >= WINDOW_US;
+	if (rest->waited_us >= LOOM_LOOP_PAUSE_US)
+		loom_loop_pause_init(rest, now_us);
+	return now_us - rest->window_start_us >= WINDOW_US;
 }
--- a/src/decide/mix.h
+++ b/src/decide/mix.h
@@ -12,7 +12,7 @@
 
 /* The finalizer of MurmurHash3. */
 static inline uint64_t
-mix_murmur(uint64_t x)
+mix_murmur3(uint64_t x)
 {
 	x ^= x >> 33;
 	x *= UINT64_C(0xff51afd7ed558ccd);
@@ -23,7 +23,7 @@
 
 /* The finalizer of splitmix64. */
 static inline uint64_t
-mix_split(uint64_t x)
+mix_splitmix64(uint64_t x)
 {
 	x = (x ^ x >> 30) * UINT64_C(0xbf58476d1ce4e5b9);
 	x = (x ^ x >> 27) * UINT64_C(0x94d049bb133111eb);
--- a/src/decide/pace.c
+++ b/src/decide/poll_timing.c
@@ -8,7 +8,7 @@
 
 #include <glib.h>
 
-#include "loom/pace.h"
+#include "loom/poll_timing.h"
 
 static uint32_t
 or_default(uint32_t value_ms, uint32_t default_ms)
@@ -16,17 +16,18 @@
 	return value_ms != 0 ? value_ms : default_ms;
 }
 
-struct loom_pace
-loom_pace_with_defaults(const struct loom_pace *pace)
+struct loom_poll_timing
+loom_poll_timing_with_defaults(const struct loom_poll_timing *pace)
 {
-	return (struct loom_pace){
-		.wait_ms = or_default(pace->wait_ms, LOOM_PACE_WAIT_MS),
-		.answer_ms = or_default(pace->answer_ms, LOOM_PACE_ANSWER_MS),
-		.gap_ms = or_default(pace->gap_ms, LOOM_PACE_GAP_MS),
+	return (struct loom_poll_timing){
+		.wait_ms = or_default(pace->wait_ms, LOOM_POLL_WAIT_MS),
+		.answer_timeout_ms = or_default(
+		    pace->answer_timeout_ms, LOOM_POLL_ANSWER_TIMEOUT_MS),
+		.gap_ms = or_default(pace->gap_ms, LOOM_POLL_GAP_MS),
 		.backoff_ms =
-		    or_default(pace->backoff_ms, LOOM_PACE_BACKOFF_MS),
+		    or_default(pace->backoff_ms, LOOM_POLL_BACKOFF_MS),
 		.backoff_max_ms =
-		    or_default(pace->backoff_max_ms, LOOM_PACE_BACKOFF_MAX_MS),
+		    or_default(pace->backoff_max_ms, LOOM_POLL_BACKOFF_MAX_MS),
 	};
 }
 
@@ -36,7 +37,7 @@
  * answers that immediately or not at all.
  */
 uint32_t
-loom_pace_wait_ms(const struct loom_pace *pace, uint32_t failures)
+loom_poll_wait_ms(const struct loom_poll_timing *pace, uint32_t failures)
 {
 	return failures == 0 ? pace->wait_ms : 0;
 }
@@ -46,7 +47,7 @@
  * doubles with each failure, up to backoff_max_ms.
  */
 static uint32_t
-backoff_ms(const struct loom_pace *pace, uint32_t failures,
+backoff_ms(const struct loom_poll_timing *pace, uint32_t failures,
     const struct loom_random *random)
 {
 	uint64_t max_ms = pace->backoff_ms, min_ms = pace->backoff_ms / 2;
@@ -59,7 +60,7 @@
 }
 
 uint32_t
-loom_pace_delay_ms(const struct loom_pace *pace, uint32_t failures,
+loom_poll_delay_ms(const struct loom_poll_timing *pace, uint32_t failures,
     const struct loom_random *random)
 {
 	if (failures == 0)
--- a/src/decide/pool_choice.c
+++ b/src/decide/pool_choice.c
@@ -55,8 +55,8 @@
 	switch (scope) {
 	case SCOPE_GROUP:
 		return strcmp(host->data_centre, self->data_centre) == 0 &&
-		    mix_split(host->id) % groups ==
-		    mix_split(self->host_id) % groups;
+		    mix_splitmix64(host->id) % groups ==
+		    mix_splitmix64(self->host_id) % groups;
 	case SCOPE_DATA_CENTRE:
 		return strcmp(host->data_centre, self->data_centre) == 0;
 	case SCOPE_REGION:
@@ -71,7 +71,7 @@
     uint32_t partition, enum scope scope, bool is_usable)
 {
 	uint64_t salt = (uint64_t)partition * LOOM_POOL_STAGES_MAX + scope + 1;
-	uint64_t weight = mix_split(host_id ^ mix_split(salt)) | 1;
+	uint64_t weight = mix_splitmix64(host_id ^ mix_splitmix64(salt)) | 1;
 
 	if (weight > best_hosts->first_weight) {
 		best_hosts->first = host_id;
--- a/src/decide/retry_after.c
+++ b/src/decide/retry_after.c
@@ -92,7 +92,7 @@
 }
 
 uint32_t
-loom_retry_after_ms_of(uint64_t wait_us)
+loom_retry_after_from_us(uint64_t wait_us)
 {
 	uint64_t wait_ms = wait_us / LOOM_US_PER_MS;
 
--- a/src/decide/returns.c
+++ b/src/decide/return_schedule.c
@@ -18,7 +18,7 @@
  * of overload from its own returning callers.
  */
 
-#include "loom/returns.h"
+#include "loom/return_schedule.h"
 
 /* Fraction of the service's completion rate. */
 static const double return_share[LOOM_IMPORTANCES] = {
@@ -37,7 +37,7 @@
 }
 
 uint64_t
-loom_returns_after(struct loom_returns *returns,
+loom_return_schedule_reserve(struct loom_return_schedule *returns,
     enum loom_importance importance, double rate_per_s,
     const struct loom_random *random, uint64_t now_us)
 {
--- a/src/decide/shed.c
+++ b/src/decide/shed.c
@@ -27,7 +27,7 @@
 #include <talloc.h>
 
 #include "decide/mix.h"
-#include "loom/returns.h"
+#include "loom/return_schedule.h"
 #include "loom/shed.h"
 
 /* A cut is the mean over about four reports, for the several targets of a
@@ -65,7 +65,7 @@
 	uint64_t last_admitted_us;
 	uint64_t last_report_us; /* 0: the entry is free */
 	uint64_t last_probe_us;
-	struct loom_returns returns;
+	struct loom_return_schedule returns;
 };
 
 struct loom_shed {
@@ -78,7 +78,7 @@
 loom_shed_rank(enum loom_importance importance, uint64_t root_id)
 {
 	return (uint16_t)((uint32_t)importance * LOOM_COHORTS +
-	    mix_murmur(root_id) % LOOM_COHORTS);
+	    mix_murmur3(root_id) % LOOM_COHORTS);
 }
 
 struct loom_shed *
@@ -94,7 +94,7 @@
 entry_set(const struct loom_shed *shed, uint64_t service_id, uint64_t team_id)
 {
 	uint64_t set =
-	    mix_murmur(service_id ^ mix_murmur(team_id)) % (ENTRIES / WAYS);
+	    mix_murmur3(service_id ^ mix_murmur3(team_id)) % (ENTRIES / WAYS);
 
 	return (struct shed_entry *)&shed->entries[set * WAYS];
 }
@@ -218,7 +218,7 @@
 			entry->last_probe_us = now_us;
 			continue;
 		}
-		*retry_after_us = loom_returns_after(&entry->returns,
+		*retry_after_us = loom_return_schedule_reserve(&entry->returns,
 		    (enum loom_importance)(rank / LOOM_COHORTS),
 		    entry->admitted_per_s, &shed->random, now_us);
 		return LOOM_OVERLOAD;
--- a/src/decide/spread.c
+++ b/src/decide/spread.c
@@ -50,7 +50,7 @@
 static uint64_t
 hash_id(uint64_t x)
 {
-	return mix_split(x + UINT64_C(0x9e3779b97f4a7c15));
+	return mix_splitmix64(x + UINT64_C(0x9e3779b97f4a7c15));
 }
 
 static int
--- a/src/decide/stop.c
+++ b/src/decide/stop.c
@@ -29,7 +29,9 @@
 	if (within_us == 0)
 		return plan;
 	margin_us = MAX(within_us / MARGIN_DIVISOR, MARGIN_MIN_US);
-	plan.delay_us = MIN(plan.delay_us, within_us / DELAY_DIVISOR);
-	plan.end_us = within_us - MIN(within_us, plan.delay_us + margin_us);
+	plan.drain_delay_us =
+	    MIN(plan.drain_delay_us, within_us / DELAY_DIVISOR);
+	plan.drain_timeout_us =
+	    within_us - MIN(within_us, plan.drain_delay_us + margin_us);
 	return plan;
 }
--- a/src/decide/keep.c
+++ b/src/decide/throttle.c
@@ -39,7 +39,7 @@
 #include <math.h>
 #include <talloc.h>
 
-#include "loom/keep.h"
+#include "loom/throttle.h"
 
 /*
  * Running calls relative to the limit. With a higher target, the queue of a
@@ -111,29 +111,31 @@
 	double mean_calls; /* per request, over the last ones offered */
 };
 
-struct loom_keep_gate {
+struct loom_throttle {
 	GHashTable *services; /* service id to struct service_state, owned */
 };
 
 void
-loom_keep_control_init(struct loom_keep_control *control, uint64_t now_us)
+loom_throttle_control_init(
+    struct loom_throttle_control *control, uint64_t now_us)
 {
-	*control = (struct loom_keep_control){
-		.steered = 1.0,
+	*control = (struct loom_throttle_control){
+		.integral_share = 1.0,
 		.share = 1.0,
-		.ticked_us = now_us,
-		.window_us = now_us,
+		.updated_us = now_us,
+		.window_start_us = now_us,
 	};
 }
 
 /* The shortest queue of this window and the last one, relative to the limit. */
 static double
-standing_queue(struct loom_keep_control *control, double queue, uint64_t now_us)
+standing_queue(
+    struct loom_throttle_control *control, double queue, uint64_t now_us)
 {
 	double *minimum = control->queue_min;
 
-	if (now_us - control->window_us >= QUEUE_WINDOW_US) {
-		control->window_us = now_us;
+	if (now_us - control->window_start_us >= QUEUE_WINDOW_US) {
+		control->window_start_us = now_us;
 		minimum[1] = minimum[0];
 		minimum[0] = queue;
 	}
@@ -142,33 +144,34 @@
 }
 
 void
-loom_keep_control_tick(
-    struct loom_keep_control *control, double utilization, uint64_t now_us)
+loom_throttle_control_update(
+    struct loom_throttle_control *control, double utilization, uint64_t now_us)
 {
-	double step_us = (double)(now_us - control->ticked_us);
+	double step_us = (double)(now_us - control->updated_us);
 	double queue =
 	    standing_queue(control, MAX(utilization - 1.0, 0), now_us);
 	double error = MIN(utilization, 1.0) - UTILIZATION_TARGET + queue;
 
-	control->ticked_us = now_us;
+	control->updated_us = now_us;
 	step_us = MIN(step_us, STEP_MAX_US);
 	error = MIN(error, ERROR_MAX);
-	control->steered *= exp(-error * step_us / INTEGRAL_TIME_US);
-	control->steered = CLAMP(control->steered, SHARE_MIN, 1.0);
-	control->share = control->steered / (1.0 + QUEUE_WEIGHT * queue);
+	control->integral_share *= exp(-error * step_us / INTEGRAL_TIME_US);
+	control->integral_share =
+	    CLAMP(control->integral_share, SHARE_MIN, 1.0);
+	control->share = control->integral_share / (1.0 + QUEUE_WEIGHT * queue);
 }
 
 static int
-gate_destroy(struct loom_keep_gate *gate)
+gate_destroy(struct loom_throttle *gate)
 {
 	g_hash_table_unref(gate->services);
 	return 0;
 }
 
-struct loom_keep_gate *
-loom_keep_gate_new(void *ctx)
+struct loom_throttle *
+loom_throttle_new(void *ctx)
 {
-	struct loom_keep_gate *gate = talloc_zero(ctx, struct loom_keep_gate);
+	struct loom_throttle *gate = talloc_zero(ctx, struct loom_throttle);
 
 	if (gate == NULL)
 		return NULL;
@@ -195,8 +198,8 @@
 }
 
 void
-loom_keep_note(struct loom_keep_gate *gate, uint64_t service_id, double share,
-    uint64_t now_us)
+loom_throttle_add_report(struct loom_throttle *gate, uint64_t service_id,
+    double share, uint64_t now_us)
 {
 	struct service_state *service;
 	double elapsed_us, weight;
@@ -216,8 +219,8 @@
 }
 
 double
-loom_keep_share(
-    const struct loom_keep_gate *gate, uint64_t service_id, uint64_t now_us)
+loom_throttle_share(
+    const struct loom_throttle *gate, uint64_t service_id, uint64_t now_us)
 {
 	const struct service_state *service;
 
@@ -226,8 +229,8 @@
 }
 
 uint64_t
-loom_keep_age_us(
-    const struct loom_keep_gate *gate, uint64_t service_id, uint64_t now_us)
+loom_throttle_report_age_us(
+    const struct loom_throttle *gate, uint64_t service_id, uint64_t now_us)
 {
 	const struct service_state *service;
 
@@ -286,8 +289,8 @@
 }
 
 bool
-loom_keep_pass(struct loom_keep_gate *gate, uint64_t service_id, uint16_t rank,
-    double calls, uint64_t now_us)
+loom_throttle_admit(struct loom_throttle *gate, uint64_t service_id,
+    uint16_t rank, double calls, uint64_t now_us)
 {
 	struct service_state *service;
 	double share;
--- a/src/decide/wait_share.c
+++ b/src/decide/wait_share.c
@@ -28,16 +28,16 @@
 #define SHARE_MAX 0.95
 
 void
-loom_wait_share_change(
+loom_wait_share_update(
     struct loom_wait_share *share, int running, int inner, uint64_t now_us)
 {
-	double elapsed_us = (double)(now_us - share->at_us);
+	double elapsed_us = (double)(now_us - share->updated_us);
 	double decay = exp(-elapsed_us / TIME_CONSTANT_US);
 
 	share->run_us = share->run_us * decay + elapsed_us * share->running;
 	share->wait_us = share->wait_us * decay +
 	    elapsed_us * MIN(share->inner, share->running);
-	share->at_us = now_us;
+	share->updated_us = now_us;
 	share->running = (uint32_t)((int64_t)share->running + running);
 	share->inner = (uint32_t)((int64_t)share->inner + inner);
 }
--- a/src/platform/reader.c
+++ b/src/platform/reader.c
@@ -59,7 +59,7 @@
 static void
 schedule_reading(struct loom_platform_reader *reader)
 {
-	uint32_t delay_ms = loom_pace_delay_ms(
+	uint32_t delay_ms = loom_poll_delay_ms(
 	    &reader->options.pace, reader->failures, &reader->options.random);
 
 	TALLOC_FREE(reader->call_timer);
@@ -215,14 +215,14 @@
 
 	if (reader->watching)
 		wait_ms =
-		    loom_pace_wait_ms(&reader->options.pace, reader->failures);
+		    loom_poll_wait_ms(&reader->options.pace, reader->failures);
 	reader->options.source->call(reader->state, wait_ms, &call);
 	url = g_strconcat(reader->options.url, call.path, NULL);
 	g_free(call.path);
 	curl_easy_setopt(reader->easy, CURLOPT_URL, url);
 	g_free(url);
 	curl_easy_setopt(reader->easy, CURLOPT_TIMEOUT_MS,
-	    (long)call.wait_ms + (long)reader->options.pace.answer_ms);
+	    (long)call.wait_ms + (long)reader->options.pace.answer_timeout_ms);
 	g_string_truncate(reader->body, 0);
 	reader->oversized = false;
 	loom_counter_add(reader->calls, 1);
@@ -278,7 +278,7 @@
 		copied->source = &loom_platform_values;
 	copied->url = talloc_strdup(reader, options->url);
 	copied->prefix = talloc_strdup(reader, options->prefix);
-	copied->pace = loom_pace_with_defaults(&options->pace);
+	copied->pace = loom_poll_timing_with_defaults(&options->pace);
 }
 
 static void
--- a/tests/decide/test_admission.c
+++ b/tests/decide/test_admission.c
@@ -7,7 +7,7 @@
 #include <pthread.h>
 #include <talloc.h>
 
-#include "loom/returns.h"
+#include "loom/return_schedule.h"
 #include "support/player.h"
 #include "support/test.h"
 
--- a/tests/decide/test_costs.c
+++ b/tests/decide/test_costs.c
@@ -23,10 +23,10 @@
 add_answer(struct loom_costs *costs, double calls, uint64_t now_us)
 {
 	struct loom_route_costs *route =
-	    loom_costs_answer(costs, ROUTE, EXECUTOR);
+	    loom_costs_answer_begin(costs, ROUTE, EXECUTOR);
 
 	if (calls > 0)
-		loom_costs_note(route, SERVICE, calls, now_us);
+		loom_costs_answer_add(route, SERVICE, calls, now_us);
 	loom_costs_answer_end(route, now_us);
 }
 
@@ -35,7 +35,7 @@
 {
 	struct loom_cost found[LOOM_COSTS_MAX];
 
-	return loom_costs_judge(costs, ROUTE, now_us, found) > 0;
+	return loom_costs_to_check(costs, ROUTE, now_us, found) > 0;
 }
 
 /*
--- a/tests/decide/test_excess.c
+++ b/tests/decide/test_excess.c
@@ -77,8 +77,8 @@
 static void
 make_call(struct simulation *sim, struct request *request, uint64_t now_us)
 {
-	loom_fanout_called(sim->fanout, CALL, now_us);
-	loom_excess_called(sim->excess, 0, now_us);
+	loom_fanout_add_call(sim->fanout, CALL, now_us);
+	loom_excess_add_call(sim->excess, 0, now_us);
 	sim->available_us =
 	    MAX(sim->available_us + sim->call_interval_us, now_us);
 	request->next_us = sim->available_us + 40 * MS;
@@ -102,7 +102,7 @@
 		request->active = false;
 		loom_fanout_end(
 		    sim->fanout, request->kind + 1, request->began_us, now_us);
-		loom_excess_ran(
+		loom_excess_add_request(
 		    sim->excess, request->kind, request->began_us, now_us);
 	}
 }
@@ -172,10 +172,10 @@
 	for (i = 0; i < G_N_ELEMENTS(rows); i++) {
 		for (seed = 1; seed <= 8; seed++) {
 			sim = simulate(&rows[i], seed);
-			lookup =
-			    loom_fanout_calls(sim->fanout, LOOKUP + 1, CALL);
-			upload =
-			    loom_fanout_calls(sim->fanout, UPLOAD + 1, CALL);
+			lookup = loom_fanout_calls_per_request(
+			    sim->fanout, LOOKUP + 1, CALL);
+			upload = loom_fanout_calls_per_request(
+			    sim->fanout, UPLOAD + 1, CALL);
 			TEST_CHECK(lookup > 1, "%s, seed %u: lookup %.2f",
 			    rows[i].name, (unsigned)seed, lookup);
 			TEST_CHECK((upload > 0.3) == rows[i].upload_makes_calls,
@@ -201,16 +201,16 @@
 	for (now_us = START; now_us < START + 2 * S; now_us += MS) {
 		per_ms = 0.5 + 0.5 * (double)(now_us - START) / (2.0 * S);
 		if (loom_random_unit(&random) < per_ms)
-			loom_excess_called(excess, 0, now_us);
+			loom_excess_add_call(excess, 0, now_us);
 		if (now_us % (20 * MS) != 0)
 			continue;
 		began_us = now_us - 120 * MS;
 		if (began_us > START + 200 * MS)
-			loom_excess_ran(excess, 3, began_us, now_us);
+			loom_excess_add_request(excess, 3, began_us, now_us);
 	}
-	TEST_CHECK(
-	    !loom_excess_shows(excess, 3, 0), "calls attributed to the route");
-	TEST_CHECK(loom_excess_denies(excess, 3, 0, 40),
+	TEST_CHECK(!loom_excess_confirms(excess, 3, 0),
+	    "calls attributed to the route");
+	TEST_CHECK(loom_excess_rules_out(excess, 3, 0, 40),
 	    "40 calls per request not ruled out");
 	talloc_free(excess);
 	test_random_free(&random);
--- a/tests/decide/test_rest.c
+++ b/tests/decide/test_loop_pause.c
@@ -1,6 +1,6 @@
 /* Tests which event loops have to pause for the sake of other threads. */
 
-#include "loom/rest.h"
+#include "loom/loop_pause.h"
 #include "support/test.h"
 
 #define RUN_US (10 * LOOM_US_PER_S)
@@ -13,16 +13,16 @@
 fraction_paused(uint64_t work_us, uint64_t wait_us)
 {
 	uint64_t now_us = LOOM_US_PER_S, paused_us = 0;
-	struct loom_rest rest;
+	struct loom_loop_pause rest;
 
-	loom_rest_init(&rest, now_us);
+	loom_loop_pause_init(&rest, now_us);
 	while (now_us < RUN_US) {
 		now_us += work_us + wait_us;
-		if (!loom_rest_due(&rest, wait_us, now_us))
+		if (!loom_loop_pause_due(&rest, wait_us, now_us))
 			continue;
-		now_us += LOOM_REST_US;
-		paused_us += LOOM_REST_US;
-		loom_rest_init(&rest, now_us);
+		now_us += LOOM_LOOP_PAUSE_US;
+		paused_us += LOOM_LOOP_PAUSE_US;
+		loom_loop_pause_init(&rest, now_us);
 	}
 	return (double)paused_us / (double)(now_us - LOOM_US_PER_S);
 }
--- a/tests/decide/test_out_of_processor.c
+++ b/tests/decide/test_out_of_processor.c
@@ -13,7 +13,7 @@
 #include <talloc.h>
 
 #include "loom/admission.h"
-#include "loom/keep.h"
+#include "loom/throttle.h"
 #include "support/test.h"
 
 #define SERVICE 1
@@ -44,7 +44,7 @@
 
 struct model {
 	struct loom_admission *adm;
-	struct loom_keep_gate *gate;
+	struct loom_throttle *gate;
 	struct loom_random random;
 	double cost_us; /* processor time per call */
 	GQueue ready; /* of struct call: work for the event loop */
@@ -82,7 +82,7 @@
 	struct call *call;
 
 	model->offered += measured;
-	if (!loom_keep_pass(model->gate, SERVICE, rank, 1, now_us))
+	if (!loom_throttle_admit(model->gate, SERVICE, rank, 1, now_us))
 		return;
 	model->admitted += measured;
 	call = g_new0(struct call, 1);
@@ -196,7 +196,8 @@
 	while ((report = g_queue_peek_head(&model->reports)) != NULL &&
 	    report->at_us <= now_us) {
 		g_queue_pop_head(&model->reports);
-		loom_keep_note(model->gate, SERVICE, report->share, now_us);
+		loom_throttle_add_report(
+		    model->gate, SERVICE, report->share, now_us);
 		g_free(report);
 	}
 }
@@ -287,7 +288,7 @@
 	for (i = 0; i < G_N_ELEMENTS(costs_us); i++) {
 		for (seed = 1; seed <= 3; seed++) {
 			model = (struct model){
-				.gate = loom_keep_gate_new(NULL),
+				.gate = loom_throttle_new(NULL),
 				.random = test_random_new(seed),
 				.cost_us = costs_us[i],
 			};
--- a/tests/decide/test_pace.c
+++ b/tests/decide/test_poll_timing.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-#include "loom/pace.h"
+#include "loom/poll_timing.h"
 #include "support/test.h"
 
 #define OUTAGE_START_MS 20000
@@ -23,7 +23,7 @@
 };
 
 struct simulation {
-	struct loom_pace pace;
+	struct loom_poll_timing pace;
 	enum outage outage;
 	uint32_t outage_end_ms; /* when the platform is back */
 	/* when a change is published; at least outage_end_ms */
@@ -57,7 +57,7 @@
 	if (lost && sim->outage == OUTAGE_REFUSES) {
 		outcome.end_ms = MAX(now_ms, OUTAGE_START_MS) + ROUND_TRIP_MS;
 	} else if (lost) {
-		outcome.end_ms = held_until_ms + sim->pace.answer_ms;
+		outcome.end_ms = held_until_ms + sim->pace.answer_timeout_ms;
 	} else if (held_until_ms >= sim->change_ms) {
 		outcome.has_change = true;
 		outcome.end_ms = MAX(now_ms, sim->change_ms) + ROUND_TRIP_MS;
@@ -80,12 +80,12 @@
 	for (;;) {
 		sim->calls[now_ms / 1000 % G_N_ELEMENTS(sim->calls)]++;
 		outcome = simulate_call(
-		    sim, now_ms, loom_pace_wait_ms(&sim->pace, failures));
+		    sim, now_ms, loom_poll_wait_ms(&sim->pace, failures));
 		if (outcome.has_change)
 			return outcome.end_ms;
 		failures = outcome.answered ? 0 : failures + 1;
 		now_ms = outcome.end_ms +
-		    loom_pace_delay_ms(&sim->pace, failures, sim->random);
+		    loom_poll_delay_ms(&sim->pace, failures, sim->random);
 	}
 }
 
@@ -113,14 +113,14 @@
 {
 	static const struct {
 		const char *name;
-		struct loom_pace pace;
+		struct loom_poll_timing pace;
 		uint32_t bound_ms;
 	} cases[] = {
 		/* in force within 11 s, of which peers need 2.1 s */
 		{ "defaults", { .wait_ms = 0 }, 8900 },
 		/* in force within 3 s, of which a join needs 0.35 s */
-		{ "a small fleet", { .wait_ms = 1300, .answer_ms = 700 },
-		    2650 },
+		{ "a small fleet",
+		    { .wait_ms = 1300, .answer_timeout_ms = 700 }, 2650 },
 	};
 	struct loom_random random = test_random_new(3);
 	struct simulation sim;
@@ -130,7 +130,8 @@
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
 		for (j = 0; j < OUTAGES * G_N_ELEMENTS(outages_ms); j++) {
 			sim = (struct simulation){
-				.pace = loom_pace_with_defaults(&cases[i].pace),
+				.pace = loom_poll_timing_with_defaults(
+				    &cases[i].pace),
 				.outage = (enum outage)(j % OUTAGES),
 				.random = &random,
 			};
@@ -152,11 +153,11 @@
 test_load_in_outage(void)
 {
 	static const struct {
-		struct loom_pace pace;
+		struct loom_poll_timing pace;
 		uint32_t readers;
 	} cases[] = {
 		{ { .wait_ms = 0 }, 120 },
-		{ { .wait_ms = 1300, .answer_ms = 700 }, 200 },
+		{ { .wait_ms = 1300, .answer_timeout_ms = 700 }, 200 },
 	};
 	struct loom_random random = test_random_new(5);
 	struct simulation sim;
@@ -167,8 +168,8 @@
 	for (i = 0; i < G_N_ELEMENTS(cases) * OUTAGES; i++) {
 		outage = (unsigned)(i % OUTAGES);
 		sim = (struct simulation){
-			.pace =
-			    loom_pace_with_defaults(&cases[i / OUTAGES].pace),
+			.pace = loom_poll_timing_with_defaults(
+			    &cases[i / OUTAGES].pace),
 			.outage = (enum outage)outage,
 			.outage_end_ms = OUTAGE_START_MS + 20000,
 			.change_ms = OUTAGE_START_MS + 25000,
@@ -188,7 +189,7 @@
 static void
 test_backoff(void)
 {
-	static const struct loom_pace pace = {
+	static const struct loom_poll_timing pace = {
 		.gap_ms = 50,
 		.backoff_ms = 200,
 		.backoff_max_ms = 10000,
@@ -213,7 +214,7 @@
 		low = UINT32_MAX;
 		high = 0;
 		for (j = 0; j < 1000; j++) {
-			delay = loom_pace_delay_ms(
+			delay = loom_poll_delay_ms(
 			    &pace, cases[i].failures, &random);
 			low = MIN(low, delay);
 			high = MAX(high, delay);
--- a/tests/decide/test_retry_after.c
+++ b/tests/decide/test_retry_after.c
@@ -100,7 +100,7 @@
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++)
 		TEST_CHECK(
-		    loom_retry_after_ms_of(cases[i].wait_us) == cases[i].ms,
+		    loom_retry_after_from_us(cases[i].wait_us) == cases[i].ms,
 		    "wait of %" G_GUINT64_FORMAT " us", cases[i].wait_us);
 }
 
--- a/tests/decide/test_shed.c
+++ b/tests/decide/test_shed.c
@@ -6,7 +6,7 @@
 #include <talloc.h>
 
 #include "decide/cuts.h"
-#include "loom/returns.h"
+#include "loom/return_schedule.h"
 #include "loom/shed.h"
 #include "support/test.h"
 
@@ -195,13 +195,13 @@
 test_returns_stay_below_rate(void)
 {
 	struct loom_random random = test_random_new(1);
-	struct loom_returns returns = { 0 };
+	struct loom_return_schedule returns = { 0 };
 	uint32_t returns_per_s[64] = { 0 }, max_per_s = 0;
 	uint64_t wait_us;
 	int i;
 
 	for (i = 0; i < 500; i++) {
-		wait_us = loom_returns_after(
+		wait_us = loom_return_schedule_reserve(
 		    &returns, LOOM_NORMAL, 1000.0, &random, LOOM_US_PER_S);
 		CU_ASSERT(wait_us >= LOOM_RETURN_MIN_US);
 		CU_ASSERT(wait_us <= LOOM_RETURN_MAX_US);
@@ -211,7 +211,7 @@
 		max_per_s = MAX(max_per_s, returns_per_s[i]);
 	TEST_CHECK(max_per_s <= 13, "%u in one second", max_per_s);
 	/* A critical call does not wait behind them. */
-	wait_us = loom_returns_after(
+	wait_us = loom_return_schedule_reserve(
 	    &returns, LOOM_CRITICAL, 1000.0, &random, LOOM_US_PER_S);
 	CU_ASSERT(wait_us < LOOM_US_PER_S);
 	test_random_free(&random);
--- a/tests/decide/test_stop.c
+++ b/tests/decide/test_stop.c
@@ -34,14 +34,15 @@
 
 	for (i = 0; i < G_N_ELEMENTS(rows); i++) {
 		wanted = (struct loom_stop){
-			.delay_us = MS(rows[i].delay_ms),
-			.end_us = MS(rows[i].end_ms),
+			.drain_delay_us = MS(rows[i].delay_ms),
+			.drain_timeout_us = MS(rows[i].end_ms),
 		};
 		plan = loom_stop_plan(&wanted, MS(rows[i].within_ms));
-		TEST_CHECK(plan.delay_us == MS(rows[i].plan_delay_ms) &&
-			plan.end_us == MS(rows[i].plan_end_ms),
+		TEST_CHECK(plan.drain_delay_us == MS(rows[i].plan_delay_ms) &&
+			plan.drain_timeout_us == MS(rows[i].plan_end_ms),
 		    "within %" PRIu64 " ms: %" PRIu64 " and %" PRIu64 " us",
-		    rows[i].within_ms, plan.delay_us, plan.end_us);
+		    rows[i].within_ms, plan.drain_delay_us,
+		    plan.drain_timeout_us);
 	}
 }
 
--- a/tests/decide/test_keep.c
+++ b/tests/decide/test_throttle.c
@@ -10,7 +10,7 @@
 #include <talloc.h>
 
 #include "loom/fanout.h"
-#include "loom/keep.h"
+#include "loom/throttle.h"
 #include "loom/wait_share.h"
 #include "support/test.h"
 
@@ -65,13 +65,13 @@
 static void
 simulate(const struct scenario *scenario, double *served, double *mean_queue)
 {
-	struct loom_keep_control control;
+	struct loom_throttle_control control;
 	double shares[DELAY_STEPS_MAX] = { 0 };
 	double queue = 0, capacity = 1, step_s = STEP_MS / 1e3;
 	double possible = 0, served_total = 0, queue_average = 0, served_now;
 	unsigned delay_steps = scenario->report_delay_ms / STEP_MS, i;
 
-	loom_keep_control_init(&control, S);
+	loom_throttle_control_init(&control, S);
 	for (i = 0; i < STEPS; i++) {
 		if (i == STEPS / 2)
 			capacity = scenario->capacity;
@@ -82,7 +82,7 @@
 			    : shares[(i - delay_steps) % DELAY_STEPS_MAX]);
 		served_now = fmin(queue, capacity * step_s / SERVICE_S);
 		queue -= served_now;
-		loom_keep_control_tick(&control,
+		loom_throttle_control_update(&control,
 		    served_now / (capacity * step_s / SERVICE_S) + queue,
 		    S + (i + 1) * STEP_MS * MS);
 		if (i < STEPS * 3 / 4)
@@ -210,7 +210,7 @@
 	    (double)CHAIN_SLOTS / CHAIN_CALL_MS / CHAIN_CALLS;
 	const double offered_per_ms = 2.5 * capacity_per_ms;
 	struct loom_random random;
-	struct loom_keep_control control;
+	struct loom_throttle_control control;
 	struct chains *sim;
 	double shares[256];
 	double completed = 0;
@@ -220,7 +220,7 @@
 	for (seed = 1; seed <= 4; seed++) {
 		random = test_random_new(seed);
 		sim = g_new0(struct chains, 1);
-		loom_keep_control_init(&control, S);
+		loom_throttle_control_init(&control, S);
 		for (ms = 0; ms < simulated_ms; ms++) {
 			shares[ms % 256] = control.share;
 			if (loom_random_unit(&random) < offered_per_ms *
@@ -230,7 +230,7 @@
 				begin_chain(sim, ms);
 			step_chains(sim, &random, ms);
 			if (ms % 5 == 0)
-				loom_keep_control_tick(&control,
+				loom_throttle_control_update(&control,
 				    (double)(sim->running_count +
 					sim->waiting_count) /
 					CHAIN_SLOTS,
@@ -261,13 +261,13 @@
 		{ "bursts that drain", 30, false },
 		{ "standing queue", 50, true },
 	};
-	struct loom_keep_control control;
+	struct loom_throttle_control control;
 	unsigned i, ms;
 
 	for (i = 0; i < sizeof(rows) / sizeof(rows[0]); i++) {
-		loom_keep_control_init(&control, S);
+		loom_throttle_control_init(&control, S);
 		for (ms = 0; ms < 3000; ms += 5)
-			loom_keep_control_tick(&control,
+			loom_throttle_control_update(&control,
 			    ms % 50 < rows[i].overloaded_ms ? 3.0 : 0.6,
 			    S + ms * MS);
 		TEST_CHECK((control.share < 0.5) == rows[i].expect_refusals,
@@ -283,20 +283,21 @@
 static void
 test_admission_by_rank(void)
 {
-	struct loom_keep_gate *gate = loom_keep_gate_new(NULL);
+	struct loom_throttle *gate = loom_throttle_new(NULL);
 	struct loom_random random = test_random_new(5);
 	unsigned admitted[2] = { 0 }, offered[2] = { 0 }, i, kind;
 	double calls, admitted_calls = 0, offered_calls = 0;
 	uint64_t now_us = S;
 	bool admitted_now;
 
-	TEST_CHECK(loom_keep_pass(gate, SERVICE, 1000, 10, now_us), "unknown");
+	TEST_CHECK(
+	    loom_throttle_admit(gate, SERVICE, 1000, 10, now_us), "unknown");
 	for (i = 0; i < 20000; i++) {
 		now_us += 2 * MS;
-		loom_keep_note(gate, SERVICE, 0.5, now_us);
+		loom_throttle_add_report(gate, SERVICE, 0.5, now_us);
 		kind = loom_random_unit(&random) < 0.3 ? 0 : 1;
 		calls = kind == 0 ? 5 : 10;
-		admitted_now = loom_keep_pass(gate, SERVICE,
+		admitted_now = loom_throttle_admit(gate, SERVICE,
 		    loom_shed_rank(kind == 0 ? LOOM_CRITICAL : LOOM_LOW,
 			random.next(random.arg)),
 		    calls, now_us);
@@ -308,13 +309,14 @@
 	TEST_CHECK(admitted[0] > 0.99 * offered[0], "critical %u", admitted[0]);
 	TEST_CHECK(fabs(admitted_calls / offered_calls - 0.5) < 0.03,
 	    "calls %.3f", admitted_calls / offered_calls);
-	TEST_CHECK(loom_keep_age_us(gate, SERVICE, now_us) == 0,
+	TEST_CHECK(loom_throttle_report_age_us(gate, SERVICE, now_us) == 0,
 	    "age right after a report");
 	now_us += 2 * S;
-	TEST_CHECK(loom_keep_share(gate, SERVICE, now_us) >= 1,
+	TEST_CHECK(loom_throttle_share(gate, SERVICE, now_us) >= 1,
 	    "share without reports");
-	TEST_CHECK(loom_keep_age_us(gate, SERVICE, now_us) == 2 * S, "age");
-	TEST_CHECK(loom_keep_age_us(gate, SERVICE + 1, now_us) == 0,
+	TEST_CHECK(
+	    loom_throttle_report_age_us(gate, SERVICE, now_us) == 2 * S, "age");
+	TEST_CHECK(loom_throttle_report_age_us(gate, SERVICE + 1, now_us) == 0,
 	    "age without a report");
 	test_random_free(&random);
 	talloc_free(gate);
@@ -340,22 +342,23 @@
 		{ 0, 400, 0, 0.001 },
 		{ 0, 3100, 0.9, 1 },
 	};
-	struct loom_keep_gate *gate;
+	struct loom_throttle *gate;
 	uint64_t now_us;
 	double share;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(rows); i++) {
-		gate = loom_keep_gate_new(NULL);
+		gate = loom_throttle_new(NULL);
 		for (now_us = S; now_us < 3 * S; now_us += 50 * MS)
-			loom_keep_note(
+			loom_throttle_add_report(
 			    gate, SERVICE, rows[i].reported_share, now_us);
 		now_us += (rows[i].silent_ms - 50) * MS;
-		share = loom_keep_share(gate, SERVICE, now_us);
+		share = loom_throttle_share(gate, SERVICE, now_us);
 		TEST_CHECK(share >= rows[i].min && share <= rows[i].max,
 		    "row %zu: %.3f", i, share);
-		loom_keep_note(gate, SERVICE, rows[i].reported_share, now_us);
-		share = loom_keep_share(gate, SERVICE, now_us);
+		loom_throttle_add_report(
+		    gate, SERVICE, rows[i].reported_share, now_us);
+		share = loom_throttle_share(gate, SERVICE, now_us);
 		TEST_CHECK(share <= rows[i].reported_share + 0.001,
 		    "row %zu: %.3f after a report", i, share);
 		talloc_free(gate);
@@ -371,17 +374,17 @@
 static void
 test_cheap_requests(void)
 {
-	struct loom_keep_gate *gate = loom_keep_gate_new(NULL);
+	struct loom_throttle *gate = loom_throttle_new(NULL);
 	struct loom_random random = test_random_new(3);
 	unsigned admitted[2] = { 0 }, offered[2] = { 0 }, i, kind;
 	uint64_t now_us = S;
 
 	for (i = 0; i < 20000; i++) {
 		now_us += 2 * MS;
-		loom_keep_note(gate, SERVICE, 0.5, now_us);
+		loom_throttle_add_report(gate, SERVICE, 0.5, now_us);
 		kind = loom_random_unit(&random) < 0.2 ? 0 : 1;
 		offered[kind]++;
-		admitted[kind] += loom_keep_pass(gate, SERVICE,
+		admitted[kind] += loom_throttle_admit(gate, SERVICE,
 		    loom_shed_rank(LOOM_LOW, random.next(random.arg)),
 		    kind == 0 ? 1 : 10, now_us);
 	}
@@ -411,15 +414,15 @@
 	unsigned i, j;
 
 	for (i = 0; i < G_N_ELEMENTS(rows); i++) {
-		share = (struct loom_wait_share){ .at_us = S };
+		share = (struct loom_wait_share){ .updated_us = S };
 		for (now_us = S; now_us < 6 * S; now_us += 100 * MS) {
-			loom_wait_share_change(&share, 1, 0, now_us);
+			loom_wait_share_update(&share, 1, 0, now_us);
 			for (j = 0; j < rows[i].inner; j++)
-				loom_wait_share_change(&share, 0, 1, now_us);
+				loom_wait_share_update(&share, 0, 1, now_us);
 			for (j = 0; j < rows[i].inner; j++)
-				loom_wait_share_change(&share, 0, -1,
+				loom_wait_share_update(&share, 0, -1,
 				    now_us + rows[i].wait_ms * MS);
-			loom_wait_share_change(
+			loom_wait_share_update(
 			    &share, -1, 0, now_us + 100 * MS);
 		}
 		TEST_CHECK(fabs(loom_wait_share(&share) - rows[i].share) < 0.05,
@@ -456,7 +459,7 @@
 				continue;
 			if (requests[i].calls > 0 &&
 			    now_us >= requests[i].next_us) {
-				loom_fanout_called(fanout, 99, now_us);
+				loom_fanout_add_call(fanout, 99, now_us);
 				requests[i].calls--;
 				requests[i].next_us += 15 * MS;
 			}
@@ -520,15 +523,17 @@
 			fanout = loom_fanout_new(NULL, S);
 			simulate_fanout(fanout, rows[i].upload_per_s,
 			    rows[i].lookup_per_s, rows[i].seconds, seed);
-			upload = loom_fanout_calls(fanout, 1, 99);
-			lookup = loom_fanout_calls(fanout, 2, 99);
+			upload = loom_fanout_calls_per_request(fanout, 1, 99);
+			lookup = loom_fanout_calls_per_request(fanout, 2, 99);
 			TEST_CHECK(
 			    upload == 0, "row %zu: upload %.2f", i, upload);
 			TEST_CHECK(fabs(lookup - 5) < rows[i].error_max,
 			    "row %zu: lookup %.2f", i, lookup);
-			TEST_CHECK(loom_fanout_calls(fanout, 3, 99) == 0,
+			TEST_CHECK(
+			    loom_fanout_calls_per_request(fanout, 3, 99) == 0,
 			    "unknown route");
-			TEST_CHECK(loom_fanout_calls(fanout, 1, 98) == 0,
+			TEST_CHECK(
+			    loom_fanout_calls_per_request(fanout, 1, 98) == 0,
 			    "unknown inner route");
 			talloc_free(fanout);
 		}
@@ -569,14 +574,14 @@
 			for (i = 1; i <= rows[row].calls; i++) {
 				delay_ms = i * CALL_MS;
 				if (ms >= delay_ms && starts[ms - delay_ms])
-					loom_fanout_called(
+					loom_fanout_add_call(
 					    fanout, 99, S + ms * MS);
 			}
 			delay_ms = (rows[row].calls + 1) * CALL_MS;
 			if (ms >= delay_ms && starts[ms - delay_ms])
 				loom_fanout_end(fanout, 1,
 				    S + (ms - delay_ms) * MS, S + ms * MS);
-			calls = loom_fanout_calls(fanout, 1, 99);
+			calls = loom_fanout_calls_per_request(fanout, 1, 99);
 			max = MAX(max, calls);
 		}
 		TEST_CHECK(max <= 2 * rows[row].calls,
--- a/tests/platform/test_reader.c
+++ b/tests/platform/test_reader.c
@@ -65,7 +65,7 @@
 		.prefix = "manifest/",
 		.pace = {
 			.wait_ms = wait_ms,
-			.answer_ms = answer_ms,
+			.answer_timeout_ms = answer_ms,
 			.gap_ms = 1,
 			.backoff_ms = 5,
 			.backoff_max_ms = 20,
