--- a/bench/bench_hotpath.c
+++ b/bench/bench_hotpath.c
@@ -17,7 +17,7 @@
 #include "bounds.h"
 #include "loom/admission.h"
 #include "loom/balance.h"
-#include "loom/gate.h"
+#include "loom/semaphore.h"
 #include "loom/shed.h"
 #include "support/allocations.h"
 
@@ -33,13 +33,13 @@
 
 /* All that a decision is made with. */
 struct setup {
-	struct loom_gate gate;
+	struct loom_semaphore gate;
 	struct loom_admission *admission;
 	struct loom_shed *shed;
 	struct loom_balance *balance;
 	GMutex lock;
 	uint32_t inside; /* under lock: what the gate is compared with */
-	struct loom_waiting held[SLOTS];
+	struct loom_admission_call held[SLOTS];
 	uint64_t now_us;
 };
 
@@ -84,7 +84,7 @@
 
 	memset(setup, 0, sizeof(*setup));
 	g_mutex_init(&setup->lock);
-	loom_gate_init(&setup->gate, SLOTS);
+	loom_semaphore_init(&setup->gate, SLOTS);
 	setup->admission = loom_admission_new(NULL, &settings, 0);
 	setup->shed = loom_shed_new(NULL, &cheap_random);
 	setup->balance = loom_balance_new(NULL, &cheap_random, 0);
@@ -97,9 +97,9 @@
 }
 
 static void
-call_init(struct loom_waiting *w)
+call_init(struct loom_admission_call *w)
 {
-	*w = (struct loom_waiting){
+	*w = (struct loom_admission_call){
 		.team_id = 1,
 		.team_weight = 10,
 		.importance = LOOM_NORMAL,
@@ -110,8 +110,8 @@
 static void
 run_gate(struct setup *setup)
 {
-	if (loom_gate_enter(&setup->gate))
-		loom_gate_leave(&setup->gate);
+	if (loom_semaphore_try_acquire(&setup->gate))
+		loom_semaphore_release(&setup->gate);
 }
 
 static void
@@ -132,15 +132,15 @@
 }
 
 static void
-end_call(struct setup *setup, struct loom_waiting *w)
+end_call(struct setup *setup, struct loom_admission_call *w)
 {
 	struct loom_call_result result = {
 		.end = LOOM_CALL_OK,
 		.latency_us = LATENCY_US,
 	};
-	struct loom_moved moved;
+	struct loom_verdicts moved;
 
-	loom_moved_init(&moved);
+	loom_verdicts_init(&moved);
 	loom_admission_done(
 	    setup->admission, w, &result, setup->now_us, &moved);
 }
@@ -148,11 +148,11 @@
 static void
 run_admit(struct setup *setup)
 {
-	struct loom_waiting w;
-	struct loom_moved moved;
+	struct loom_admission_call w;
+	struct loom_verdicts moved;
 
 	call_init(&w);
-	loom_moved_init(&moved);
+	loom_verdicts_init(&moved);
 	if (loom_admission_offer(setup->admission, &w, setup->now_us, &moved) ==
 	    LOOM_ADMITTED)
 		end_call(setup, &w);
@@ -163,12 +163,12 @@
 run_queue(struct setup *setup)
 {
 	static uint32_t turn;
-	struct loom_waiting *oldest = &setup->held[turn++ % SLOTS];
-	struct loom_waiting w;
-	struct loom_moved moved;
+	struct loom_admission_call *oldest = &setup->held[turn++ % SLOTS];
+	struct loom_admission_call w;
+	struct loom_verdicts moved;
 
 	call_init(&w);
-	loom_moved_init(&moved);
+	loom_verdicts_init(&moved);
 	loom_admission_offer(setup->admission, &w, setup->now_us, &moved);
 	end_call(setup, oldest);
 	call_init(oldest);
@@ -177,12 +177,12 @@
 static void
 fill_slots(struct setup *setup)
 {
-	struct loom_moved moved;
+	struct loom_verdicts moved;
 	int i;
 
 	for (i = 0; i < SLOTS; i++) {
 		call_init(&setup->held[i]);
-		loom_moved_init(&moved);
+		loom_verdicts_init(&moved);
 		loom_admission_offer(
 		    setup->admission, &setup->held[i], setup->now_us, &moved);
 	}
--- a/bench/model_path.c
+++ b/bench/model_path.c
@@ -123,7 +123,7 @@
 	call->hop = hop;
 	call->generation++;
 	call->tries++;
-	call->deeper_us = 0;
+	call->nested_us = 0;
 	call->refused = false;
 	call->cut = LOOM_CUT_NONE;
 	call->state = CALL_SENT;
@@ -270,9 +270,9 @@
 }
 
 static void
-handle_moved(struct model *model, struct loom_moved *moved)
+handle_moved(struct model *model, struct loom_verdicts *moved)
 {
-	struct loom_waiting *w, *next;
+	struct loom_admission_call *w, *next;
 	struct call *call;
 
 	for (w = moved->refused; w != NULL; w = next) {
@@ -282,7 +282,7 @@
 		call->cut = w->cut;
 		answer(model, call, false);
 	}
-	for (w = moved->go; w != NULL; w = next) {
+	for (w = moved->admitted; w != NULL; w = next) {
 		next = w->next;
 		begin(model, w->arg);
 	}
@@ -292,11 +292,11 @@
 offer(struct model *model, struct call *call)
 {
 	const struct request *request = call->attempt->request;
-	struct loom_waiting *w = &call->waiting;
-	struct loom_moved moved;
-	enum loom_admit verdict;
+	struct loom_admission_call *w = &call->waiting;
+	struct loom_verdicts moved;
+	enum loom_admission_verdict verdict;
 
-	*w = (struct loom_waiting){
+	*w = (struct loom_admission_call){
 		.team_id = request->team,
 		.team_weight =
 		    (uint32_t)(model->firm->team_share[request->team] * 1000),
@@ -307,7 +307,7 @@
 		.deadline_us = call->attempt->deadline_us,
 		.arg = call,
 	};
-	loom_moved_init(&moved);
+	loom_verdicts_init(&moved);
 	call->state = CALL_WAITING;
 	verdict = loom_admission_offer(
 	    call->target->admission, w, model->now_us, &moved);
@@ -370,11 +370,11 @@
 	struct loom_call_result result = {
 		.end = end,
 		.latency_us = model->now_us - call->begun_us,
-		.deeper_us = call->deeper_us,
+		.nested_us = call->nested_us,
 	};
-	struct loom_moved moved;
+	struct loom_verdicts moved;
 
-	loom_moved_init(&moved);
+	loom_verdicts_init(&moved);
 	loom_admission_done(call->target->admission, &call->waiting, &result,
 	    model->now_us, &moved);
 	call->cut = call->waiting.cut;
@@ -434,8 +434,8 @@
 			.service_id = service_ids[i],
 			.cut = attempt->cuts[i],
 		};
-		loom_shed_note(shed_above(model, call), attempt->request->team,
-		    &threshold, model->now_us);
+		loom_shed_record(shed_above(model, call),
+		    attempt->request->team, &threshold, model->now_us);
 	}
 }
 
@@ -458,7 +458,7 @@
 		return;
 	}
 	above = &attempt->calls[call->hop - 1];
-	above->deeper_us += model->now_us - call->sent_us;
+	above->nested_us += model->now_us - call->sent_us;
 	if (!call->ok)
 		above->waiting.retry_after_us = call->waiting.retry_after_us;
 	finish(model, above, call->ok);
@@ -499,7 +499,7 @@
 			cancel_call(model, call);
 			continue;
 		}
-		call->deeper_us +=
+		call->nested_us +=
 		    model->now_us - attempt->calls[hop + 1].sent_us;
 		cancel_call(model, call);
 	}
@@ -508,14 +508,14 @@
 void
 model_tick(struct model *model)
 {
-	struct loom_moved moved;
+	struct loom_verdicts moved;
 	uint32_t s, i;
 
 	if (model->policy != MODEL_LOOM)
 		return;
 	for (s = 0; s < MODEL_SERVICES; s++) {
 		for (i = 0; i < model->firm->services[s].targets; i++) {
-			loom_moved_init(&moved);
+			loom_verdicts_init(&moved);
 			loom_admission_tick(model->targets[s][i].admission,
 			    model->now_us, &moved);
 			handle_moved(model, &moved);
--- a/bench/model_private.h
+++ b/bench/model_private.h
@@ -55,7 +55,7 @@
 
 /* One hop of one attempt. */
 struct call {
-	struct loom_waiting waiting;
+	struct loom_admission_call waiting;
 	struct attempt *attempt;
 	struct target *target;
 	enum call_state state;
@@ -64,7 +64,7 @@
 	uint32_t tries;
 	uint64_t sent_us;
 	uint64_t begun_us;
-	uint64_t deeper_us;
+	uint64_t nested_us;
 	bool ok;
 	bool refused; /* by the executor's daemon itself */
 	uint16_t cut;
--- a/include/loom/admission.h
+++ b/include/loom/admission.h
@@ -13,9 +13,9 @@
  * allocates nothing.
  *
  * Every offered call receives exactly one verdict: from the offer itself, or,
- * when QUEUED, in a list of a struct loom_moved that a later function fills, or
- * by a cancel that returns true.  The thread that receives such a list must act
- * on all calls in it.
+ * when QUEUED, in a list of a struct loom_verdicts that a later function fills,
+ * or by a cancel that returns true.  The thread that receives such a list must
+ * act on all calls in it.
  */
 
 #include <stdbool.h>
@@ -41,9 +41,9 @@
 	struct loom_random random; /* for the jitter of Retry-After */
 };
 
-enum loom_admit {
+enum loom_admission_verdict {
 	LOOM_ADMITTED, /* forward it, then call loom_admission_done() */
-	LOOM_QUEUED, /* the verdict comes later in a struct loom_moved */
+	LOOM_QUEUED, /* the verdict comes later in a struct loom_verdicts */
 	LOOM_REFUSED, /* see code and retry_after_us of the call */
 };
 
@@ -56,7 +56,7 @@
 struct loom_call_result {
 	enum loom_call_end end;
 	uint64_t latency_us; /* from the first byte sent to the answer */
-	uint64_t deeper_us; /* part of it, spent in nested calls */
+	uint64_t nested_us; /* part of it, spent in nested calls */
 };
 
 struct loom_admission_state {
@@ -77,43 +77,46 @@
     struct loom_admission *, uint32_t slots, uint32_t queue);
 
 /* The upstream restarted: ramps up again and discards the latency baseline. */
-void loom_admission_upstream_new(struct loom_admission *, uint64_t now_us);
+void loom_admission_upstream_restarted(
+    struct loom_admission *, uint64_t now_us);
 
 /* Offers a call.  verdicts must be initialised; it may receive other calls that
  * this one displaced.  Any thread. */
-enum loom_admit loom_admission_offer(struct loom_admission *,
-    struct loom_waiting *call, uint64_t now_us, struct loom_moved *verdicts);
+enum loom_admission_verdict loom_admission_offer(struct loom_admission *,
+    struct loom_admission_call *call, uint64_t now_us,
+    struct loom_verdicts *verdicts);
 
 /* Returns whether a call that starts now can finish before its deadline, by the
  * measured time of its class.  Any thread. */
-bool loom_admission_fits(
-    struct loom_admission *, const struct loom_waiting *, uint64_t now_us);
+bool loom_admission_can_finish(struct loom_admission *,
+    const struct loom_admission_call *, uint64_t now_us);
 
 /* Ends an admitted call; sets call->cut to the threshold that its answer must
  * carry.  Any thread. */
-void loom_admission_done(struct loom_admission *, struct loom_waiting *call,
-    const struct loom_call_result *, uint64_t now_us,
-    struct loom_moved *verdicts);
+void loom_admission_done(struct loom_admission *,
+    struct loom_admission_call *call, const struct loom_call_result *,
+    uint64_t now_us, struct loom_verdicts *verdicts);
 
 /* Cancels a QUEUED call.  True: it was removed and belongs to the caller again.
  * False: its verdict is already in a list, and the thread that has the list
  * acts on it.  Any thread. */
-bool loom_admission_cancel(struct loom_admission *, struct loom_waiting *call);
+bool loom_admission_cancel(
+    struct loom_admission *, struct loom_admission_call *call);
 
 /* Refuses the calls that can no longer finish in time, and updates the limit
  * and the thresholds.  One thread calls it about every 10 ms. */
 void loom_admission_tick(
-    struct loom_admission *, uint64_t now_us, struct loom_moved *verdicts);
+    struct loom_admission *, uint64_t now_us, struct loom_verdicts *verdicts);
 
 /*
  * Reports the recent load of this process, 0 to 1 of the time of its busiest
  * thread.  A daemon out of processor time limits the load as an upstream out of
  * slots does, so the higher of the two counts as used.  Any thread.
  */
-void loom_admission_note_busy(struct loom_admission *, double busy);
+void loom_admission_set_busy(struct loom_admission *, double busy);
 
 /* Reports the event loop lag: how long ready events wait.  Any thread. */
-void loom_admission_note_lag(struct loom_admission *, uint64_t lag_us);
+void loom_admission_set_loop_lag(struct loom_admission *, uint64_t lag_us);
 
 /* Calls that run or wait, in thousandths of the limit, at the last tick.  Any
  * thread. */
--- a/include/loom/queue.h
+++ b/include/loom/queue.h
@@ -26,7 +26,7 @@
  * the memory.  While the call is QUEUED and has no verdict yet, it must not be
  * freed without loom_admission_cancel().
  */
-struct loom_waiting {
+struct loom_admission_call {
 	/* Set by the caller before the offer. */
 	uint64_t team_id;
 	uint64_t deadline_us; /* on the clock of now_us */
@@ -43,31 +43,31 @@
 	uint64_t retry_after_us; /* of a refusal */
 
 	/* Private while the call waits; next also links the lists of struct
-	 * loom_moved. */
-	struct loom_waiting *next;
-	struct loom_waiting *prev;
+	 * loom_verdicts. */
+	struct loom_admission_call *next;
+	struct loom_admission_call *prev;
 	struct loom_queue_team *team; /* NULL while the call does not wait */
 	uint64_t arrived_us;
 };
 
 /* Queued calls that received their verdict; linked by next, in order. */
-struct loom_moved {
-	struct loom_waiting *go; /* admitted: forward them now */
-	struct loom_waiting *refused; /* see code and retry_after_us */
-	struct loom_waiting **go_tail; /* private */
-	struct loom_waiting **refused_tail; /* private */
+struct loom_verdicts {
+	struct loom_admission_call *admitted; /* admitted: forward them now */
+	struct loom_admission_call *refused; /* see code and retry_after_us */
+	struct loom_admission_call **admitted_tail; /* private */
+	struct loom_admission_call **refused_tail; /* private */
 };
 
-void loom_moved_init(struct loom_moved *);
-void loom_moved_go(struct loom_moved *, struct loom_waiting *);
-void loom_moved_refuse(struct loom_moved *, struct loom_waiting *);
+void loom_verdicts_init(struct loom_verdicts *);
+void loom_verdicts_admit(struct loom_verdicts *, struct loom_admission_call *);
+void loom_verdicts_refuse(struct loom_verdicts *, struct loom_admission_call *);
 
 /*
  * Scales the queue bound of a service to a host whose slots differ from those
  * that the service declares: the number of waiting calls per slot stays the
  * same.
  */
-uint32_t loom_queue_bound_of(
+uint32_t loom_queue_bound_for_host(
     uint32_t service_queue, uint32_t service_slots, uint32_t host_slots);
 
 /* Owned by ctx.  Allocates all memory here.  bound, at least 1, is the number
@@ -85,14 +85,14 @@
  * Adds a call.  Returns NULL, or the call that is displaced because the queue
  * is full, which may be the new one itself.
  */
-struct loom_waiting *loom_queue_push(
-    struct loom_queue *, struct loom_waiting *, uint64_t now_us);
+struct loom_admission_call *loom_queue_push(
+    struct loom_queue *, struct loom_admission_call *, uint64_t now_us);
 
 /* Removes and returns the next call; NULL when the queue is empty. */
-struct loom_waiting *loom_queue_pop(struct loom_queue *);
+struct loom_admission_call *loom_queue_pop(struct loom_queue *);
 
 /* Removes a waiting call. */
-void loom_queue_remove(struct loom_queue *, struct loom_waiting *);
+void loom_queue_remove(struct loom_queue *, struct loom_admission_call *);
 
 /* Serves calls of importance from and of lower ones newest first; all calls
  * oldest first when newest_first is false. */
@@ -116,15 +116,16 @@
 uint32_t loom_queue_overtaken(const struct loom_queue *, enum loom_importance);
 
 /* Removes and returns one call while the queue is over its bound; else NULL. */
-struct loom_waiting *loom_queue_trim(struct loom_queue *);
+struct loom_admission_call *loom_queue_trim(struct loom_queue *);
 
 struct loom_queue_sweep_ops {
 	/* Returns false when should_drop() does not need the number of calls
 	 * ahead, which takes a walk over the teams to compute. */
-	bool (*needs_calls_ahead)(const struct loom_waiting *, void *arg);
+	bool (*needs_calls_ahead)(
+	    const struct loom_admission_call *, void *arg);
 	bool (*should_drop)(
-	    const struct loom_waiting *, uint32_t ahead, void *arg);
-	void (*drop)(struct loom_waiting *, void *arg);
+	    const struct loom_admission_call *, uint32_t ahead, void *arg);
+	void (*drop)(struct loom_admission_call *, void *arg);
 };
 
 /* Removes each call for which should_drop() returns true and passes it to
--- a/include/loom/gate.h
+++ b/include/loom/semaphore.h
@@ -1,5 +1,5 @@
-#ifndef LOOM_GATE_H
-#define LOOM_GATE_H
+#ifndef LOOM_SEMAPHORE_H
+#define LOOM_SEMAPHORE_H
 
 /*
  * Non-blocking counting semaphore for the calls in flight at one upstream.  It
@@ -16,38 +16,38 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define LOOM_GATE_LIMIT_MAX UINT32_C(0xffffff)
+#define LOOM_SEMAPHORE_LIMIT_MAX UINT32_C(0xffffff)
 
-struct loom_gate {
+struct loom_semaphore {
 	/* bit 63: slow-path flag, bits 32-55: limit, bits 0-31: in flight */
 	atomic_uint_fast64_t word;
 };
 
-/* A limit above LOOM_GATE_LIMIT_MAX is reduced to it. */
-void loom_gate_init(struct loom_gate *, uint32_t limit);
+/* A limit above LOOM_SEMAPHORE_LIMIT_MAX is reduced to it. */
+void loom_semaphore_init(struct loom_semaphore *, uint32_t limit);
 
 /* Takes a slot.  Returns false when none is free or the slow-path flag is
  * set. */
-bool loom_gate_enter(struct loom_gate *);
+bool loom_semaphore_try_acquire(struct loom_semaphore *);
 
-/* As loom_gate_enter(), but ignores the slow-path flag.  For the owner, which
- * gives free slots to waiting calls. */
-bool loom_gate_enter_watched(struct loom_gate *);
+/* As loom_semaphore_try_acquire(), but ignores the slow-path flag.  For the
+ * owner, which gives free slots to waiting calls. */
+bool loom_semaphore_try_acquire_slow_path(struct loom_semaphore *);
 
 /* Releases a slot.  Returns true when the slow-path flag is set: the caller
  * must then take the owner's lock and dispatch a waiting call, if there is
  * one. */
-bool loom_gate_leave(struct loom_gate *);
+bool loom_semaphore_release(struct loom_semaphore *);
 
 /* With a limit below the number of calls in flight, no call enters until enough
  * have left. */
-void loom_gate_set_limit(struct loom_gate *, uint32_t limit);
+void loom_semaphore_set_limit(struct loom_semaphore *, uint32_t limit);
 
 /* Sets or clears the slow-path flag. */
-void loom_gate_set_watch(struct loom_gate *, bool slow_path);
+void loom_semaphore_set_slow_path(struct loom_semaphore *, bool slow_path);
 
-bool loom_gate_watched(struct loom_gate *);
-uint32_t loom_gate_inside(struct loom_gate *);
-uint32_t loom_gate_limit(struct loom_gate *);
+bool loom_semaphore_is_slow_path(struct loom_semaphore *);
+uint32_t loom_semaphore_in_flight(struct loom_semaphore *);
+uint32_t loom_semaphore_limit(struct loom_semaphore *);
 
 #endif
--- a/include/loom/shed.h
+++ b/include/loom/shed.h
@@ -45,7 +45,7 @@
     uint16_t rank, uint64_t now_us, uint64_t *retry_after_us);
 
 /* Records a threshold that came with an answer to a call of this team. */
-void loom_shed_note(struct loom_shed *, uint64_t team_id,
+void loom_shed_record(struct loom_shed *, uint64_t team_id,
     const struct loom_threshold *, uint64_t now_us);
 
 /* The current cut; LOOM_CUT_NONE when none is known. */
--- a/src/daemon/call.h
+++ b/src/daemon/call.h
@@ -130,11 +130,11 @@
 	enum loom_answer_kind answer_kind;
 
 	/* at the executor */
-	struct loom_waiting waiting;
+	struct loom_admission_call waiting;
 	bool offered; /* waiting is valid */
 	enum call_admission admission;
 	bool registered; /* listed in daemon->calls as registered_id */
-	uint64_t deeper_us; /* part of the leg's time spent in nested calls */
+	uint64_t nested_us; /* part of the leg's time spent in nested calls */
 	struct loom_id128 registered_id;
 	/* the fingerprint needs the first bytes of the body */
 	bool awaits_body_prefix;
@@ -237,7 +237,7 @@
 void executor_release(struct call *, enum loom_call_end);
 /* Applies the verdicts of admission on queued calls, which may belong to
  * other workers. */
-void executor_moved(struct loom_moved *);
+void executor_moved(struct loom_verdicts *);
 
 /* upstream.c */
 /* Starts the leg of a call that holds a slot. */
--- a/src/daemon/cuts.c
+++ b/src/daemon/cuts.c
@@ -60,7 +60,7 @@
 		threshold.cut = (uint16_t)g_ascii_strtoull(text, &end, 16);
 		if (end == text)
 			return;
-		loom_shed_note(worker->shed, team_id, &threshold, now_us);
+		loom_shed_record(worker->shed, team_id, &threshold, now_us);
 		text = *end == ',' ? end + 1 : end;
 	}
 }
--- a/src/daemon/executor.c
+++ b/src/daemon/executor.c
@@ -86,18 +86,18 @@
 {
 	struct loom_call_result result = { .end = end };
 	uint64_t now_us = loom_now_us();
-	struct loom_moved moved;
+	struct loom_verdicts moved;
 	double wait_share;
 
 	result.latency_us = now_us - call->leg_us;
 	wait_share = update_wait_share(call->worker->daemon, -1, 0, now_us);
 	throttle_count_run(call, false);
-	if (call->deeper_us == 0)
-		call->deeper_us =
+	if (call->nested_us == 0)
+		call->nested_us =
 		    (uint64_t)((double)result.latency_us * wait_share);
-	result.deeper_us = MIN(call->deeper_us, result.latency_us);
+	result.nested_us = MIN(call->nested_us, result.latency_us);
 	call->admission = CALL_ADMISSION_NONE;
-	loom_moved_init(&moved);
+	loom_verdicts_init(&moved);
 	loom_admission_done(call->worker->daemon->admission, &call->waiting,
 	    &result, now_us, &moved);
 	executor_moved(&moved);
@@ -155,10 +155,10 @@
 executor_start(struct call *call)
 {
 	struct loom_daemon *daemon = call->worker->daemon;
-	struct loom_waiting *waiting = &call->waiting;
+	struct loom_admission_call *waiting = &call->waiting;
 	uint64_t now_us = loom_now_us();
-	struct loom_moved moved;
-	enum loom_admit admit;
+	struct loom_verdicts moved;
+	enum loom_admission_verdict admit;
 
 	if (!call_ticket_begin(call))
 		return;
@@ -166,7 +166,7 @@
 		executor_refuse_code(call, LOOM_DRAINING, 0);
 		return;
 	}
-	*waiting = (struct loom_waiting){
+	*waiting = (struct loom_admission_call){
 		.team_id = call->context.team_id,
 		.team_weight = team_weight(call),
 		.importance = call_importance(call),
@@ -176,7 +176,7 @@
 		.arg = call,
 	};
 	call->offered = true;
-	loom_moved_init(&moved);
+	loom_verdicts_init(&moved);
 	call_ref(call);
 	call->admission = CALL_ADMISSION_QUEUED;
 	admit =
@@ -230,12 +230,12 @@
 }
 
 void
-executor_moved(struct loom_moved *moved)
+executor_moved(struct loom_verdicts *moved)
 {
-	struct loom_waiting *waiting, *next;
+	struct loom_admission_call *waiting, *next;
 	struct call *call;
 
-	for (waiting = moved->go; waiting != NULL; waiting = next) {
+	for (waiting = moved->admitted; waiting != NULL; waiting = next) {
 		next = waiting->next;
 		call = waiting->arg;
 		loom_mailbox_post(call->worker->mailbox, on_admitted, call);
--- a/src/daemon/run.c
+++ b/src/daemon/run.c
@@ -447,7 +447,7 @@
 		return;
 	slots = host != NULL && host->slots > 0 ? host->slots : service->slots;
 	loom_admission_set_slots(daemon->admission, slots,
-	    loom_queue_bound_of(service->queue, service->slots, slots));
+	    loom_queue_bound_for_host(service->queue, service->slots, slots));
 }
 
 void
@@ -509,7 +509,7 @@
 			    loop_utilization_read(
 				&daemon->workers[i]->utilization, now_us));
 		daemon->utilization = max_utilization;
-		loom_admission_note_busy(daemon->admission, max_utilization);
+		loom_admission_set_busy(daemon->admission, max_utilization);
 	}
 	for (i = 0; daemon->utilization >= DELAY_PROBE_UTILIZATION &&
 	     i < daemon->nworkers;
@@ -519,7 +519,7 @@
 		max_delay_us = MAX(max_delay_us,
 		    loop_delay_read(&daemon->workers[i]->loop_delay, now_us));
 	}
-	loom_admission_note_lag(daemon->admission, max_delay_us);
+	loom_admission_set_loop_lag(daemon->admission, max_delay_us);
 	cpu_usage_record_delay(&daemon->cpu_usage, max_delay_us);
 }
 
@@ -534,13 +534,13 @@
     struct timeval now, void *arg)
 {
 	struct loom_daemon *daemon = arg;
-	struct loom_moved moved;
+	struct loom_verdicts moved;
 	uint32_t tick_ms;
 
 	(void)timer;
 	(void)now;
 	measure_workers(daemon, loom_now_us());
-	loom_moved_init(&moved);
+	loom_verdicts_init(&moved);
 	loom_admission_tick(daemon->admission, loom_now_us(), &moved);
 	executor_moved(&moved);
 	if (loom_now_us() - daemon->last_report_us >= REPORT_INTERVAL_US) {
--- a/src/daemon/upstream.c
+++ b/src/daemon/upstream.c
@@ -80,7 +80,7 @@
 	if (!call->registered)
 		return;
 	call->registered = false;
-	call->deeper_us = loom_calls_deeper_us(
+	call->nested_us = loom_calls_deeper_us(
 	    call->worker->daemon->calls, &call->registered_id, loom_now_us());
 	loom_calls_end(call->worker->daemon->calls, &call->registered_id);
 }
@@ -137,7 +137,7 @@
 	else
 		loom_quarantine_unreachable(
 		    daemon->quarantine, call->quarantine, now_us);
-	loom_admission_upstream_new(daemon->admission, now_us);
+	loom_admission_upstream_restarted(daemon->admission, now_us);
 }
 
 static void
@@ -494,8 +494,8 @@
 static void
 hold_suspect(struct call *call, uint64_t now_us)
 {
-	if (loom_admission_fits(call->worker->daemon->admission, &call->waiting,
-		now_us + QUARANTINE_POLL_US)) {
+	if (loom_admission_can_finish(call->worker->daemon->admission,
+		&call->waiting, now_us + QUARANTINE_POLL_US)) {
 		call->upstream_timer = tevent_add_timer(call->worker->ev, call,
 		    tevent_timeval_current_ofs(0, QUARANTINE_POLL_US),
 		    on_hold_timer, call);
--- a/src/decide/admission.c
+++ b/src/decide/admission.c
@@ -34,8 +34,8 @@
 
 #include "decide/cuts.h"
 #include "loom/admission.h"
-#include "loom/gate.h"
 #include "loom/return_schedule.h"
+#include "loom/semaphore.h"
 #include "loom/throttle.h"
 
 #define STANDING_TIME_MIN_US (UINT64_C(100) * LOOM_US_PER_MS)
@@ -80,8 +80,8 @@
 #define THOUSAND 1000U
 
 struct loom_admission {
-	struct loom_gate gate;
-	char pad[64]; /* the fast path's gate has its own cache line */
+	struct loom_semaphore semaphore;
+	char pad[64]; /* the fast path's semaphore has its own cache line */
 	struct loom_limit limit;
 	struct loom_queue *queue;
 	struct loom_cuts *cuts;
@@ -105,7 +105,7 @@
 /* Context of one sweep over the queue. */
 struct sweep {
 	struct loom_admission *adm;
-	struct loom_moved *verdicts;
+	struct loom_verdicts *verdicts;
 	uint64_t now_us;
 	double dispatch_interval_us; /* mean time between two starts of calls */
 	enum loom_result code; /* why the call being checked must be refused */
@@ -130,9 +130,10 @@
 {
 	uint32_t limit;
 
-	limit = loom_limit_update(&adm->limit, loom_gate_inside(&adm->gate),
-	    loom_gate_watched(&adm->gate), now_us);
-	loom_gate_set_limit(&adm->gate, limit);
+	limit = loom_limit_update(&adm->limit,
+	    loom_semaphore_in_flight(&adm->semaphore),
+	    loom_semaphore_is_slow_path(&adm->semaphore), now_us);
+	loom_semaphore_set_limit(&adm->semaphore, limit);
 }
 
 struct loom_admission *
@@ -149,7 +150,7 @@
 	adm->last_short_us = now_us;
 	adm->critical_last_short_us = now_us;
 	loom_limit_init(&adm->limit, &settings->limit, now_us);
-	loom_gate_init(&adm->gate, 1);
+	loom_semaphore_init(&adm->semaphore, 1);
 	update_limit(adm, now_us);
 	return adm;
 }
@@ -237,7 +238,7 @@
 }
 
 void
-loom_admission_upstream_new(struct loom_admission *adm, uint64_t now_us)
+loom_admission_upstream_restarted(struct loom_admission *adm, uint64_t now_us)
 {
 	struct loom_limit_settings settings;
 
@@ -265,7 +266,7 @@
 }
 
 static void
-refuse(struct loom_admission *adm, struct loom_waiting *call,
+refuse(struct loom_admission *adm, struct loom_admission_call *call,
     enum loom_result code, uint64_t now_us)
 {
 	call->code = code;
@@ -278,7 +279,7 @@
 /* Refuses a call because of the load by others, which counts for the cut of its
  * team. */
 static void
-refuse_and_count(struct loom_admission *adm, struct loom_waiting *call,
+refuse_and_count(struct loom_admission *adm, struct loom_admission_call *call,
     enum loom_result code, uint64_t now_us)
 {
 	loom_cuts_refused(adm->cuts, call->team_id, call->rank);
@@ -287,21 +288,21 @@
 
 static uint64_t
 expected_service_us(
-    const struct loom_admission *adm, const struct loom_waiting *call)
+    const struct loom_admission *adm, const struct loom_admission_call *call)
 {
 	return (uint64_t)loom_limit_service_us(&adm->limit, call->call_class);
 }
 
 static bool
 misses_deadline(const struct loom_admission *adm,
-    const struct loom_waiting *call, uint64_t now_us)
+    const struct loom_admission_call *call, uint64_t now_us)
 {
 	return now_us + expected_service_us(adm, call) > call->deadline_us;
 }
 
 static uint64_t
 expected_wait_us(
-    const struct loom_admission *adm, const struct loom_waiting *call)
+    const struct loom_admission *adm, const struct loom_admission_call *call)
 {
 	double drain = loom_limit_drain_per_s(&adm->limit);
 	uint32_t ahead;
@@ -327,37 +328,37 @@
 {
 	on_queue_short(adm, now_us);
 	if (!atomic_load_explicit(&adm->shedding, memory_order_relaxed))
-		loom_gate_set_watch(&adm->gate, false);
+		loom_semaphore_set_slow_path(&adm->semaphore, false);
 }
 
 /* Admits waiting calls while there are free slots. */
 static void
 dispatch_waiting(
-    struct loom_admission *adm, uint64_t now_us, struct loom_moved *verdicts)
+    struct loom_admission *adm, uint64_t now_us, struct loom_verdicts *verdicts)
 {
-	struct loom_waiting *call;
+	struct loom_admission_call *call;
 
 	while (loom_queue_length(adm->queue) > 0 &&
-	    loom_gate_enter_watched(&adm->gate)) {
+	    loom_semaphore_try_acquire_slow_path(&adm->semaphore)) {
 		call = loom_queue_pop(adm->queue);
 		if (!misses_deadline(adm, call, now_us)) {
 			loom_cuts_served(adm->cuts, call->team_id);
-			loom_moved_go(verdicts, call);
+			loom_verdicts_admit(verdicts, call);
 			continue;
 		}
-		loom_gate_leave(&adm->gate);
+		loom_semaphore_release(&adm->semaphore);
 		refuse_and_count(adm, call, LOOM_QUEUE_DEADLINE, now_us);
-		loom_moved_refuse(verdicts, call);
+		loom_verdicts_refuse(verdicts, call);
 	}
 	if (loom_queue_length(adm->queue) == 0)
 		on_queue_empty(adm, now_us);
 }
 
-static enum loom_admit
-enqueue(struct loom_admission *adm, struct loom_waiting *call, uint64_t now_us,
-    struct loom_moved *verdicts)
+static enum loom_admission_verdict
+enqueue(struct loom_admission *adm, struct loom_admission_call *call,
+    uint64_t now_us, struct loom_verdicts *verdicts)
 {
-	struct loom_waiting *displaced;
+	struct loom_admission_call *displaced;
 
 	displaced = loom_queue_push(adm->queue, call, now_us);
 	if (displaced == NULL)
@@ -365,13 +366,13 @@
 	refuse_and_count(adm, displaced, LOOM_OVERLOAD, now_us);
 	if (displaced == call)
 		return LOOM_REFUSED;
-	loom_moved_refuse(verdicts, displaced);
+	loom_verdicts_refuse(verdicts, displaced);
 	return LOOM_QUEUED;
 }
 
-static enum loom_admit
-offer_slow(struct loom_admission *adm, struct loom_waiting *call,
-    uint64_t now_us, struct loom_moved *verdicts)
+static enum loom_admission_verdict
+offer_slow(struct loom_admission *adm, struct loom_admission_call *call,
+    uint64_t now_us, struct loom_verdicts *verdicts)
 {
 	loom_cuts_offered(adm->cuts, call->team_id, call->rank);
 	if (call->importance != LOOM_CRITICAL)
@@ -380,13 +381,14 @@
 		refuse(adm, call, LOOM_QUEUE_DEADLINE, now_us);
 		return LOOM_REFUSED;
 	}
-	/* Sets the flag before the last check for a free slot, see gate.c; and
-	 * again where dispatch_waiting() has cleared it for an empty queue. */
-	loom_gate_set_watch(&adm->gate, true);
+	/* Sets the flag before the last check for a free slot, see semaphore.c;
+	 * and again where dispatch_waiting() has cleared it for an empty queue.
+	 */
+	loom_semaphore_set_slow_path(&adm->semaphore, true);
 	dispatch_waiting(adm, now_us, verdicts);
 	if (loom_queue_length(adm->queue) == 0) {
-		loom_gate_set_watch(&adm->gate, true);
-		if (loom_gate_enter_watched(&adm->gate)) {
+		loom_semaphore_set_slow_path(&adm->semaphore, true);
+		if (loom_semaphore_try_acquire_slow_path(&adm->semaphore)) {
 			loom_cuts_served(adm->cuts, call->team_id);
 			on_queue_empty(adm, now_us);
 			return LOOM_ADMITTED;
@@ -399,17 +401,18 @@
 	return enqueue(adm, call, now_us, verdicts);
 }
 
-enum loom_admit
-loom_admission_offer(struct loom_admission *adm, struct loom_waiting *call,
-    uint64_t now_us, struct loom_moved *verdicts)
+enum loom_admission_verdict
+loom_admission_offer(struct loom_admission *adm,
+    struct loom_admission_call *call, uint64_t now_us,
+    struct loom_verdicts *verdicts)
 {
-	enum loom_admit verdict;
+	enum loom_admission_verdict verdict;
 
 	call->code = LOOM_OK;
 	call->cut = LOOM_CUT_NONE;
 	call->retry_after_us = 0;
 	call->team = NULL;
-	if (loom_gate_enter(&adm->gate))
+	if (loom_semaphore_try_acquire(&adm->semaphore))
 		return LOOM_ADMITTED;
 	lock(adm);
 	verdict = offer_slow(adm, call, now_us, verdicts);
@@ -418,8 +421,8 @@
 }
 
 bool
-loom_admission_fits(struct loom_admission *adm, const struct loom_waiting *call,
-    uint64_t now_us)
+loom_admission_can_finish(struct loom_admission *adm,
+    const struct loom_admission_call *call, uint64_t now_us)
 {
 	bool fits;
 
@@ -432,13 +435,14 @@
 static uint64_t
 self_us(const struct loom_call_result *result)
 {
-	if (result->deeper_us >= result->latency_us)
+	if (result->nested_us >= result->latency_us)
 		return 0;
-	return result->latency_us - result->deeper_us;
+	return result->latency_us - result->nested_us;
 }
 
 static void
-record_result(struct loom_admission *adm, const struct loom_waiting *call,
+record_result(struct loom_admission *adm,
+    const struct loom_admission_call *call,
     const struct loom_call_result *result, uint64_t now_us)
 {
 	double expected_us;
@@ -461,14 +465,14 @@
 }
 
 void
-loom_admission_done(struct loom_admission *adm, struct loom_waiting *call,
-    const struct loom_call_result *result, uint64_t now_us,
-    struct loom_moved *verdicts)
+loom_admission_done(struct loom_admission *adm,
+    struct loom_admission_call *call, const struct loom_call_result *result,
+    uint64_t now_us, struct loom_verdicts *verdicts)
 {
 	bool slow_path;
 
 	record_result(adm, call, result, now_us);
-	slow_path = loom_gate_leave(&adm->gate);
+	slow_path = loom_semaphore_release(&adm->semaphore);
 	if (!slow_path && !loom_limit_due(&adm->limit, now_us)) {
 		call->cut = LOOM_CUT_NONE;
 		return;
@@ -481,7 +485,8 @@
 }
 
 bool
-loom_admission_cancel(struct loom_admission *adm, struct loom_waiting *call)
+loom_admission_cancel(
+    struct loom_admission *adm, struct loom_admission_call *call)
 {
 	bool waiting;
 
@@ -496,8 +501,8 @@
 /* Whether the call misses its deadline if ahead calls are served before it, one
  * per dispatch interval. */
 static bool
-misses_deadline_behind(
-    const struct sweep *sweep, const struct loom_waiting *call, uint32_t ahead)
+misses_deadline_behind(const struct sweep *sweep,
+    const struct loom_admission_call *call, uint32_t ahead)
 {
 	uint64_t wait_us = (uint64_t)(ahead * sweep->dispatch_interval_us);
 
@@ -507,7 +512,7 @@
 /* Only calls that would miss their deadline at the end of the queue need the
  * number of calls ahead. */
 static bool
-needs_calls_ahead(const struct loom_waiting *call, void *arg)
+needs_calls_ahead(const struct loom_admission_call *call, void *arg)
 {
 	const struct sweep *sweep = arg;
 
@@ -516,16 +521,16 @@
 }
 
 static bool
-is_starved(struct loom_admission *adm, const struct loom_waiting *call)
+is_starved(struct loom_admission *adm, const struct loom_admission_call *call)
 {
 	uint32_t overtaken = loom_queue_overtaken(adm->queue, call->importance);
 
 	return overtaken >= STARVED_TURNS &&
-	    overtaken >= loom_gate_limit(&adm->gate);
+	    overtaken >= loom_semaphore_limit(&adm->semaphore);
 }
 
 static bool
-should_drop(const struct loom_waiting *call, uint32_t ahead, void *arg)
+should_drop(const struct loom_admission_call *call, uint32_t ahead, void *arg)
 {
 	struct sweep *sweep = arg;
 	struct loom_admission *adm = sweep->adm;
@@ -552,17 +557,17 @@
 }
 
 static void
-refuse_dropped(struct loom_waiting *call, void *arg)
+refuse_dropped(struct loom_admission_call *call, void *arg)
 {
 	struct sweep *sweep = arg;
 
 	refuse_and_count(sweep->adm, call, sweep->code, sweep->now_us);
-	loom_moved_refuse(sweep->verdicts, call);
+	loom_verdicts_refuse(sweep->verdicts, call);
 }
 
 static void
 sweep_queue(
-    struct loom_admission *adm, uint64_t now_us, struct loom_moved *verdicts)
+    struct loom_admission *adm, uint64_t now_us, struct loom_verdicts *verdicts)
 {
 	static const struct loom_queue_sweep_ops ops = {
 		.needs_calls_ahead = needs_calls_ahead,
@@ -576,7 +581,7 @@
 		.dispatch_interval_us = dispatch_interval_us(adm),
 		.code = LOOM_OVERLOAD,
 	};
-	struct loom_waiting *call;
+	struct loom_admission_call *call;
 
 	while ((call = loom_queue_trim(adm->queue)) != NULL)
 		refuse_dropped(call, &sweep);
@@ -612,7 +617,7 @@
 /* Detects a standing queue, and refuses the waiting calls without prospect. */
 static void
 tick_queue(
-    struct loom_admission *adm, uint64_t now_us, struct loom_moved *verdicts)
+    struct loom_admission *adm, uint64_t now_us, struct loom_verdicts *verdicts)
 {
 	dispatch_waiting(adm, now_us, verdicts);
 	tick_critical(adm, now_us);
@@ -629,9 +634,9 @@
 static void
 tick_keep(struct loom_admission *adm, uint64_t now_us)
 {
-	double calls =
-	    loom_gate_inside(&adm->gate) + loom_queue_length(adm->queue);
-	double used = calls / loom_gate_limit(&adm->gate);
+	double calls = loom_semaphore_in_flight(&adm->semaphore) +
+	    loom_queue_length(adm->queue);
+	double used = calls / loom_semaphore_limit(&adm->semaphore);
 	double busy =
 	    atomic_load_explicit(&adm->busy_thousandths, memory_order_relaxed) /
 	    (double)THOUSAND;
@@ -649,14 +654,14 @@
 }
 
 void
-loom_admission_note_busy(struct loom_admission *adm, double busy)
+loom_admission_set_busy(struct loom_admission *adm, double busy)
 {
 	atomic_store_explicit(&adm->busy_thousandths,
 	    (unsigned)(busy * THOUSAND), memory_order_relaxed);
 }
 
 void
-loom_admission_note_lag(struct loom_admission *adm, uint64_t lag_us)
+loom_admission_set_loop_lag(struct loom_admission *adm, uint64_t lag_us)
 {
 	atomic_store_explicit(&adm->lag_us,
 	    (unsigned)MIN(lag_us, LOOM_US_PER_S), memory_order_relaxed);
@@ -680,7 +685,7 @@
 static void
 tick_cuts(struct loom_admission *adm, uint64_t now_us)
 {
-	double in_flight = loom_gate_inside(&adm->gate);
+	double in_flight = loom_semaphore_in_flight(&adm->semaphore);
 	double used = 1.0;
 	bool shedding;
 
@@ -694,16 +699,17 @@
 	adm->mean_in_flight +=
 	    (in_flight - adm->mean_in_flight) * IN_FLIGHT_WEIGHT;
 	if (loom_queue_length(adm->queue) == 0)
-		used = adm->mean_in_flight / loom_gate_limit(&adm->gate);
+		used =
+		    adm->mean_in_flight / loom_semaphore_limit(&adm->semaphore);
 	shedding = loom_cuts_tick(adm->cuts, used, now_us);
 	atomic_store_explicit(&adm->shedding, shedding, memory_order_relaxed);
 	if (shedding)
-		loom_gate_set_watch(&adm->gate, true);
+		loom_semaphore_set_slow_path(&adm->semaphore, true);
 }
 
 void
 loom_admission_tick(
-    struct loom_admission *adm, uint64_t now_us, struct loom_moved *verdicts)
+    struct loom_admission *adm, uint64_t now_us, struct loom_verdicts *verdicts)
 {
 	lock(adm);
 	update_limit(adm, now_us);
@@ -720,8 +726,8 @@
 {
 	lock(adm);
 	*state = (struct loom_admission_state){
-		.limit = loom_gate_limit(&adm->gate),
-		.inside = loom_gate_inside(&adm->gate),
+		.limit = loom_semaphore_limit(&adm->semaphore),
+		.inside = loom_semaphore_in_flight(&adm->semaphore),
 		.waiting = loom_queue_length(adm->queue),
 		.newest_first = adm->newest_first,
 		.latency_us = adm->limit.mean_latency_us,
--- a/src/decide/limit.c
+++ b/src/decide/limit.c
@@ -36,7 +36,7 @@
  */
 
 #include "loom/limit.h"
-#include "decide/window.h"
+#include "decide/limit_window.h"
 #include "loom/clock.h"
 
 /* A window needs enough calls for a reliable mean.  With exponential service
--- a/src/decide/window.c
+++ b/src/decide/limit_window.c
@@ -6,7 +6,7 @@
  * lock, reads and clears them.
  */
 
-#include "decide/window.h"
+#include "decide/limit_window.h"
 
 void
 loom_limit_sample(struct loom_limit *limit, uint8_t call_class,
--- a/src/decide/queue.c
+++ b/src/decide/queue.c
@@ -51,8 +51,8 @@
 #define BUCKETS 128 /* power of two */
 
 struct loom_team_level {
-	struct loom_waiting *oldest;
-	struct loom_waiting *newest;
+	struct loom_admission_call *oldest;
+	struct loom_admission_call *newest;
 	uint32_t length;
 	double start_tag; /* virtual start time of the next call */
 	struct loom_queue_team *next; /* of the teams waiting here */
@@ -93,24 +93,26 @@
 };
 
 void
-loom_moved_init(struct loom_moved *verdicts)
+loom_verdicts_init(struct loom_verdicts *verdicts)
 {
-	verdicts->go = NULL;
+	verdicts->admitted = NULL;
 	verdicts->refused = NULL;
-	verdicts->go_tail = &verdicts->go;
+	verdicts->admitted_tail = &verdicts->admitted;
 	verdicts->refused_tail = &verdicts->refused;
 }
 
 void
-loom_moved_go(struct loom_moved *verdicts, struct loom_waiting *call)
+loom_verdicts_admit(
+    struct loom_verdicts *verdicts, struct loom_admission_call *call)
 {
 	call->next = NULL;
-	*verdicts->go_tail = call;
-	verdicts->go_tail = &call->next;
+	*verdicts->admitted_tail = call;
+	verdicts->admitted_tail = &call->next;
 }
 
 void
-loom_moved_refuse(struct loom_moved *verdicts, struct loom_waiting *call)
+loom_verdicts_refuse(
+    struct loom_verdicts *verdicts, struct loom_admission_call *call)
 {
 	call->next = NULL;
 	*verdicts->refused_tail = call;
@@ -202,7 +204,7 @@
  * time.
  */
 uint32_t
-loom_queue_bound_of(
+loom_queue_bound_for_host(
     uint32_t service_queue, uint32_t service_slots, uint32_t host_slots)
 {
 	uint64_t bound;
@@ -331,7 +333,8 @@
 }
 
 static void
-append_call(struct loom_team_level *team_level, struct loom_waiting *call)
+append_call(
+    struct loom_team_level *team_level, struct loom_admission_call *call)
 {
 	call->next = NULL;
 	call->prev = team_level->newest;
@@ -344,7 +347,8 @@
 }
 
 static void
-unlink_call(struct loom_team_level *team_level, struct loom_waiting *call)
+unlink_call(
+    struct loom_team_level *team_level, struct loom_admission_call *call)
 {
 	if (call->prev != NULL)
 		call->prev->next = call->next;
@@ -360,7 +364,7 @@
 }
 
 static void
-insert(struct loom_queue *queue, struct loom_waiting *call)
+insert(struct loom_queue *queue, struct loom_admission_call *call)
 {
 	struct loom_queue_team *team = find_team(queue, call->team_id);
 
@@ -380,7 +384,7 @@
 }
 
 void
-loom_queue_remove(struct loom_queue *queue, struct loom_waiting *call)
+loom_queue_remove(struct loom_queue *queue, struct loom_admission_call *call)
 {
 	struct loom_queue_team *team = call->team;
 
@@ -424,7 +428,7 @@
 	return largest != NULL ? largest : nested;
 }
 
-static struct loom_waiting *
+static struct loom_admission_call *
 lowest_priority_call(const struct loom_queue *queue)
 {
 	int importance = LOOM_IMPORTANCES - 1;
@@ -445,10 +449,10 @@
  * critical calls were refused at four hosts of two slots, with half of the time
  * to their deadlines left.
  */
-struct loom_waiting *
+struct loom_admission_call *
 loom_queue_trim(struct loom_queue *queue)
 {
-	struct loom_waiting *call;
+	struct loom_admission_call *call;
 
 	if (queue->length <= queue->bound)
 		return NULL;
@@ -462,9 +466,9 @@
 	return call;
 }
 
-struct loom_waiting *
+struct loom_admission_call *
 loom_queue_push(
-    struct loom_queue *queue, struct loom_waiting *call, uint64_t now_us)
+    struct loom_queue *queue, struct loom_admission_call *call, uint64_t now_us)
 {
 	call->arrived_us = now_us;
 	insert(queue, call);
@@ -495,7 +499,7 @@
 		queue->levels[importance].overtaken++;
 }
 
-static struct loom_waiting *
+static struct loom_admission_call *
 first_to_serve(const struct loom_queue *queue,
     const struct loom_queue_team *team, int importance)
 {
@@ -506,21 +510,21 @@
 	return team_level->oldest;
 }
 
-static struct loom_waiting *
-next_to_serve(const struct loom_queue *queue, const struct loom_waiting *call,
-    int importance)
+static struct loom_admission_call *
+next_to_serve(const struct loom_queue *queue,
+    const struct loom_admission_call *call, int importance)
 {
 	if (is_newest_first(queue, call->team, importance))
 		return call->prev;
 	return call->next;
 }
 
-struct loom_waiting *
+struct loom_admission_call *
 loom_queue_pop(struct loom_queue *queue)
 {
 	struct loom_team_level *team_level;
 	struct loom_queue_team *team;
-	struct loom_waiting *call;
+	struct loom_admission_call *call;
 	int importance = 0;
 
 	if (queue->length == 0)
@@ -610,7 +614,7 @@
 sweep_team_level(struct loom_queue *queue, struct loom_queue_team *team,
     int importance, const struct loom_queue_sweep_ops *ops, void *arg)
 {
-	struct loom_waiting *call, *next;
+	struct loom_admission_call *call, *next;
 	uint32_t own_calls_ahead = 0, ahead;
 
 	call = first_to_serve(queue, team, importance);
--- a/src/decide/gate.c
+++ b/src/decide/semaphore.c
@@ -17,7 +17,7 @@
  * dispatch a waiting call.
  */
 
-#include "loom/gate.h"
+#include "loom/semaphore.h"
 
 #define SLOW_PATH_FLAG (UINT64_C(1) << 63)
 #define LIMIT_SHIFT 32
@@ -32,100 +32,102 @@
 static uint32_t
 limit_of(uint64_t word)
 {
-	return (uint32_t)(word >> LIMIT_SHIFT) & LOOM_GATE_LIMIT_MAX;
+	return (uint32_t)(word >> LIMIT_SHIFT) & LOOM_SEMAPHORE_LIMIT_MAX;
 }
 
 static uint64_t
 limit_bits(uint32_t limit)
 {
-	if (limit > LOOM_GATE_LIMIT_MAX)
-		limit = LOOM_GATE_LIMIT_MAX;
+	if (limit > LOOM_SEMAPHORE_LIMIT_MAX)
+		limit = LOOM_SEMAPHORE_LIMIT_MAX;
 	return (uint64_t)limit << LIMIT_SHIFT;
 }
 
 void
-loom_gate_init(struct loom_gate *gate, uint32_t limit)
+loom_semaphore_init(struct loom_semaphore *semaphore, uint32_t limit)
 {
-	atomic_init(&gate->word, limit_bits(limit));
+	atomic_init(&semaphore->word, limit_bits(limit));
 }
 
 static bool
-try_acquire(struct loom_gate *gate, uint64_t blocking_flags)
+try_acquire(struct loom_semaphore *semaphore, uint64_t blocking_flags)
 {
-	uint64_t word = atomic_load_explicit(&gate->word, memory_order_relaxed);
+	uint64_t word =
+	    atomic_load_explicit(&semaphore->word, memory_order_relaxed);
 
 	do {
 		if ((word & blocking_flags) != 0)
 			return false;
 		if (in_flight_of(word) >= limit_of(word))
 			return false;
-	} while (!atomic_compare_exchange_weak_explicit(&gate->word, &word,
+	} while (!atomic_compare_exchange_weak_explicit(&semaphore->word, &word,
 	    word + 1, memory_order_acq_rel, memory_order_relaxed));
 	return true;
 }
 
 bool
-loom_gate_enter(struct loom_gate *gate)
+loom_semaphore_try_acquire(struct loom_semaphore *semaphore)
 {
-	return try_acquire(gate, SLOW_PATH_FLAG);
+	return try_acquire(semaphore, SLOW_PATH_FLAG);
 }
 
 bool
-loom_gate_enter_watched(struct loom_gate *gate)
+loom_semaphore_try_acquire_slow_path(struct loom_semaphore *semaphore)
 {
-	return try_acquire(gate, 0);
+	return try_acquire(semaphore, 0);
 }
 
 bool
-loom_gate_leave(struct loom_gate *gate)
+loom_semaphore_release(struct loom_semaphore *semaphore)
 {
 	uint64_t before;
 
-	before =
-	    atomic_fetch_sub_explicit(&gate->word, 1, memory_order_acq_rel);
+	before = atomic_fetch_sub_explicit(
+	    &semaphore->word, 1, memory_order_acq_rel);
 	return (before & SLOW_PATH_FLAG) != 0;
 }
 
 void
-loom_gate_set_limit(struct loom_gate *gate, uint32_t limit)
+loom_semaphore_set_limit(struct loom_semaphore *semaphore, uint32_t limit)
 {
-	uint64_t word = atomic_load_explicit(&gate->word, memory_order_relaxed);
+	uint64_t word =
+	    atomic_load_explicit(&semaphore->word, memory_order_relaxed);
 	uint64_t preserved_bits = SLOW_PATH_FLAG | IN_FLIGHT_MASK;
 
-	while (!atomic_compare_exchange_weak_explicit(&gate->word, &word,
+	while (!atomic_compare_exchange_weak_explicit(&semaphore->word, &word,
 	    (word & preserved_bits) | limit_bits(limit), memory_order_acq_rel,
 	    memory_order_relaxed))
 		;
 }
 
 void
-loom_gate_set_watch(struct loom_gate *gate, bool slow_path)
+loom_semaphore_set_slow_path(struct loom_semaphore *semaphore, bool slow_path)
 {
 	if (slow_path)
 		atomic_fetch_or_explicit(
-		    &gate->word, SLOW_PATH_FLAG, memory_order_acq_rel);
+		    &semaphore->word, SLOW_PATH_FLAG, memory_order_acq_rel);
 	else
 		atomic_fetch_and_explicit(
-		    &gate->word, ~SLOW_PATH_FLAG, memory_order_acq_rel);
+		    &semaphore->word, ~SLOW_PATH_FLAG, memory_order_acq_rel);
 }
 
 bool
-loom_gate_watched(struct loom_gate *gate)
+loom_semaphore_is_slow_path(struct loom_semaphore *semaphore)
 {
-	return (atomic_load_explicit(&gate->word, memory_order_acquire) &
+	return (atomic_load_explicit(&semaphore->word, memory_order_acquire) &
 		   SLOW_PATH_FLAG) != 0;
 }
 
 uint32_t
-loom_gate_inside(struct loom_gate *gate)
+loom_semaphore_in_flight(struct loom_semaphore *semaphore)
 {
 	return in_flight_of(
-	    atomic_load_explicit(&gate->word, memory_order_acquire));
+	    atomic_load_explicit(&semaphore->word, memory_order_acquire));
 }
 
 uint32_t
-loom_gate_limit(struct loom_gate *gate)
+loom_semaphore_limit(struct loom_semaphore *semaphore)
 {
 	return limit_of(
-	    atomic_load_explicit(&gate->word, memory_order_acquire));
+	    atomic_load_explicit(&semaphore->word, memory_order_acquire));
 }
--- a/src/decide/shed.c
+++ b/src/decide/shed.c
@@ -236,7 +236,7 @@
 }
 
 void
-loom_shed_note(struct loom_shed *shed, uint64_t team_id,
+loom_shed_record(struct loom_shed *shed, uint64_t team_id,
     const struct loom_threshold *threshold, uint64_t now_us)
 {
 	struct shed_entry *entry;
--- a/tests/decide/test_admission.c
+++ b/tests/decide/test_admission.c
@@ -385,21 +385,21 @@
 		.random = loom_random_system,
 	};
 	struct loom_call_result result = { .latency_us = 20000 };
-	struct loom_waiting call = { .deadline_us = LOOM_US_PER_S };
+	struct loom_admission_call call = { .deadline_us = LOOM_US_PER_S };
 	struct loom_admission *admission =
 	    loom_admission_new(NULL, &settings, 0);
-	struct loom_moved verdict_lists;
+	struct loom_verdicts verdict_lists;
 	int i;
 
-	loom_moved_init(&verdict_lists);
+	loom_verdicts_init(&verdict_lists);
 	for (i = 0; i < 100; i++)
 		loom_admission_offer(admission, &call, 0, &verdict_lists);
 	for (i = 0; i < 100; i++)
 		loom_admission_done(
 		    admission, &call, &result, 60000, &verdict_lists);
 	loom_admission_tick(admission, 120000, &verdict_lists);
-	CU_ASSERT_TRUE(loom_admission_fits(admission, &call, 979999));
-	CU_ASSERT_FALSE(loom_admission_fits(admission, &call, 980001));
+	CU_ASSERT_TRUE(loom_admission_can_finish(admission, &call, 979999));
+	CU_ASSERT_FALSE(loom_admission_can_finish(admission, &call, 980001));
 	talloc_free(admission);
 }
 
@@ -411,7 +411,7 @@
 static void
 test_queue_shrinks(void)
 {
-	struct loom_waiting calls[QUEUED_CALLS + 1] = { 0 };
+	struct loom_admission_call calls[QUEUED_CALLS + 1] = { 0 };
 	struct loom_admission_settings settings = {
 		.limit = { .slots = 1 },
 		.queue = QUEUED_CALLS,
@@ -419,11 +419,11 @@
 	};
 	struct loom_admission *admission =
 	    loom_admission_new(NULL, &settings, 0);
-	struct loom_moved verdict_lists;
-	struct loom_waiting *decided;
+	struct loom_verdicts verdict_lists;
+	struct loom_admission_call *decided;
 	int i, refused = 0;
 
-	loom_moved_init(&verdict_lists);
+	loom_verdicts_init(&verdict_lists);
 	for (i = 0; i <= QUEUED_CALLS; i++) {
 		calls[i].deadline_us = LOOM_US_PER_S;
 		loom_admission_offer(admission, &calls[i], 0, &verdict_lists);
@@ -550,7 +550,7 @@
 };
 
 struct thread_call {
-	struct loom_waiting waiting;
+	struct loom_admission_call waiting;
 	atomic_int verdicts;
 	atomic_int admitted;
 };
@@ -586,11 +586,13 @@
 }
 
 static void
-record_verdicts(struct shared *shared, const struct loom_moved *verdict_lists)
+record_verdicts(
+    struct shared *shared, const struct loom_verdicts *verdict_lists)
 {
-	struct loom_waiting *decided, *next;
+	struct loom_admission_call *decided, *next;
 
-	for (decided = verdict_lists->go; decided != NULL; decided = next) {
+	for (decided = verdict_lists->admitted; decided != NULL;
+	     decided = next) {
 		next = decided->next;
 		record_verdict(shared, decided->arg, true);
 	}
@@ -606,8 +608,8 @@
 {
 	struct loom_call_result result = { .latency_us = 1000 };
 	uint64_t now_us;
-	struct loom_moved verdict_lists;
-	enum loom_admit admit;
+	struct loom_verdicts verdict_lists;
+	enum loom_admission_verdict admit;
 
 	now_us = atomic_fetch_add(&shared->now_ms, 1) * LOOM_US_PER_MS;
 	*call = (struct thread_call){
@@ -616,7 +618,7 @@
 		    .deadline_us = now_us + LOOM_US_PER_S,
 		    .arg = call },
 	};
-	loom_moved_init(&verdict_lists);
+	loom_verdicts_init(&verdict_lists);
 	admit = loom_admission_offer(
 	    shared->admission, &call->waiting, now_us, &verdict_lists);
 	if (admit != LOOM_QUEUED)
@@ -627,7 +629,7 @@
 	if (!atomic_load(&call->admitted))
 		return;
 	atomic_fetch_sub(&shared->running, 1);
-	loom_moved_init(&verdict_lists);
+	loom_verdicts_init(&verdict_lists);
 	loom_admission_done(shared->admission, &call->waiting, &result,
 	    atomic_load(&shared->now_ms) * LOOM_US_PER_MS, &verdict_lists);
 	record_verdicts(shared, &verdict_lists);
@@ -685,10 +687,10 @@
 static void
 tick_until(struct loom_admission *adm, uint64_t end_us)
 {
-	struct loom_moved verdict_lists;
+	struct loom_verdicts verdict_lists;
 	uint64_t now_us;
 
-	loom_moved_init(&verdict_lists);
+	loom_verdicts_init(&verdict_lists);
 	for (now_us = 0; now_us < end_us; now_us += 5000)
 		loom_admission_tick(adm, now_us, &verdict_lists);
 }
@@ -717,7 +719,7 @@
 
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		adm = loom_admission_new(NULL, &settings, 0);
-		loom_admission_note_busy(adm, cases[i].busy);
+		loom_admission_set_busy(adm, cases[i].busy);
 		tick_until(adm, 5 * LOOM_US_PER_S);
 		TEST_CHECK((loom_admission_keep(adm) < 0.9) == cases[i].refuses,
 		    "%.2f: %.3f", cases[i].busy, loom_admission_keep(adm));
@@ -752,7 +754,8 @@
 
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		adm = loom_admission_new(NULL, &settings, 0);
-		loom_admission_note_lag(adm, cases[i].lag_ms * LOOM_US_PER_MS);
+		loom_admission_set_loop_lag(
+		    adm, cases[i].lag_ms * LOOM_US_PER_MS);
 		tick_until(adm, LOOM_US_PER_S / 2);
 		share = loom_admission_keep(adm);
 		TEST_CHECK(
--- a/tests/decide/test_out_of_processor.c
+++ b/tests/decide/test_out_of_processor.c
@@ -36,7 +36,7 @@
 #define WASTED_MAX 0.02
 
 struct call {
-	struct loom_waiting waiting;
+	struct loom_admission_call waiting;
 	uint64_t sent_us;
 	uint64_t ends_us; /* when its upstream answers */
 	bool answered; /* waits for its second half */
@@ -51,7 +51,7 @@
 	GQueue at_upstream; /* of struct call: the next to end first */
 	GQueue reports; /* of struct report: shares on their way to entries */
 	double budget_us; /* processor time left over by the last step */
-	/* steps with work left, since loom_admission_note_busy() */
+	/* steps with work left, since loom_admission_set_busy() */
 	double busy;
 	uint32_t steps;
 	/* counted after the warm-up */
@@ -87,7 +87,7 @@
 	model->admitted += measured;
 	call = g_new0(struct call, 1);
 	call->sent_us = now_us;
-	call->waiting = (struct loom_waiting){
+	call->waiting = (struct loom_admission_call){
 		.team_id = 1,
 		.importance = LOOM_CRITICAL,
 		.rank = rank,
@@ -112,11 +112,11 @@
 }
 
 static void
-apply_moved(struct model *model, struct loom_moved *moved, uint64_t now_us)
+apply_moved(struct model *model, struct loom_verdicts *moved, uint64_t now_us)
 {
-	struct loom_waiting *waiting, *next;
+	struct loom_admission_call *waiting, *next;
 
-	for (waiting = moved->go; waiting != NULL; waiting = next) {
+	for (waiting = moved->admitted; waiting != NULL; waiting = next) {
 		next = waiting->next;
 		start_at_upstream(model, waiting->arg, now_us);
 	}
@@ -129,10 +129,10 @@
 static void
 receive_call(struct model *model, struct call *call, uint64_t now_us)
 {
-	struct loom_moved moved;
-	enum loom_admit admit;
+	struct loom_verdicts moved;
+	enum loom_admission_verdict admit;
 
-	loom_moved_init(&moved);
+	loom_verdicts_init(&moved);
 	admit =
 	    loom_admission_offer(model->adm, &call->waiting, now_us, &moved);
 	apply_moved(model, &moved, now_us);
@@ -150,9 +150,9 @@
 		.latency_us = now_us - (call->ends_us - SERVICE_US),
 	};
 	struct report *report = g_new(struct report, 1);
-	struct loom_moved moved;
+	struct loom_verdicts moved;
 
-	loom_moved_init(&moved);
+	loom_verdicts_init(&moved);
 	loom_admission_done(
 	    model->adm, &call->waiting, &result, now_us, &moved);
 	apply_moved(model, &moved, now_us);
@@ -218,16 +218,16 @@
 static void
 tick(struct model *model, uint64_t now_us)
 {
-	struct loom_moved moved;
+	struct loom_verdicts moved;
 
 	if (now_us % BUSY_INTERVAL_US == 0) {
-		loom_admission_note_busy(
+		loom_admission_set_busy(
 		    model->adm, model->busy / MAX(model->steps, 1));
 		model->busy = 0;
 		model->steps = 0;
 	}
-	loom_admission_note_lag(model->adm, lag_us(model));
-	loom_moved_init(&moved);
+	loom_admission_set_loop_lag(model->adm, lag_us(model));
+	loom_verdicts_init(&moved);
 	loom_admission_tick(model->adm, now_us, &moved);
 	apply_moved(model, &moved, now_us);
 }
--- a/tests/decide/test_queue.c
+++ b/tests/decide/test_queue.c
@@ -13,12 +13,12 @@
 /* A call is written as team letter and importance digit: "a2". "-2" is a nested
  * call, which has no team. */
 static void
-parse_calls(struct loom_waiting calls[CALLS_MAX], const char *text)
+parse_calls(struct loom_admission_call calls[CALLS_MAX], const char *text)
 {
 	size_t i;
 
 	for (i = 0; i < strlen(text) / 3 + 1; i++) {
-		calls[i] = (struct loom_waiting){
+		calls[i] = (struct loom_admission_call){
 			.team_id = text[i * 3] == '-' ? LOOM_QUEUE_NO_TEAM
 						      : (uint64_t)text[i * 3],
 			.importance =
@@ -117,7 +117,7 @@
 static void
 test_orders(void)
 {
-	struct loom_waiting calls[CALLS_MAX], *displaced, *next_call;
+	struct loom_admission_call calls[CALLS_MAX], *displaced, *next_call;
 	struct loom_queue *queue;
 	const char *want;
 	size_t i, j, n;
@@ -159,8 +159,8 @@
 static void
 test_one_at_a_time(void)
 {
-	struct loom_waiting calls[CALLS_MAX] = { 0 }, single = { 0 },
-			    *next_call;
+	struct loom_admission_call calls[CALLS_MAX] = { 0 }, single = { 0 },
+				   *next_call;
 	struct loom_queue *queue = loom_queue_new(NULL, CALLS_MAX + 1);
 	int i, single_served = 0;
 
@@ -186,12 +186,12 @@
 test_many_teams(void)
 {
 	struct loom_queue *queue = loom_queue_new(NULL, 4);
-	struct loom_waiting calls[4], *call;
+	struct loom_admission_call calls[4], *call;
 	uint64_t team;
 
 	for (team = 0; team < 3000; team++) {
 		call = &calls[team % 4];
-		*call = (struct loom_waiting){ .team_id = team * 128 };
+		*call = (struct loom_admission_call){ .team_id = team * 128 };
 		CU_ASSERT_PTR_NULL(loom_queue_push(queue, call, 0));
 		if (team >= 3)
 			CU_ASSERT_PTR_NOT_NULL(loom_queue_pop(queue));
@@ -215,7 +215,7 @@
 		{ "A2 A2 A2 A2", "b2", 3 },
 		{ "a2 b2 c2", "d2", 3 },
 	};
-	struct loom_waiting calls[CALLS_MAX], new_call[CALLS_MAX];
+	struct loom_admission_call calls[CALLS_MAX], new_call[CALLS_MAX];
 	struct loom_queue *queue;
 	uint32_t ahead;
 	size_t i, j;
@@ -254,7 +254,7 @@
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(rows); i++) {
-		bound = loom_queue_bound_of(
+		bound = loom_queue_bound_for_host(
 		    rows[i].queue, rows[i].service_slots, rows[i].host_slots);
 		TEST_CHECK(
 		    bound == rows[i].bound, "row %zu: bound %u", i, bound);
--- a/tests/decide/test_gate.c
+++ b/tests/decide/test_semaphore.c
@@ -5,7 +5,7 @@
 
 #include <pthread.h>
 
-#include "loom/gate.h"
+#include "loom/semaphore.h"
 #include "support/test.h"
 
 #define THREADS 4
@@ -15,34 +15,35 @@
 static void
 test_limit(void)
 {
-	struct loom_gate gate;
-
-	loom_gate_init(&gate, 2);
-	CU_ASSERT(loom_gate_enter(&gate));
-	CU_ASSERT(loom_gate_enter(&gate));
-	CU_ASSERT_FALSE(loom_gate_enter(&gate));
-	CU_ASSERT_EQUAL(loom_gate_inside(&gate), 2);
-	CU_ASSERT_FALSE(loom_gate_leave(&gate));
-	loom_gate_set_watch(&gate, true);
-	CU_ASSERT_FALSE(loom_gate_enter(&gate));
-	CU_ASSERT(loom_gate_enter_watched(&gate));
-	CU_ASSERT(loom_gate_leave(&gate));
-	loom_gate_set_watch(&gate, false);
-	CU_ASSERT(loom_gate_enter(&gate));
+	struct loom_semaphore semaphore;
+
+	loom_semaphore_init(&semaphore, 2);
+	CU_ASSERT(loom_semaphore_try_acquire(&semaphore));
+	CU_ASSERT(loom_semaphore_try_acquire(&semaphore));
+	CU_ASSERT_FALSE(loom_semaphore_try_acquire(&semaphore));
+	CU_ASSERT_EQUAL(loom_semaphore_in_flight(&semaphore), 2);
+	CU_ASSERT_FALSE(loom_semaphore_release(&semaphore));
+	loom_semaphore_set_slow_path(&semaphore, true);
+	CU_ASSERT_FALSE(loom_semaphore_try_acquire(&semaphore));
+	CU_ASSERT(loom_semaphore_try_acquire_slow_path(&semaphore));
+	CU_ASSERT(loom_semaphore_release(&semaphore));
+	loom_semaphore_set_slow_path(&semaphore, false);
+	CU_ASSERT(loom_semaphore_try_acquire(&semaphore));
 	/* After the limit is lowered, running calls finish and no new call
 	 * enters until the count is below it. */
-	loom_gate_set_limit(&gate, 1);
-	loom_gate_leave(&gate);
-	CU_ASSERT_FALSE(loom_gate_enter(&gate));
-	loom_gate_leave(&gate);
-	CU_ASSERT(loom_gate_enter(&gate));
-	loom_gate_set_limit(&gate, UINT32_MAX);
-	CU_ASSERT_EQUAL(loom_gate_limit(&gate), LOOM_GATE_LIMIT_MAX);
-	CU_ASSERT_EQUAL(loom_gate_inside(&gate), 1);
+	loom_semaphore_set_limit(&semaphore, 1);
+	loom_semaphore_release(&semaphore);
+	CU_ASSERT_FALSE(loom_semaphore_try_acquire(&semaphore));
+	loom_semaphore_release(&semaphore);
+	CU_ASSERT(loom_semaphore_try_acquire(&semaphore));
+	loom_semaphore_set_limit(&semaphore, UINT32_MAX);
+	CU_ASSERT_EQUAL(
+	    loom_semaphore_limit(&semaphore), LOOM_SEMAPHORE_LIMIT_MAX);
+	CU_ASSERT_EQUAL(loom_semaphore_in_flight(&semaphore), 1);
 }
 
 struct shared {
-	struct loom_gate gate;
+	struct loom_semaphore semaphore;
 	atomic_int in_flight;
 	atomic_int max_in_flight;
 	atomic_int waiter_signalled;
@@ -60,7 +61,7 @@
 		&shared->max_in_flight, &max_in_flight, now))
 		;
 	atomic_fetch_sub(&shared->in_flight, 1);
-	if (loom_gate_leave(&shared->gate))
+	if (loom_semaphore_release(&shared->semaphore))
 		atomic_store(&shared->waiter_signalled, 1);
 }
 
@@ -71,7 +72,7 @@
 	int done = 0;
 
 	while (done < ROUNDS) {
-		if (!loom_gate_enter(&shared->gate)) {
+		if (!loom_semaphore_try_acquire(&shared->semaphore)) {
 			g_thread_yield();
 			continue;
 		}
@@ -92,14 +93,14 @@
 	struct shared shared = { 0 };
 	int i;
 
-	loom_gate_init(&shared.gate, LIMIT);
+	loom_semaphore_init(&shared.semaphore, LIMIT);
 	for (i = 0; i < THREADS; i++)
 		pthread_create(&threads[i], NULL, acquire_rounds, &shared);
 	for (i = 0; i < THREADS; i++)
 		pthread_join(threads[i], NULL);
 	TEST_CHECK(atomic_load(&shared.max_in_flight) <= LIMIT, "%d in flight",
 	    atomic_load(&shared.max_in_flight));
-	CU_ASSERT_EQUAL(loom_gate_inside(&shared.gate), 0);
+	CU_ASSERT_EQUAL(loom_semaphore_in_flight(&shared.semaphore), 0);
 }
 
 static void *
@@ -108,7 +109,7 @@
 	struct shared *shared = data;
 
 	while (atomic_load(&shared->stop) == 0) {
-		if (loom_gate_enter(&shared->gate))
+		if (loom_semaphore_try_acquire(&shared->semaphore))
 			hold_and_release(shared);
 		else
 			g_thread_yield();
@@ -131,18 +132,19 @@
 	int i;
 
 	for (i = 0; i < 300; i++) {
-		loom_gate_init(&shared.gate, 1);
+		loom_semaphore_init(&shared.semaphore, 1);
 		atomic_store(&shared.waiter_signalled, 0);
 		atomic_store(&shared.stop, 0);
 		pthread_create(&thread, NULL, acquire_until_stopped, &shared);
-		while (loom_gate_enter(&shared.gate)) {
-			loom_gate_leave(&shared.gate);
+		while (loom_semaphore_try_acquire(&shared.semaphore)) {
+			loom_semaphore_release(&shared.semaphore);
 			g_thread_yield();
 		}
-		loom_gate_set_watch(&shared.gate, true);
-		acquired = loom_gate_enter_watched(&shared.gate);
+		loom_semaphore_set_slow_path(&shared.semaphore, true);
+		acquired =
+		    loom_semaphore_try_acquire_slow_path(&shared.semaphore);
 		if (acquired)
-			loom_gate_leave(&shared.gate);
+			loom_semaphore_release(&shared.semaphore);
 		atomic_store(&shared.stop, 1);
 		pthread_join(thread, NULL);
 		TEST_CHECK(
--- a/tests/decide/test_shed.c
+++ b/tests/decide/test_shed.c
@@ -22,7 +22,7 @@
 	int i;
 
 	for (i = 0; i < 40; i++)
-		loom_shed_note(shed, TEAM, &threshold, now_us);
+		loom_shed_record(shed, TEAM, &threshold, now_us);
 	return shed;
 }
 
@@ -96,7 +96,8 @@
 			ms * LOOM_US_PER_MS, &retry_after_us) != LOOM_OK)
 			continue;
 		probes++;
-		loom_shed_note(shed, TEAM, &unchanged_cut, ms * LOOM_US_PER_MS);
+		loom_shed_record(
+		    shed, TEAM, &unchanged_cut, ms * LOOM_US_PER_MS);
 	}
 	TEST_CHECK(probes >= 5 && probes <= 11, "%d probes", probes);
 	talloc_free(shed);
@@ -114,7 +115,7 @@
 	uint64_t team;
 
 	for (team = 1; team <= 5000; team++)
-		loom_shed_note(shed, team, &threshold, team);
+		loom_shed_record(shed, team, &threshold, team);
 	CU_ASSERT(loom_shed_cut(shed, SERVICE, 5000, 5000) < LOOM_CUT_NONE);
 	CU_ASSERT_EQUAL(loom_shed_cut(shed, SERVICE, 1, 5000), LOOM_CUT_NONE);
 	talloc_free(shed);
--- a/tests/support/player.c
+++ b/tests/support/player.c
@@ -22,7 +22,7 @@
 };
 
 struct play_call {
-	struct loom_waiting waiting;
+	struct loom_admission_call waiting;
 	const struct play_load *load;
 	struct play_outcome *outcome;
 	enum play_state state;
@@ -84,11 +84,11 @@
 }
 
 static void
-record_moved_calls(struct player *player, const struct loom_moved *moved)
+record_moved_calls(struct player *player, const struct loom_verdicts *moved)
 {
-	struct loom_waiting *w, *next;
+	struct loom_admission_call *w, *next;
 
-	for (w = moved->go; w != NULL; w = next) {
+	for (w = moved->admitted; w != NULL; w = next) {
 		next = w->next;
 		record_forwarding(player, w->arg);
 	}
@@ -105,13 +105,13 @@
 	struct play_call *call = talloc_zero(player->ctx, struct play_call);
 	uint32_t deadline_ms =
 	    load->deadline_ms > 0 ? load->deadline_ms : DEFAULT_DEADLINE_MS;
-	struct loom_moved moved;
-	enum loom_admit verdict;
+	struct loom_verdicts moved;
+	enum loom_admission_verdict verdict;
 
 	call->load = load;
 	call->outcome = outcome;
 	call->arrived_us = player->now_us;
-	call->waiting = (struct loom_waiting){
+	call->waiting = (struct loom_admission_call){
 		.team_id = load->team,
 		.team_weight = load->weight,
 		.importance = load->importance,
@@ -123,7 +123,7 @@
 	};
 	outcome->offered++;
 	g_ptr_array_add(player->calls, call);
-	loom_moved_init(&moved);
+	loom_verdicts_init(&moved);
 	verdict = loom_admission_offer(
 	    player->admission, &call->waiting, player->now_us, &moved);
 	if (verdict == LOOM_ADMITTED)
@@ -210,7 +210,7 @@
 		.end = LOOM_CALL_OK,
 		.latency_us = player->now_us - call->forwarded_us,
 	};
-	struct loom_moved moved;
+	struct loom_verdicts moved;
 
 	player->running--;
 	end_call(player, call);
@@ -219,7 +219,7 @@
 		call->outcome->served++;
 	else
 		call->outcome->late++;
-	loom_moved_init(&moved);
+	loom_verdicts_init(&moved);
 	loom_admission_done(
 	    player->admission, &call->waiting, &result, player->now_us, &moved);
 	record_moved_calls(player, &moved);
@@ -295,13 +295,13 @@
     uint64_t step_index)
 {
 	uint32_t inside_before = player->result->state.inside;
-	struct loom_moved moved;
+	struct loom_verdicts moved;
 
 	if (player->upstream->says_full)
 		loom_admission_hint_full(player->admission, player->now_us);
 	complete_and_cancel_calls(player);
 	if (step_index % STEPS_PER_TICK == 0) {
-		loom_moved_init(&moved);
+		loom_verdicts_init(&moved);
 		loom_admission_tick(player->admission, player->now_us, &moved);
 		record_moved_calls(player, &moved);
 	}
