--- a/bench/bench_hotpath.c
+++ b/bench/bench_hotpath.c
@@ -93,7 +93,7 @@
 			.host_id = (uint64_t)i + 1,
 			.near = i < 2,
 		};
-	loom_balance_hosts_changed(setup->balance, hosts, HOSTS, 0);
+	loom_balance_set_hosts(setup->balance, hosts, HOSTS, 0);
 }
 
 static void
--- a/bench/model.c
+++ b/bench/model.c
@@ -98,7 +98,7 @@
 			.host_id = model->targets[service][i].host_id,
 			.near = model->targets[service][i].centre == centre,
 		};
-	loom_balance_hosts_changed(balance, hosts, n, 0);
+	loom_balance_set_hosts(balance, hosts, n, 0);
 	return balance;
 }
 
--- a/include/loom/balance.h
+++ b/include/loom/balance.h
@@ -20,10 +20,10 @@
 struct loom_balance_host {
 	uint64_t host_id;
 	bool near; /* in the data centre of this host */
-	bool leaving; /* listed as draining */
+	bool draining; /* listed as draining */
 };
 
-enum loom_target_end {
+enum loom_target_result {
 	LOOM_TARGET_OK, /* the upstream answered, with any status */
 	LOOM_TARGET_REFUSED, /* the target's daemon shed the call */
 	LOOM_TARGET_FAILED, /* no connection, broken, or no answer in time */
@@ -47,7 +47,7 @@
  * Replaces the list of hosts. Statistics of hosts that remain are kept. New
  * hosts go through a cold start, except for those of the very first list.
  */
-void loom_balance_hosts_changed(struct loom_balance *,
+void loom_balance_set_hosts(struct loom_balance *,
     const struct loom_balance_host *hosts, uint32_t nhosts, uint64_t now_us);
 
 /*
@@ -62,11 +62,11 @@
 void loom_balance_note_sent(
     struct loom_balance *, uint64_t host_id, uint64_t now_us);
 void loom_balance_note_done(struct loom_balance *, uint64_t host_id,
-    enum loom_target_end, uint64_t latency_us, uint64_t now_us);
+    enum loom_target_result, uint64_t latency_us, uint64_t now_us);
 
-enum loom_probe_end {
-	LOOM_PROBE_SILENT, /* no answer */
-	LOOM_PROBE_ALIVE, /* answered, but is not serving at the moment */
+enum loom_probe_result {
+	LOOM_PROBE_NO_ANSWER, /* no answer */
+	LOOM_PROBE_NOT_SERVING, /* answered, but is not serving at the moment */
 	LOOM_PROBE_SERVING,
 };
 
@@ -77,23 +77,24 @@
  */
 uint64_t loom_balance_probe_due(struct loom_balance *, uint64_t now_us);
 void loom_balance_note_probe(struct loom_balance *, uint64_t host_id,
-    enum loom_probe_end, uint64_t now_us);
+    enum loom_probe_result, uint64_t now_us);
 
 /*
  * Records the utilization that a host reported: its calls running or waiting,
  * divided by the number that may run at once.
  */
-void loom_balance_note_used(
+void loom_balance_note_utilization(
     struct loom_balance *, uint64_t host_id, double used, uint64_t now_us);
 
 /*
  * Records that a host reported that it is draining. It gets no new calls for a
  * few seconds, or until a probe finds it serving again.
  */
-void loom_balance_note_leaving(
+void loom_balance_note_draining(
     struct loom_balance *, uint64_t host_id, uint64_t now_us);
 
 /* Number of hosts that are neither draining nor ejected. */
-uint32_t loom_balance_live(const struct loom_balance *, uint64_t now_us);
+uint32_t loom_balance_available_count(
+    const struct loom_balance *, uint64_t now_us);
 
 #endif
--- a/include/loom/outcome.h
+++ b/include/loom/outcome.h
@@ -48,7 +48,7 @@
 	LOOM_FAILURE_CALLER_GONE,
 	LOOM_FAILURE_REFUSED, /* the peer sent a problem document */
 	LOOM_FAILURE_LOCAL, /* refused by this daemon, nothing was sent */
-	LOOM_FAILURES,
+	LOOM_FAILURE_COUNT,
 };
 
 struct loom_failure_facts {
@@ -79,7 +79,7 @@
  * Returns a refusal with the default outcome of the code; all other fields are
  * zero.
  */
-struct loom_refusal loom_refusal_of(enum loom_result);
+struct loom_refusal loom_refusal_for_code(enum loom_result);
 
 /*
  * Changes the outcome not-run to unknown. Used when a request with a ticket is
@@ -88,7 +88,7 @@
  * request that ran earlier; if it were told not-run, it would start again with
  * another ticket. Sending the same ticket again is always safe.
  */
-void loom_refusal_ticket_not_begun(struct loom_refusal *);
+void loom_refusal_hide_not_run(struct loom_refusal *);
 
 /* Returns the problem document; free it with g_free(). */
 char *loom_refusal_json(const struct loom_refusal *);
--- a/include/loom/quarantine.h
+++ b/include/loom/quarantine.h
@@ -51,14 +51,14 @@
 	LOOM_QUARANTINE_PASS, /* run it, then loom_quarantine_leave() */
 	/* Keep the call queued; ask when a call leaves and after 100 ms. */
 	LOOM_QUARANTINE_HOLD,
-	LOOM_QUARANTINE_LATER, /* refuse with LOOM_SUSPECT */
+	LOOM_QUARANTINE_RETRY_LATER, /* refuse with LOOM_SUSPECT */
 	LOOM_QUARANTINE_REFUSE, /* refuse with LOOM_QUARANTINED, final */
 };
 
-enum loom_quarantine_end {
+enum loom_quarantine_result {
 	LOOM_QUARANTINE_NOT_SENT, /* nothing was sent upstream */
 	LOOM_QUARANTINE_ANSWERED, /* complete answer, which clears a suspect */
-	LOOM_QUARANTINE_BROKEN, /* cut, cancelled or timed out */
+	LOOM_QUARANTINE_INCOMPLETE, /* cut, cancelled or timed out */
 };
 
 struct loom_quarantine;
@@ -85,7 +85,7 @@
     struct loom_quarantine_entry **entry);
 
 /*
- * For a fingerprint with the verdict LOOM_QUARANTINE_LATER or
+ * For a fingerprint with the verdict LOOM_QUARANTINE_RETRY_LATER or
  * LOOM_QUARANTINE_REFUSE, returns how long the verdict will stay the same; 0 if
  * that depends on other calls.
  */
@@ -94,7 +94,8 @@
 
 /* Ends a call. Calls that got LOOM_QUARANTINE_HOLD may ask again. */
 void loom_quarantine_leave(struct loom_quarantine *,
-    struct loom_quarantine_entry *, enum loom_quarantine_end, uint64_t now_us);
+    struct loom_quarantine_entry *, enum loom_quarantine_result,
+    uint64_t now_us);
 
 /*
  * Reports that the upstream crashed: the connection of this call broke while it
@@ -112,7 +113,7 @@
  * then wait half a second, because another crash in that time could not be told
  * from this one.
  */
-void loom_quarantine_back_at_once(struct loom_quarantine *, uint64_t now_us);
+void loom_quarantine_fast_restart(struct loom_quarantine *, uint64_t now_us);
 
 /*
  * Reports that this call could not connect. The upstream is down, but not
@@ -125,6 +126,6 @@
 size_t loom_quarantine_count(struct loom_quarantine *, uint64_t now_us);
 
 /* Handles messages 70-71; its argument is a struct loom_quarantine. */
-extern const struct loom_part_ops loom_quarantine_part;
+extern const struct loom_part_ops loom_quarantine_ops;
 
 #endif
--- a/include/loom/retry.h
+++ b/include/loom/retry.h
@@ -24,15 +24,15 @@
 
 /* Message types. */
 enum loom_retry_message {
-	LOOM_RETRY_ASK = LOOM_MESSAGE_RETRY_FIRST, /* daemon to home */
-	LOOM_RETRY_ANSWER, /* home to daemon */
+	LOOM_RETRY_QUERY = LOOM_MESSAGE_RETRY_FIRST, /* daemon to home */
+	LOOM_RETRY_REPLY, /* home to daemon */
 };
 
 /*
  * How long to wait for the home's reply. Without a reply by then there is no
  * retry.
  */
-#define LOOM_RETRY_WAIT_US UINT64_C(20000)
+#define LOOM_RETRY_REPLY_TIMEOUT_US UINT64_C(20000)
 
 /*
  * Identifies the root request. Created at its home and carried in the context.
@@ -48,15 +48,15 @@
 	enum loom_result code;
 	bool repeatable; /* from struct loom_route */
 	bool final; /* set by a hop below that retried or is overloaded */
-	bool body_kept; /* the whole request can be sent again */
-	bool answer_begun; /* a part of the answer was passed on */
+	bool body_available; /* the whole request can be sent again */
+	bool answer_started; /* a part of the answer was passed on */
 	uint64_t remaining_us; /* until the deadline */
 	uint64_t expected_us; /* expected duration of such a call */
 };
 
 enum loom_retry_verdict {
 	LOOM_RETRY_NO,
-	LOOM_RETRY_ASK_HOME, /* permitted if the home grants it */
+	LOOM_RETRY_NEEDS_GRANT, /* permitted if the home grants it */
 };
 
 /*
@@ -65,7 +65,7 @@
  * regardless of the budgets. The caller also has to mark a failure final if it
  * was not retried for lack of a grant.
  */
-enum loom_retry_verdict loom_retry_may(
+enum loom_retry_verdict loom_retry_decide(
     const struct loom_retry_failure *failure, bool *final);
 
 struct loom_retry;
@@ -96,25 +96,25 @@
  * Records that a first attempt is being sent to a service; retries are limited
  * to a ratio of these.
  */
-void loom_retry_first_attempt(
+void loom_retry_note_first_attempt(
     struct loom_retry *, uint64_t service_id, uint64_t now_us);
 
 /*
  * A query to a home. The memory belongs to the caller and must stay valid until
  * done is called or loom_retry_cancel() has returned true.
  */
-struct loom_retry_ask {
+struct loom_retry_query {
 	/*
 	 * Called once, on the control thread. granted: the call may be repeated
 	 * once.
 	 */
-	void (*done)(struct loom_retry_ask *, bool granted);
+	void (*done)(struct loom_retry_query *, bool granted);
 	void *arg; /* for the caller's use */
 	/* private */
-	struct loom_retry_ask *next;
+	struct loom_retry_query *next;
 	struct loom_retry_root root;
-	uint64_t number;
-	uint64_t until_us;
+	uint64_t query_id;
+	uint64_t expires_us;
 	uint64_t service_id;
 	bool sent;
 };
@@ -122,16 +122,17 @@
 /*
  * Asks the home for one retry of a call to service_id. Returns false if the
  * retry ratio of the service refuses it; done is then not called. Otherwise
- * done is called on the control thread, at most LOOM_RETRY_WAIT_US later.
+ * done is called on the control thread, at most LOOM_RETRY_REPLY_TIMEOUT_US
+ * later.
  */
-bool loom_retry_ask(struct loom_retry *, const struct loom_retry_root *root,
-    uint64_t service_id, uint64_t now_us, struct loom_retry_ask *query);
-bool loom_retry_cancel(struct loom_retry *, struct loom_retry_ask *);
+bool loom_retry_query(struct loom_retry *, const struct loom_retry_root *root,
+    uint64_t service_id, uint64_t now_us, struct loom_retry_query *query);
+bool loom_retry_cancel(struct loom_retry *, struct loom_retry_query *);
 
 /*
  * Sends the queries of the worker threads and completes those that were
  * answered locally or have timed out. Control thread; each tick also does it.
  */
-void loom_retry_run(struct loom_retry *, uint64_t now_us);
+void loom_retry_process(struct loom_retry *, uint64_t now_us);
 
 #endif
--- a/src/control/quarantine.c
+++ b/src/control/quarantine.c
@@ -101,7 +101,7 @@
 
 void
 loom_quarantine_leave(struct loom_quarantine *quarantine,
-    struct loom_quarantine_entry *entry, enum loom_quarantine_end end,
+    struct loom_quarantine_entry *entry, enum loom_quarantine_result end,
     uint64_t now_us)
 {
 	struct loom_fingerprint fingerprint = entry->fingerprint;
@@ -123,7 +123,7 @@
 }
 
 void
-loom_quarantine_back_at_once(
+loom_quarantine_fast_restart(
     struct loom_quarantine *quarantine, uint64_t now_us)
 {
 	g_mutex_lock(&quarantine->lock);
@@ -181,7 +181,7 @@
 /* Collects up to QUARANTINE_RECORDS_MAX records that this host has to send. */
 static uint32_t
 collect_records(struct loom_quarantine *quarantine, bool repeat,
-    uint64_t now_us, struct quarantine_told *reports)
+    uint64_t now_us, struct quarantine_report *reports)
 {
 	struct suspect_record *record;
 	GHashTableIter iter;
@@ -197,10 +197,10 @@
 		    !(record->unannounced || repeat))
 			continue;
 		record->unannounced = false;
-		reports[count++] = (struct quarantine_told){
+		reports[count++] = (struct quarantine_report){
 			.fingerprint = record->fingerprint,
 			.level = record->level,
-			.strikes = record->crash_count,
+			.crash_count = record->crash_count,
 			.remaining_us = record->expires_us - now_us,
 		};
 	}
@@ -229,7 +229,7 @@
 part_tick(void *part, uint64_t now_us)
 {
 	struct loom_quarantine *quarantine = part;
-	struct quarantine_told reports[QUARANTINE_RECORDS_MAX];
+	struct quarantine_report reports[QUARANTINE_RECORDS_MAX];
 	uint8_t message[QUARANTINE_MESSAGE_MAX];
 	bool repeat = now_us - quarantine->last_repeat_us >= REPEAT_INTERVAL_US;
 	struct loom_fingerprint fingerprint;
@@ -250,14 +250,14 @@
 merge_records(struct loom_quarantine *quarantine, const uint8_t *payload,
     size_t len, uint64_t now_us)
 {
-	struct quarantine_told reports[QUARANTINE_RECORDS_MAX];
+	struct quarantine_report reports[QUARANTINE_RECORDS_MAX];
 	uint32_t i, count = quarantine_records_unpack(payload, len, reports);
 
 	g_mutex_lock(&quarantine->lock);
 	for (i = 0; i < count; i++)
 		suspect_records_merge(&quarantine->suspects.records,
 		    &reports[i].fingerprint, reports[i].level,
-		    reports[i].strikes, reports[i].remaining_us, now_us);
+		    reports[i].crash_count, reports[i].remaining_us, now_us);
 	g_mutex_unlock(&quarantine->lock);
 }
 
@@ -292,7 +292,7 @@
 		loom_hosts_release(old);
 }
 
-const struct loom_part_ops loom_quarantine_part = {
+const struct loom_part_ops loom_quarantine_ops = {
 	.name = "quarantine",
 	.first_type = QUARANTINE_RECORDS,
 	.last_type = QUARANTINE_LAST,
--- a/src/control/retry.c
+++ b/src/control/retry.c
@@ -91,7 +91,7 @@
 }
 
 void
-loom_retry_first_attempt(
+loom_retry_note_first_attempt(
     struct loom_retry *retry, uint64_t service_id, uint64_t now_us)
 {
 	struct retry_service_shard *shard = service_shard(retry, service_id);
@@ -126,8 +126,8 @@
 }
 
 bool
-loom_retry_ask(struct loom_retry *retry, const struct loom_retry_root *root,
-    uint64_t service_id, uint64_t now_us, struct loom_retry_ask *query)
+loom_retry_query(struct loom_retry *retry, const struct loom_retry_root *root,
+    uint64_t service_id, uint64_t now_us, struct loom_retry_query *query)
 {
 	struct retry_query_shard *shard;
 
@@ -138,13 +138,13 @@
 	}
 	query->next = NULL;
 	query->root = *root;
-	query->number = atomic_fetch_add(&retry->last_query_id, 1) + 1;
-	query->until_us = now_us + LOOM_RETRY_WAIT_US;
+	query->query_id = atomic_fetch_add(&retry->last_query_id, 1) + 1;
+	query->expires_us = now_us + LOOM_RETRY_REPLY_TIMEOUT_US;
 	query->service_id = service_id;
 	query->sent = false;
-	shard = &retry->queries[query->number % RETRY_SHARD_COUNT];
+	shard = &retry->queries[query->query_id % RETRY_SHARD_COUNT];
 	g_mutex_lock(&shard->lock);
-	g_hash_table_insert(shard->queries, &query->number, query);
+	g_hash_table_insert(shard->queries, &query->query_id, query);
 	g_mutex_unlock(&shard->lock);
 	if (retry->wake != NULL)
 		retry->wake(retry->wake_arg);
@@ -152,21 +152,21 @@
 }
 
 bool
-loom_retry_cancel(struct loom_retry *retry, struct loom_retry_ask *query)
+loom_retry_cancel(struct loom_retry *retry, struct loom_retry_query *query)
 {
 	struct retry_query_shard *shard =
-	    &retry->queries[query->number % RETRY_SHARD_COUNT];
+	    &retry->queries[query->query_id % RETRY_SHARD_COUNT];
 	bool found;
 
 	g_mutex_lock(&shard->lock);
-	found = g_hash_table_remove(shard->queries, &query->number);
+	found = g_hash_table_remove(shard->queries, &query->query_id);
 	g_mutex_unlock(&shard->lock);
 	return found;
 }
 
 /* Control thread; no lock is held. */
 static void
-complete_query(struct loom_retry *retry, struct loom_retry_ask *query,
+complete_query(struct loom_retry *retry, struct loom_retry_query *query,
     bool granted, uint64_t now_us)
 {
 	loom_counter_add(granted ? retry->granted : retry->refused, 1);
@@ -183,36 +183,36 @@
 }
 
 static void
-send_query(struct loom_retry *retry, const struct loom_retry_ask *query)
+send_query(struct loom_retry *retry, const struct loom_retry_query *query)
 {
-	const struct loom_retry_question wire_query = {
-		.number = query->number,
+	const struct loom_retry_query_message wire_query = {
+		.query_id = query->query_id,
 		.home_incarnation = query->root.home_incarnation,
 		.root_id = query->root.id,
 	};
 	uint8_t buf[LOOM_RETRY_MESSAGE_MAX];
 	size_t len;
 
-	len = loom_retry_question_pack(&wire_query, buf, sizeof(buf));
+	len = loom_retry_query_pack(&wire_query, buf, sizeof(buf));
 	retry->sender.send(retry->sender.arg, query->root.home_host_id,
-	    LOOM_RETRY_ASK, buf, len);
+	    LOOM_RETRY_QUERY, buf, len);
 }
 
 /*
  * Sends new queries. Returns those that have timed out or whose home is this
  * daemon, removed from the shard.
  */
-static struct loom_retry_ask *
+static struct loom_retry_query *
 process_shard(
     struct loom_retry *retry, struct retry_query_shard *shard, uint64_t now_us)
 {
-	struct loom_retry_ask *query, *completed = NULL;
+	struct loom_retry_query *query, *completed = NULL;
 	GHashTableIter iter;
 
 	g_mutex_lock(&shard->lock);
 	g_hash_table_iter_init(&iter, shard->queries);
 	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&query)) {
-		if (now_us >= query->until_us ||
+		if (now_us >= query->expires_us ||
 		    home_is_here(retry, &query->root)) {
 			query->next = completed;
 			completed = query;
@@ -227,9 +227,9 @@
 }
 
 void
-loom_retry_run(struct loom_retry *retry, uint64_t now_us)
+loom_retry_process(struct loom_retry *retry, uint64_t now_us)
 {
-	struct loom_retry_ask *query, *next;
+	struct loom_retry_query *query, *next;
 	bool granted;
 	unsigned i;
 
@@ -238,7 +238,7 @@
 		for (; query != NULL; query = next) {
 			next = query->next;
 			granted = false;
-			if (now_us < query->until_us)
+			if (now_us < query->expires_us)
 				granted = retry_home_grant(
 				    retry, query->root.id, now_us);
 			else
@@ -252,44 +252,44 @@
 handle_query(struct loom_retry *retry, const struct loom_from *from,
     const uint8_t *payload, size_t len, uint64_t now_us)
 {
-	struct loom_retry_question wire_query;
-	struct loom_retry_answer wire_reply;
+	struct loom_retry_query_message wire_query;
+	struct loom_retry_reply_message wire_reply;
 	uint8_t buf[LOOM_RETRY_MESSAGE_MAX];
 
-	if (!loom_retry_question_unpack(&wire_query, payload, len))
+	if (!loom_retry_query_unpack(&wire_query, payload, len))
 		return;
 	/*
 	 * A restarted home has lost its record of earlier grants, so it grants
 	 * nothing for requests that entered before the restart.
 	 */
-	wire_reply = (struct loom_retry_answer){
-		.number = wire_query.number,
-		.asker_incarnation = from->incarnation,
+	wire_reply = (struct loom_retry_reply_message){
+		.query_id = wire_query.query_id,
+		.requester_incarnation = from->incarnation,
 		.granted =
 		    wire_query.home_incarnation == retry->self.incarnation &&
 		    retry_home_grant(retry, wire_query.root_id, now_us),
 	};
-	len = loom_retry_answer_pack(&wire_reply, buf, sizeof(buf));
+	len = loom_retry_reply_pack(&wire_reply, buf, sizeof(buf));
 	retry->sender.send(
-	    retry->sender.arg, from->host_id, LOOM_RETRY_ANSWER, buf, len);
+	    retry->sender.arg, from->host_id, LOOM_RETRY_REPLY, buf, len);
 }
 
 static void
 handle_reply(struct loom_retry *retry, const struct loom_from *from,
     const uint8_t *payload, size_t len, uint64_t now_us)
 {
-	struct loom_retry_answer wire_reply;
+	struct loom_retry_reply_message wire_reply;
 	struct retry_query_shard *shard;
-	struct loom_retry_ask *query;
+	struct loom_retry_query *query;
 
-	if (!loom_retry_answer_unpack(&wire_reply, payload, len) ||
-	    wire_reply.asker_incarnation != retry->self.incarnation)
+	if (!loom_retry_reply_unpack(&wire_reply, payload, len) ||
+	    wire_reply.requester_incarnation != retry->self.incarnation)
 		return;
-	shard = &retry->queries[wire_reply.number % RETRY_SHARD_COUNT];
+	shard = &retry->queries[wire_reply.query_id % RETRY_SHARD_COUNT];
 	g_mutex_lock(&shard->lock);
-	query = g_hash_table_lookup(shard->queries, &wire_reply.number);
+	query = g_hash_table_lookup(shard->queries, &wire_reply.query_id);
 	if (query != NULL && query->root.home_host_id == from->host_id)
-		g_hash_table_remove(shard->queries, &wire_reply.number);
+		g_hash_table_remove(shard->queries, &wire_reply.query_id);
 	else
 		query = NULL;
 	g_mutex_unlock(&shard->lock);
@@ -299,7 +299,7 @@
 	 * The reply is too old if this process was stopped in the meantime.
 	 */
 	complete_query(retry, query,
-	    wire_reply.granted && now_us < query->until_us, now_us);
+	    wire_reply.granted && now_us < query->expires_us, now_us);
 }
 
 static void
@@ -308,9 +308,9 @@
 {
 	struct loom_retry *retry = part;
 
-	if (type == LOOM_RETRY_ASK)
+	if (type == LOOM_RETRY_QUERY)
 		handle_query(retry, from, payload, len, now_us);
-	else if (type == LOOM_RETRY_ANSWER)
+	else if (type == LOOM_RETRY_REPLY)
 		handle_reply(retry, from, payload, len, now_us);
 }
 
@@ -319,7 +319,7 @@
 {
 	struct loom_retry *retry = part;
 
-	loom_retry_run(retry, now_us);
+	loom_retry_process(retry, now_us);
 	if (now_us < retry->last_sweep_us + SWEEP_INTERVAL_US)
 		return;
 	retry->last_sweep_us = now_us;
@@ -354,8 +354,8 @@
 
 const struct loom_part_ops loom_retry_ops = {
 	.name = "retry",
-	.first_type = LOOM_RETRY_ASK,
-	.last_type = LOOM_RETRY_ANSWER,
+	.first_type = LOOM_RETRY_QUERY,
+	.last_type = LOOM_RETRY_REPLY,
 	.tick_us = IDLE_TICK_US,
 	.busy_tick_us = QUERY_TICK_US,
 	.busy = has_pending_queries,
--- a/src/daemon/again.c
+++ b/src/daemon/again.c
@@ -50,7 +50,7 @@
 }
 
 static void
-on_grant_control_thread(struct loom_retry_ask *ask, bool granted)
+on_grant_control_thread(struct loom_retry_query *ask, bool granted)
 {
 	struct call *call = ask->arg;
 
@@ -78,8 +78,8 @@
 		.code = refusal->code,
 		.repeatable = call->route->repeatable,
 		.final = refusal->final,
-		.body_kept = call->body_buffered,
-		.answer_begun = call->streaming,
+		.body_available = call->body_buffered,
+		.answer_started = call->streaming,
 		.remaining_us = call_remaining_us(call, now_us),
 	};
 	const struct loom_retry_root root = request_root(call);
@@ -88,14 +88,14 @@
 	call->retry_refusal = *refusal;
 	if (call->routed_by_ticket || call->ntried >= CALL_ATTEMPTS_MAX ||
 	    call->ntried >= call->route->max_attempts ||
-	    loom_retry_may(&failure, &final) != LOOM_RETRY_ASK_HOME)
+	    loom_retry_decide(&failure, &final) != LOOM_RETRY_NEEDS_GRANT)
 		return false;
 	call->retry_query =
-	    (struct loom_retry_ask){ .done = on_grant_control_thread,
+	    (struct loom_retry_query){ .done = on_grant_control_thread,
 		    .arg = call };
 	call->retry_pending = true;
 	call_ref(call);
-	if (loom_retry_ask(call->worker->daemon->retry, &root,
+	if (loom_retry_query(call->worker->daemon->retry, &root,
 		call->service->id, now_us, &call->retry_query))
 		return true;
 	call->retry_pending = false;
--- a/src/daemon/call.c
+++ b/src/daemon/call.c
@@ -174,7 +174,7 @@
 void
 call_fail(struct call *call, enum loom_result code)
 {
-	struct loom_refusal refusal = loom_refusal_of(code);
+	struct loom_refusal refusal = loom_refusal_for_code(code);
 
 	cancel_waits(call);
 	cancel_leg(call);
--- a/src/daemon/call.h
+++ b/src/daemon/call.h
@@ -93,7 +93,7 @@
 	uint64_t rate_retry_after_us;
 
 	/* retry requested from the home daemon */
-	struct loom_retry_ask retry_query;
+	struct loom_retry_query retry_query;
 	bool retry_pending;
 	bool retry_granted;
 	struct loom_refusal retry_refusal;
--- a/src/daemon/probe.c
+++ b/src/daemon/probe.c
@@ -41,11 +41,11 @@
 {
 	struct probe *probe = arg;
 
-	enum loom_probe_end probe_end = LOOM_PROBE_SILENT;
+	enum loom_probe_result probe_end = LOOM_PROBE_NO_ANSWER;
 
 	if (end->answered)
-		probe_end =
-		    probe->serving ? LOOM_PROBE_SERVING : LOOM_PROBE_ALIVE;
+		probe_end = probe->serving ? LOOM_PROBE_SERVING
+					   : LOOM_PROBE_NOT_SERVING;
 	loom_balance_note_probe(
 	    probe->balance, probe->host_id, probe_end, loom_now_us());
 	talloc_free(probe);
@@ -91,6 +91,6 @@
 	loom_counter_add(worker->daemon->counters.probes, 1);
 	if (start_fetch(worker, probe))
 		return;
-	loom_balance_note_probe(balance, host_id, LOOM_PROBE_SILENT, now_us);
+	loom_balance_note_probe(balance, host_id, LOOM_PROBE_NO_ANSWER, now_us);
 	talloc_free(probe);
 }
--- a/src/daemon/refuse.c
+++ b/src/daemon/refuse.c
@@ -65,7 +65,7 @@
 	if (call->may_have_run ||
 	    (!call->refusal_from_peer && !call->ticket_checked &&
 		came_with_ticket(call)))
-		loom_refusal_ticket_not_begun(&refusal);
+		loom_refusal_hide_not_run(&refusal);
 	/* The caller of an entry is no daemon that could retry. */
 	if (call->origin != CALL_ORIGIN_PEER)
 		refusal.final = true;
@@ -91,7 +91,7 @@
 {
 	const struct loom_failure_verdict verdict = loom_failure_decide(facts);
 
-	*refusal = loom_refusal_of(verdict.code);
+	*refusal = loom_refusal_for_code(verdict.code);
 	refusal->outcome = verdict.outcome;
 	refusal->final = verdict.final && !verdict.retry_here;
 	g_strlcpy(refusal->detail, reason, sizeof(refusal->detail));
@@ -100,7 +100,7 @@
 struct loom_refusal
 refusal_of_code(enum loom_result code, uint64_t retry_after_us)
 {
-	struct loom_refusal refusal = loom_refusal_of(code);
+	struct loom_refusal refusal = loom_refusal_for_code(code);
 
 	refusal.retry_after_ms = loom_retry_after_from_us(retry_after_us);
 	return refusal;
--- a/src/daemon/run.c
+++ b/src/daemon/run.c
@@ -144,7 +144,7 @@
 	loom_control_add(daemon->control, &loom_rights_set_ops, daemon->rights);
 	loom_control_add(daemon->control, &loom_retry_ops, daemon->retry);
 	loom_control_add(
-	    daemon->control, &loom_quarantine_part, daemon->quarantine);
+	    daemon->control, &loom_quarantine_ops, daemon->quarantine);
 }
 
 static void
@@ -170,7 +170,7 @@
 {
 	struct loom_daemon *daemon = arg;
 
-	loom_retry_run(daemon->retry, loom_now_us());
+	loom_retry_process(daemon->retry, loom_now_us());
 	loom_control_hurry(daemon->control, daemon->retry);
 }
 
--- a/src/daemon/target.c
+++ b/src/daemon/target.c
@@ -25,7 +25,7 @@
 const struct loom_refusal *
 target_no_host(struct loom_refusal *refusal)
 {
-	*refusal = loom_refusal_of(LOOM_NO_TARGET);
+	*refusal = loom_refusal_for_code(LOOM_NO_TARGET);
 	return refusal;
 }
 
@@ -53,7 +53,7 @@
 }
 
 static void
-record_leg_result(struct call *call, enum loom_target_end end)
+record_leg_result(struct call *call, enum loom_target_result end)
 {
 	uint64_t now_us = loom_now_us();
 
@@ -81,7 +81,7 @@
 		return;
 	utilization =
 	    (double)g_ascii_strtoull(text, NULL, 16) / UTILIZATION_UNIT;
-	loom_balance_note_used(
+	loom_balance_note_utilization(
 	    service_balance(call), call->target_id, utilization, loom_now_us());
 }
 
@@ -100,7 +100,7 @@
 	read_utilization(call, loom_fetch_header(call->fetch, HEADER_USED));
 	throttle_learn(call, loom_fetch_header(call->fetch, HEADER_KEEP));
 	if (loom_fetch_header(call->fetch, HEADER_LEAVING) != NULL)
-		loom_balance_note_leaving(
+		loom_balance_note_draining(
 		    service_balance(call), call->target_id, loom_now_us());
 }
 
@@ -259,7 +259,7 @@
 	if (balance == NULL)
 		return 0;
 	probe_silent(call->worker, balance);
-	loom_balance_note_used(balance, daemon->self.host_id,
+	loom_balance_note_utilization(balance, daemon->self.host_id,
 	    loom_admission_used(daemon->admission) / UTILIZATION_UNIT,
 	    loom_now_us());
 	return loom_balance_pick(
@@ -273,7 +273,7 @@
 	struct loom_refusal refusal;
 	uint64_t host_id;
 
-	loom_retry_first_attempt(
+	loom_retry_note_first_attempt(
 	    call->worker->daemon->retry, call->service->id, loom_now_us());
 	if (ticket != NULL) {
 		ticket_route_start(call, ticket);
@@ -323,7 +323,7 @@
 void
 target_refused(struct call *call, const struct loom_refusal *refusal)
 {
-	struct loom_refusal lost = loom_refusal_of(LOOM_TICKET_LOST);
+	struct loom_refusal lost = loom_refusal_for_code(LOOM_TICKET_LOST);
 
 	if (resend_with_new_context(call, refusal))
 		return;
--- a/src/daemon/ticketed.c
+++ b/src/daemon/ticketed.c
@@ -16,7 +16,7 @@
 static void
 refuse_with_ticket(struct call *call)
 {
-	struct loom_refusal refusal = loom_refusal_of(LOOM_TICKET_NEEDED);
+	struct loom_refusal refusal = loom_refusal_for_code(LOOM_TICKET_NEEDED);
 	char texts[1][LOOM_TICKET_TEXT_MAX];
 	enum loom_result result;
 
@@ -25,7 +25,7 @@
 	if (result == LOOM_OK)
 		g_strlcpy(refusal.ticket, texts[0], sizeof(refusal.ticket));
 	else
-		refusal = loom_refusal_of(result);
+		refusal = loom_refusal_for_code(result);
 	executor_refuse(call, &refusal);
 }
 
@@ -67,7 +67,7 @@
 refuse_final(struct call *call, enum loom_result code,
     enum loom_outcome outcome, uint64_t heir_host_id)
 {
-	struct loom_refusal refusal = loom_refusal_of(code);
+	struct loom_refusal refusal = loom_refusal_for_code(code);
 
 	refusal.outcome = outcome;
 	refusal.heir_host_id = heir_host_id;
--- a/src/daemon/upstream.c
+++ b/src/daemon/upstream.c
@@ -59,7 +59,7 @@
 }
 
 static void
-leave_quarantine(struct call *call, enum loom_quarantine_end end)
+leave_quarantine(struct call *call, enum loom_quarantine_result end)
 {
 	if (call->quarantine == NULL)
 		return;
@@ -75,7 +75,7 @@
 	    (call->fetch != NULL && loom_fetch_sent(call->fetch));
 
 	leave_quarantine(
-	    call, sent ? LOOM_QUARANTINE_BROKEN : LOOM_QUARANTINE_NOT_SENT);
+	    call, sent ? LOOM_QUARANTINE_INCOMPLETE : LOOM_QUARANTINE_NOT_SENT);
 	TALLOC_FREE(call->upstream_timer);
 	if (!call->registered)
 		return;
@@ -193,7 +193,7 @@
 	if (crashed)
 		report_crash(call, end->sent);
 	leave_quarantine(call,
-	    end->sent ? LOOM_QUARANTINE_BROKEN : LOOM_QUARANTINE_NOT_SENT);
+	    end->sent ? LOOM_QUARANTINE_INCOMPLETE : LOOM_QUARANTINE_NOT_SENT);
 	call->fetch = NULL;
 	executor_release(call, LOOM_CALL_FAILED);
 	if (!call->exchange_ended && call->streaming) {
@@ -235,7 +235,7 @@
 	call->upstream_timer = NULL;
 	call_ref(call);
 	if (crashed)
-		loom_quarantine_back_at_once(daemon->quarantine, now_us);
+		loom_quarantine_fast_restart(daemon->quarantine, now_us);
 	leg_broken(call, &call->broken_leg_end, crashed);
 	call->awaits_crash_check = false;
 	finish_leg(call);
@@ -521,7 +521,7 @@
 	case LOOM_QUARANTINE_HOLD:
 		hold_suspect(call, now_us);
 		break;
-	case LOOM_QUARANTINE_LATER:
+	case LOOM_QUARANTINE_RETRY_LATER:
 		refuse_quarantined(call, LOOM_SUSPECT, &print, now_us);
 		break;
 	case LOOM_QUARANTINE_REFUSE:
--- a/src/daemon/witness.c
+++ b/src/daemon/witness.c
@@ -8,18 +8,18 @@
 #include <unistd.h>
 
 #include "daemon/witness.h"
-#include "decide/gone.h"
+#include "decide/crash_check.h"
 #include "loom/clock.h"
 
 struct witnesses {
 	struct tevent_context *ev; /* borrowed */
 	struct sockaddr_in upstream;
 	GMutex lock; /* guards the members below */
-	int fds[GONE_WITNESSES]; /* owned; -1: none */
-	uint64_t opened_us[GONE_WITNESSES];
+	int fds[CRASH_WITNESS_COUNT]; /* owned; -1: none */
+	uint64_t opened_us[CRASH_WITNESS_COUNT];
 	/* last seen open; 0 until connected */
-	uint64_t seen_us[GONE_WITNESSES];
-	struct gone_witness ended[GONE_WITNESSES];
+	uint64_t last_open_us[CRASH_WITNESS_COUNT];
+	struct crash_witness ended[CRASH_WITNESS_COUNT];
 };
 
 static void
@@ -36,11 +36,11 @@
 static void
 record_end(struct witnesses *witnesses, size_t i, uint64_t now_us)
 {
-	if (witnesses->seen_us[i] != 0)
-		witnesses->ended[i] = (struct gone_witness){
+	if (witnesses->last_open_us[i] != 0)
+		witnesses->ended[i] = (struct crash_witness){
 			.ended = true,
 			.opened_us = witnesses->opened_us[i],
-			.seen_us = witnesses->seen_us[i],
+			.last_open_us = witnesses->last_open_us[i],
 			.ended_us = now_us,
 		};
 	close_witness(witnesses, i);
@@ -62,7 +62,7 @@
 	if (got > 0)
 		close_witness(witnesses, i);
 	else if (got < 0 && (errno == EAGAIN || errno == EINTR))
-		witnesses->seen_us[i] = now_us;
+		witnesses->last_open_us[i] = now_us;
 	else
 		record_end(witnesses, i, now_us);
 }
@@ -82,7 +82,7 @@
 	}
 	witnesses->fds[i] = fd;
 	witnesses->opened_us[i] = now_us;
-	witnesses->seen_us[i] = 0;
+	witnesses->last_open_us[i] = 0;
 }
 
 /* Opens the missing witnesses, but not both at the same time. */
@@ -91,10 +91,10 @@
 {
 	size_t i, other;
 
-	for (i = 0; i < GONE_WITNESSES; i++) {
-		other = GONE_WITNESSES - 1 - i;
+	for (i = 0; i < CRASH_WITNESS_COUNT; i++) {
+		other = CRASH_WITNESS_COUNT - 1 - i;
 		if (witnesses->fds[i] < 0 &&
-		    gone_may_open(witnesses->fds[other] < 0
+		    crash_check_may_open_witness(witnesses->fds[other] < 0
 			    ? 0
 			    : witnesses->opened_us[other],
 			now_us))
@@ -107,7 +107,7 @@
 {
 	size_t i;
 
-	for (i = 0; i < GONE_WITNESSES; i++)
+	for (i = 0; i < CRASH_WITNESS_COUNT; i++)
 		check_witness(witnesses, i, now_us);
 }
 
@@ -125,7 +125,7 @@
 	open_missing(witnesses, now_us);
 	g_mutex_unlock(&witnesses->lock);
 	tevent_add_timer(ev, witnesses,
-	    tevent_timeval_current_ofs(0, (uint32_t)GONE_LOOK_US),
+	    tevent_timeval_current_ofs(0, (uint32_t)CRASH_WITNESS_POLL_US),
 	    on_check_timer, witnesses);
 }
 
@@ -134,7 +134,7 @@
 {
 	size_t i;
 
-	for (i = 0; i < GONE_WITNESSES; i++) {
+	for (i = 0; i < CRASH_WITNESS_COUNT; i++) {
 		if (witnesses->fds[i] >= 0)
 			close_witness(witnesses, i);
 	}
@@ -154,7 +154,7 @@
 	witnesses->ev = ev;
 	witnesses->upstream = *upstream;
 	g_mutex_init(&witnesses->lock);
-	for (i = 0; i < GONE_WITNESSES; i++)
+	for (i = 0; i < CRASH_WITNESS_COUNT; i++)
 		witnesses->fds[i] = -1;
 	talloc_set_destructor(witnesses, witnesses_destructor);
 	on_check_timer(ev, NULL, tevent_timeval_zero(), witnesses);
@@ -168,7 +168,7 @@
 
 	g_mutex_lock(&witnesses->lock);
 	check_witnesses(witnesses, now_us);
-	gone = gone_with(witnesses->ended, now_us);
+	gone = crash_check_upstream_gone(witnesses->ended, now_us);
 	g_mutex_unlock(&witnesses->lock);
 	return gone;
 }
--- a/src/daemon/worker_view.c
+++ b/src/daemon/worker_view.c
@@ -43,7 +43,7 @@
 			.host_id = hosts[i].id,
 			.near = strcmp(hosts[i].data_centre,
 				    self->data_centre) == 0,
-			.leaving = hosts[i].state == LOOM_HOST_LEAVING,
+			.draining = hosts[i].state == LOOM_HOST_LEAVING,
 		};
 		g_array_append_val(list, entry);
 	}
@@ -56,7 +56,7 @@
 {
 	GArray *list = balance_hosts(worker, service->service_id);
 
-	loom_balance_hosts_changed(service->balance,
+	loom_balance_set_hosts(service->balance,
 	    (const struct loom_balance_host *)(const void *)list->data,
 	    list->len, loom_now_us());
 	g_array_free(list, TRUE);
--- a/src/decide/balance.c
+++ b/src/decide/balance.c
@@ -174,7 +174,7 @@
 }
 
 void
-loom_balance_hosts_changed(struct loom_balance *balance,
+loom_balance_set_hosts(struct loom_balance *balance,
     const struct loom_balance_host *hosts, uint32_t nhosts, uint64_t now_us)
 {
 	struct target *targets, *known;
@@ -201,7 +201,7 @@
 static bool
 accepts_calls(const struct target *target, uint64_t now_us)
 {
-	return !target->host.leaving && now_us >= target->draining_until_us;
+	return !target->host.draining && now_us >= target->draining_until_us;
 }
 
 static bool
@@ -415,7 +415,7 @@
 static bool
 listed_but_draining(const struct target *target, uint64_t now_us)
 {
-	return !target->host.leaving && now_us < target->draining_until_us;
+	return !target->host.draining && now_us < target->draining_until_us;
 }
 
 uint64_t
@@ -442,7 +442,7 @@
 
 void
 loom_balance_note_probe(struct loom_balance *balance, uint64_t host_id,
-    enum loom_probe_end end, uint64_t now_us)
+    enum loom_probe_result end, uint64_t now_us)
 {
 	struct target *target = find(balance, host_id);
 
@@ -450,7 +450,7 @@
 		return;
 	target->probe_in_flight = false;
 	target->last_probe_us = now_us;
-	if (end != LOOM_PROBE_SILENT)
+	if (end != LOOM_PROBE_NO_ANSWER)
 		note_response(target, now_us);
 	if (end == LOOM_PROBE_SERVING)
 		target->draining_until_us = 0;
@@ -499,7 +499,7 @@
 
 void
 loom_balance_note_done(struct loom_balance *balance, uint64_t host_id,
-    enum loom_target_end end, uint64_t latency_us, uint64_t now_us)
+    enum loom_target_result end, uint64_t latency_us, uint64_t now_us)
 {
 	struct target *target = find(balance, host_id);
 
@@ -533,7 +533,7 @@
 }
 
 void
-loom_balance_note_used(struct loom_balance *balance, uint64_t host_id,
+loom_balance_note_utilization(struct loom_balance *balance, uint64_t host_id,
     double utilization, uint64_t now_us)
 {
 	struct target *target = find(balance, host_id);
@@ -545,7 +545,7 @@
 }
 
 void
-loom_balance_note_leaving(
+loom_balance_note_draining(
     struct loom_balance *balance, uint64_t host_id, uint64_t now_us)
 {
 	struct target *target = find(balance, host_id);
@@ -557,7 +557,8 @@
 }
 
 uint32_t
-loom_balance_live(const struct loom_balance *balance, uint64_t now_us)
+loom_balance_available_count(
+    const struct loom_balance *balance, uint64_t now_us)
 {
 	uint32_t i, n = 0;
 
--- a/src/decide/gone.c
+++ b/src/decide/crash_check.c
@@ -8,7 +8,7 @@
  * reached the same idle timeout of the upstream.
  */
 
-#include "decide/gone.h"
+#include "decide/crash_check.h"
 
 static uint64_t
 time_difference(uint64_t a, uint64_t b)
@@ -17,26 +17,27 @@
 }
 
 static bool
-ended_recently(const struct gone_witness *witness, uint64_t now_us)
+ended_recently(const struct crash_witness *witness, uint64_t now_us)
 {
 	return witness->ended &&
-	    time_difference(witness->seen_us, witness->ended_us) <=
-	    GONE_TOGETHER_US &&
-	    time_difference(witness->ended_us, now_us) <= GONE_TOGETHER_US;
+	    time_difference(witness->last_open_us, witness->ended_us) <=
+	    CRASH_CHECK_WINDOW_US &&
+	    time_difference(witness->ended_us, now_us) <= CRASH_CHECK_WINDOW_US;
 }
 
 bool
-gone_with(const struct gone_witness witnesses[GONE_WITNESSES], uint64_t now_us)
+crash_check_upstream_gone(
+    const struct crash_witness witnesses[CRASH_WITNESS_COUNT], uint64_t now_us)
 {
 	return ended_recently(&witnesses[0], now_us) &&
 	    ended_recently(&witnesses[1], now_us) &&
 	    time_difference(witnesses[0].opened_us, witnesses[1].opened_us) >=
-	    GONE_APART_US;
+	    CRASH_WITNESS_SPACING_US;
 }
 
 bool
-gone_may_open(uint64_t other_opened_us, uint64_t now_us)
+crash_check_may_open_witness(uint64_t other_opened_us, uint64_t now_us)
 {
 	return other_opened_us == 0 ||
-	    now_us >= other_opened_us + GONE_APART_US;
+	    now_us >= other_opened_us + CRASH_WITNESS_SPACING_US;
 }
--- a/src/decide/gone.h
+++ b/src/decide/crash_check.h
@@ -1,5 +1,5 @@
-#ifndef LOOM_DECIDE_GONE_H
-#define LOOM_DECIDE_GONE_H
+#ifndef LOOM_DECIDE_CRASH_CHECK_H
+#define LOOM_DECIDE_CRASH_CHECK_H
 
 /*
  * Detects a crash of an upstream that accepts connections again before anybody
@@ -19,38 +19,38 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define GONE_WITNESSES 2
+#define CRASH_WITNESS_COUNT 2
 
 /* Interval at which the witnesses are checked. */
-#define GONE_LOOK_US UINT64_C(50000)
+#define CRASH_WITNESS_POLL_US UINT64_C(50000)
 /*
  * Far longer than the interval between two checks, so that an idle timeout of
  * the upstream cannot close both witnesses between two checks.
  */
-#define GONE_APART_US UINT64_C(250000)
+#define CRASH_WITNESS_SPACING_US UINT64_C(250000)
 /*
  * The closing time of both witnesses must be known to within this time and must
  * lie within this time of the broken call. It allows for two checks and a
  * thread that runs late.
  */
-#define GONE_TOGETHER_US UINT64_C(150000)
+#define CRASH_CHECK_WINDOW_US UINT64_C(150000)
 
 /* The last witness connection of a slot that was closed by the upstream. */
-struct gone_witness {
+struct crash_witness {
 	bool ended; /* false if none was closed yet */
 	uint64_t opened_us;
-	uint64_t seen_us; /* last seen open */
+	uint64_t last_open_us; /* last seen open */
 	uint64_t ended_us; /* found closed */
 };
 
 /* Whether the upstream went down together with a call that broke just now. */
-bool gone_with(
-    const struct gone_witness witnesses[GONE_WITNESSES], uint64_t now_us);
+bool crash_check_upstream_gone(
+    const struct crash_witness witnesses[CRASH_WITNESS_COUNT], uint64_t now_us);
 
 /*
  * Whether a witness may be opened now. other_opened_us is the time when the
  * other one was opened, or 0 if it is not open.
  */
-bool gone_may_open(uint64_t other_opened_us, uint64_t now_us);
+bool crash_check_may_open_witness(uint64_t other_opened_us, uint64_t now_us);
 
 #endif
--- a/src/decide/outcome.c
+++ b/src/decide/outcome.c
@@ -40,7 +40,7 @@
 		if (facts->refusal != NULL)
 			return facts->refusal->code;
 		return LOOM_INTERNAL;
-	case LOOM_FAILURES:
+	case LOOM_FAILURE_COUNT:
 		break;
 	}
 	return LOOM_INTERNAL;
@@ -72,7 +72,7 @@
 	case LOOM_FAILURE_DEADLINE:
 	case LOOM_FAILURE_CALLER_GONE:
 		break;
-	case LOOM_FAILURES:
+	case LOOM_FAILURE_COUNT:
 		return LOOM_OUTCOME_UNKNOWN;
 	}
 	return facts->sent ? LOOM_OUTCOME_UNKNOWN : LOOM_OUTCOME_NOT_RUN;
@@ -92,7 +92,7 @@
 	struct loom_refusal refusal = { .outcome = base_outcome(facts) };
 
 	if (facts->ticketed && !outcome_from_executor(facts))
-		loom_refusal_ticket_not_begun(&refusal);
+		loom_refusal_hide_not_run(&refusal);
 	return refusal.outcome;
 }
 
@@ -168,7 +168,7 @@
 }
 
 struct loom_refusal
-loom_refusal_of(enum loom_result code)
+loom_refusal_for_code(enum loom_result code)
 {
 	return (struct loom_refusal){
 		.code = code,
@@ -177,7 +177,7 @@
 }
 
 void
-loom_refusal_ticket_not_begun(struct loom_refusal *refusal)
+loom_refusal_hide_not_run(struct loom_refusal *refusal)
 {
 	if (refusal->outcome == LOOM_OUTCOME_NOT_RUN)
 		refusal->outcome = LOOM_OUTCOME_UNKNOWN;
--- a/src/decide/retry.c
+++ b/src/decide/retry.c
@@ -97,7 +97,7 @@
 }
 
 enum loom_retry_verdict
-loom_retry_may(const struct loom_retry_failure *failure, bool *final)
+loom_retry_decide(const struct loom_retry_failure *failure, bool *final)
 {
 	/*
 	 * Either this is the hop directly above the failure, or the failure is
@@ -105,7 +105,8 @@
 	 * retries of all hops would multiply.
 	 */
 	*final = true;
-	if (failure->final || !failure->body_kept || failure->answer_begun)
+	if (failure->final || !failure->body_available ||
+	    failure->answer_started)
 		return LOOM_RETRY_NO;
 	if (!failure->repeatable && !failed_before_sending(failure->code))
 		return LOOM_RETRY_NO;
@@ -113,5 +114,5 @@
 		return LOOM_RETRY_NO;
 	if (!is_host_specific(failure->code))
 		return LOOM_RETRY_NO;
-	return LOOM_RETRY_ASK_HOME;
+	return LOOM_RETRY_NEEDS_GRANT;
 }
--- a/src/decide/retry.h
+++ b/src/decide/retry.h
@@ -4,7 +4,7 @@
 /*
  * Limits on retries: the retry credit of a service and the budget of one
  * request at its home. Which failures may be retried is decided by
- * loom_retry_may() in loom/retry.h.
+ * loom_retry_decide() in loom/retry.h.
  */
 
 #include <stdbool.h>
--- a/src/decide/suspects.c
+++ b/src/decide/suspects.c
@@ -148,17 +148,17 @@
 	    fingerprint_equal(&suspects->quiesce_for, &record->fingerprint);
 
 	if (now_us < record->not_before_us)
-		return LOOM_QUARANTINE_LATER;
+		return LOOM_QUARANTINE_RETRY_LATER;
 	if (suspects->in_flight.length == 0)
 		return LOOM_QUARANTINE_PASS;
 	if (now_us < suspects->quiesce_until_us)
 		return quiescing_for_this ? LOOM_QUARANTINE_HOLD
-					  : LOOM_QUARANTINE_LATER;
+					  : LOOM_QUARANTINE_RETRY_LATER;
 	if (quiescing_for_this && suspects->suspects_in_flight == 0)
 		return LOOM_QUARANTINE_PASS;
 	if (now_us < suspects->next_quiesce_us)
 		return quiescing_for_this ? LOOM_QUARANTINE_HOLD
-					  : LOOM_QUARANTINE_LATER;
+					  : LOOM_QUARANTINE_RETRY_LATER;
 	start_quiesce(suspects, &record->fingerprint, now_us);
 	return LOOM_QUARANTINE_HOLD;
 }
@@ -234,7 +234,7 @@
 
 bool
 suspects_leave(struct suspects *suspects, struct loom_quarantine_entry *entry,
-    enum loom_quarantine_end end, uint64_t now_us)
+    enum loom_quarantine_result end, uint64_t now_us)
 {
 	bool cleared = false;
 
@@ -252,7 +252,7 @@
 			suspects->down = false;
 	}
 	expire_abandoned(suspects, now_us);
-	if (end == LOOM_QUARANTINE_BROKEN && !entry->crash_counted) {
+	if (end == LOOM_QUARANTINE_INCOMPLETE && !entry->crash_counted) {
 		entry->abandoned_until_us = now_us + ABANDONED_US;
 		g_queue_push_tail_link(&suspects->abandoned, &entry->link);
 	} else {
--- a/src/decide/suspects.h
+++ b/src/decide/suspects.h
@@ -60,7 +60,7 @@
  * hosts.
  */
 bool suspects_leave(struct suspects *, struct loom_quarantine_entry *,
-    enum loom_quarantine_end, uint64_t now_us);
+    enum loom_quarantine_result, uint64_t now_us);
 
 /*
  * The connection of entry broke while it ran, and the upstream was found to
--- a/src/inner/quarantine_codec.c
+++ b/src/inner/quarantine_codec.c
@@ -6,7 +6,7 @@
 #include "loom/codec.h"
 
 size_t
-quarantine_records_pack(const struct quarantine_told *records, uint32_t count,
+quarantine_records_pack(const struct quarantine_report *records, uint32_t count,
     uint8_t out[QUARANTINE_MESSAGE_MAX])
 {
 	struct loom_packer packer;
@@ -18,7 +18,7 @@
 		loom_pack_bin(&packer, records[i].fingerprint.bytes,
 		    sizeof(records[i].fingerprint.bytes));
 		loom_pack_u64(&packer, records[i].level);
-		loom_pack_u64(&packer, records[i].strikes);
+		loom_pack_u64(&packer, records[i].crash_count);
 		loom_pack_u64(&packer, records[i].remaining_us);
 	}
 	return loom_pack_ok(&packer) ? packer.len : 0;
@@ -26,7 +26,7 @@
 
 uint32_t
 quarantine_records_unpack(const uint8_t *message, size_t len,
-    struct quarantine_told records[QUARANTINE_RECORDS_MAX])
+    struct quarantine_report records[QUARANTINE_RECORDS_MAX])
 {
 	struct loom_unpacker unpacker;
 	uint32_t i, count;
@@ -38,10 +38,10 @@
 		    sizeof(records[i].fingerprint.bytes));
 		records[i].level = (enum suspect_level)loom_unpack_u64(
 		    &unpacker, SUSPECT_QUARANTINED);
-		records[i].strikes =
+		records[i].crash_count =
 		    (uint8_t)loom_unpack_u64(&unpacker, UINT8_MAX);
 		records[i].remaining_us =
-		    loom_unpack_u64(&unpacker, QUARANTINE_TOLD_MAX_US);
+		    loom_unpack_u64(&unpacker, QUARANTINE_REMAINING_MAX_US);
 		if (records[i].level == SUSPECT_NONE)
 			loom_unpack_reject(&unpacker);
 	}
--- a/tests/control/test_quarantine.c
+++ b/tests/control/test_quarantine.c
@@ -36,7 +36,7 @@
 
 	from->network->bytes += len;
 	if (!from->network->drop_messages)
-		loom_quarantine_part.message(
+		loom_quarantine_ops.message(
 		    from->network->nodes[host_id - 1].quarantine, &sender, type,
 		    payload, len, from->network->now_us);
 }
@@ -68,7 +68,7 @@
 		config.self = &node->self;
 		config.sender = &node->sender;
 		node->quarantine = loom_quarantine_new(&config);
-		loom_quarantine_part.hosts_changed(
+		loom_quarantine_ops.hosts_changed(
 		    node->quarantine, network->hosts, network->now_us);
 	}
 }
@@ -90,7 +90,7 @@
 
 	network->now_us += us;
 	for (i = 0; i < NODES; i++)
-		loom_quarantine_part.tick(
+		loom_quarantine_ops.tick(
 		    network->nodes[i].quarantine, network->now_us);
 }
 
@@ -110,8 +110,8 @@
 	CU_ASSERT_EQUAL_FATAL(
 	    enter(node, fingerprint, &entry), LOOM_QUARANTINE_PASS);
 	loom_quarantine_crashed(node->quarantine, entry, node->network->now_us);
-	loom_quarantine_leave(node->quarantine, entry, LOOM_QUARANTINE_BROKEN,
-	    node->network->now_us);
+	loom_quarantine_leave(node->quarantine, entry,
+	    LOOM_QUARANTINE_INCOMPLETE, node->network->now_us);
 }
 
 /*
@@ -131,7 +131,7 @@
 	run_and_crash(&network.nodes[0], &fingerprint);
 	network_advance(&network, LOOM_US_PER_S);
 	CU_ASSERT_EQUAL(enter(&network.nodes[1], &fingerprint, &entry),
-	    LOOM_QUARANTINE_LATER);
+	    LOOM_QUARANTINE_RETRY_LATER);
 	network_advance(&network, 10 * LOOM_US_PER_S);
 	network.drop_messages = true;
 	run_and_crash(&network.nodes[1], &fingerprint);
@@ -176,7 +176,7 @@
 	CU_ASSERT(wait_us > 0);
 	network_advance(&network, wait_us - 1);
 	CU_ASSERT_EQUAL(enter(&network.nodes[1], &fingerprint, &entry),
-	    LOOM_QUARANTINE_LATER);
+	    LOOM_QUARANTINE_RETRY_LATER);
 	network_advance(&network, 1);
 	run_and_crash(&network.nodes[1], &fingerprint);
 	network_advance(&network, LOOM_US_PER_S);
@@ -245,7 +245,7 @@
 	    network.nodes[0].quarantine, entries[0], network.now_us);
 	for (i = 0; i < 200; i++)
 		loom_quarantine_leave(network.nodes[0].quarantine, entries[i],
-		    LOOM_QUARANTINE_BROKEN, network.now_us);
+		    LOOM_QUARANTINE_INCOMPLETE, network.now_us);
 	for (i = 0; i < 50 * 60; i++)
 		network_advance(&network, 20 * LOOM_US_PER_MS);
 	/*
@@ -291,7 +291,7 @@
 static void
 test_mutated(void)
 {
-	struct quarantine_told records[QUARANTINE_RECORDS_MAX] = {
+	struct quarantine_report records[QUARANTINE_RECORDS_MAX] = {
 		{ .level = SUSPECT_WEAK, .remaining_us = 5 },
 		{ .level = SUSPECT_QUARANTINED, .remaining_us = 1 << 30 },
 	};
--- a/tests/control/test_retry.c
+++ b/tests/control/test_retry.c
@@ -91,7 +91,7 @@
 		start_node(chain, i, 100 + i);
 		/* The service's retry credit is earned by first attempts. */
 		for (k = 0; k < 200; k++)
-			loom_retry_first_attempt(
+			loom_retry_note_first_attempt(
 			    chain->nodes[i].retry, SERVICE, chain->now_us);
 	}
 }
@@ -135,7 +135,7 @@
 }
 
 static void
-answered(struct loom_retry_ask *query, bool granted)
+answered(struct loom_retry_query *query, bool granted)
 {
 	struct chain *chain = query->arg;
 
@@ -147,10 +147,10 @@
 request_grant(
     struct chain *chain, unsigned node, const struct loom_retry_root *root)
 {
-	struct loom_retry_ask query = { .done = answered, .arg = chain };
+	struct loom_retry_query query = { .done = answered, .arg = chain };
 
 	chain->answered = false;
-	if (!loom_retry_ask(
+	if (!loom_retry_query(
 		chain->nodes[node].retry, root, SERVICE, chain->now_us, &query))
 		return false;
 	while (!chain->answered)
@@ -172,7 +172,7 @@
 	struct loom_retry_failure failure = {
 		.code = LOOM_UPSTREAM_CUT,
 		.repeatable = true,
-		.body_kept = true,
+		.body_available = true,
 		.remaining_us = DEADLINE_US,
 	};
 	unsigned i, node = depth % DAEMONS;
@@ -184,8 +184,8 @@
 	}
 	for (i = 0; i < FAN_OUT; i++) {
 		failure.final = run_failing_call(chain, depth + 1, root);
-		while (
-		    loom_retry_may(&failure, &final) == LOOM_RETRY_ASK_HOME &&
+		while (loom_retry_decide(&failure, &final) ==
+			LOOM_RETRY_NEEDS_GRANT &&
 		    request_grant(chain, node, root))
 			failure.final =
 			    run_failing_call(chain, depth + 1, root);
@@ -375,56 +375,56 @@
 		{ "cut",
 		    { .code = LOOM_UPSTREAM_CUT,
 			.repeatable = true,
-			.body_kept = true,
+			.body_available = true,
 			.remaining_us = 100,
 			.expected_us = 10 },
-		    LOOM_RETRY_ASK_HOME },
+		    LOOM_RETRY_NEEDS_GRANT },
 		{ "peer cut",
 		    { .code = LOOM_PEER_CUT,
 			.repeatable = true,
-			.body_kept = true,
+			.body_available = true,
 			.remaining_us = 100 },
-		    LOOM_RETRY_ASK_HOME },
+		    LOOM_RETRY_NEEDS_GRANT },
 		{ "leaving",
 		    { .code = LOOM_DRAINING,
 			.repeatable = true,
-			.body_kept = true,
+			.body_available = true,
 			.remaining_us = 100 },
-		    LOOM_RETRY_ASK_HOME },
+		    LOOM_RETRY_NEEDS_GRANT },
 		{ "not idempotent",
 		    { .code = LOOM_UPSTREAM_CUT,
-			.body_kept = true,
+			.body_available = true,
 			.remaining_us = 100 },
 		    LOOM_RETRY_NO },
 		{ "final",
 		    { .code = LOOM_UPSTREAM_CUT,
 			.repeatable = true,
 			.final = true,
-			.body_kept = true,
+			.body_available = true,
 			.remaining_us = 100 },
 		    LOOM_RETRY_NO },
 		{ "overload",
 		    { .code = LOOM_OVERLOAD,
 			.repeatable = true,
-			.body_kept = true,
+			.body_available = true,
 			.remaining_us = 100 },
 		    LOOM_RETRY_NO },
 		{ "team over its rate",
 		    { .code = LOOM_TEAM_RATE,
 			.repeatable = true,
-			.body_kept = true,
+			.body_available = true,
 			.remaining_us = 100 },
 		    LOOM_RETRY_NO },
 		{ "deadline",
 		    { .code = LOOM_DEADLINE,
 			.repeatable = true,
-			.body_kept = true,
+			.body_available = true,
 			.remaining_us = 100 },
 		    LOOM_RETRY_NO },
 		{ "quarantined",
 		    { .code = LOOM_QUARANTINED,
 			.repeatable = true,
-			.body_kept = true,
+			.body_available = true,
 			.remaining_us = 100 },
 		    LOOM_RETRY_NO },
 		{ "body not kept",
@@ -435,14 +435,14 @@
 		{ "answer started",
 		    { .code = LOOM_UPSTREAM_CUT,
 			.repeatable = true,
-			.body_kept = true,
-			.answer_begun = true,
+			.body_available = true,
+			.answer_started = true,
 			.remaining_us = 100 },
 		    LOOM_RETRY_NO },
 		{ "no time left",
 		    { .code = LOOM_UPSTREAM_CUT,
 			.repeatable = true,
-			.body_kept = true,
+			.body_available = true,
 			.remaining_us = 10,
 			.expected_us = 10 },
 		    LOOM_RETRY_NO },
@@ -452,7 +452,7 @@
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
 		final = false;
-		TEST_CHECK(loom_retry_may(&cases[i].failure, &final) ==
+		TEST_CHECK(loom_retry_decide(&cases[i].failure, &final) ==
 			cases[i].verdict,
 		    "%s", cases[i].name);
 		TEST_CHECK(final, "%s", cases[i].name);
--- a/tests/decide/test_balance.c
+++ b/tests/decide/test_balance.c
@@ -14,7 +14,7 @@
 
 struct simulated_target {
 	uint32_t latency_ms;
-	enum loom_target_end end;
+	enum loom_target_result end;
 	bool far;
 	bool listed_draining; /* draining according to the host list */
 	bool reports_draining;
@@ -131,10 +131,10 @@
 		hosts[n++] = (struct loom_balance_host){
 			.host_id = i + 1,
 			.near = !targets[i].far,
-			.leaving = targets[i].listed_draining,
+			.draining = targets[i].listed_draining,
 		};
 	}
-	loom_balance_hosts_changed(sim->balance, hosts, n, now_us);
+	loom_balance_set_hosts(sim->balance, hosts, n, now_us);
 }
 
 static void
@@ -170,7 +170,7 @@
 	set_hosts(&sim, targets, false, 0);
 	for (i = 0; i < TARGETS; i++) {
 		if (targets[i].reports_draining)
-			loom_balance_note_leaving(sim.balance, i + 1, 0);
+			loom_balance_note_draining(sim.balance, i + 1, 0);
 	}
 	for (ms = 1; ms <= 4000; ms++) {
 		if (ms == 2000)
@@ -233,18 +233,19 @@
 	int i;
 
 	CU_ASSERT_EQUAL(loom_balance_pick(balance, NULL, 0, 0), 0);
-	loom_balance_hosts_changed(balance, hosts, 2, 0);
+	loom_balance_set_hosts(balance, hosts, 2, 0);
 	for (i = 0; i < 20; i++)
 		CU_ASSERT_EQUAL(loom_balance_pick(balance, tried, 1, 0), 2);
 	CU_ASSERT_EQUAL(loom_balance_pick(balance, tried, 2, 0), 0);
-	CU_ASSERT_EQUAL(loom_balance_live(balance, 0), 2);
-	loom_balance_note_leaving(balance, 1, 0);
-	CU_ASSERT_EQUAL(loom_balance_live(balance, 0), 1);
+	CU_ASSERT_EQUAL(loom_balance_available_count(balance, 0), 2);
+	loom_balance_note_draining(balance, 1, 0);
+	CU_ASSERT_EQUAL(loom_balance_available_count(balance, 0), 1);
 	/* The host list is delayed: it still lists the host as serving. */
-	loom_balance_hosts_changed(balance, hosts, 2, 0);
-	CU_ASSERT_EQUAL(loom_balance_live(balance, 0), 1);
+	loom_balance_set_hosts(balance, hosts, 2, 0);
+	CU_ASSERT_EQUAL(loom_balance_available_count(balance, 0), 1);
 	/* The report expires: a host restarted in place never left the list. */
-	CU_ASSERT_EQUAL(loom_balance_live(balance, 6 * LOOM_US_PER_S), 2);
+	CU_ASSERT_EQUAL(
+	    loom_balance_available_count(balance, 6 * LOOM_US_PER_S), 2);
 	talloc_free(balance);
 	test_random_free(&random);
 }
@@ -267,14 +268,14 @@
 	struct loom_balance *balance = loom_balance_new(NULL, &random, COLD_US);
 	int i;
 
-	loom_balance_hosts_changed(balance, hosts, 2, 0);
+	loom_balance_set_hosts(balance, hosts, 2, 0);
 	loom_balance_note_sent(balance, 1, 1 * s);
 	CU_ASSERT_EQUAL(loom_balance_probe_due(balance, 1 * s), 0);
 	for (i = 0; i < 20; i++)
 		CU_ASSERT_EQUAL(loom_balance_pick(balance, NULL, 0, 3 * s), 2);
 	CU_ASSERT_EQUAL(loom_balance_probe_due(balance, 3 * s), 1);
 	CU_ASSERT_EQUAL(loom_balance_probe_due(balance, 9 * s), 0);
-	loom_balance_note_probe(balance, 1, LOOM_PROBE_SILENT, 10 * s);
+	loom_balance_note_probe(balance, 1, LOOM_PROBE_NO_ANSWER, 10 * s);
 	CU_ASSERT_EQUAL(loom_balance_probe_due(balance, 10 * s), 0);
 	CU_ASSERT_EQUAL(loom_balance_probe_due(balance, 11 * s), 1);
 	/* Its call is cancelled, but it has still not answered. */
@@ -283,7 +284,7 @@
 	CU_ASSERT_EQUAL(loom_balance_pick(balance, NULL, 0, 12 * s), 2);
 	loom_balance_note_sent(balance, 2, 12 * s);
 	CU_ASSERT_NOT_EQUAL(loom_balance_pick(balance, NULL, 0, 20 * s), 0);
-	loom_balance_note_probe(balance, 1, LOOM_PROBE_ALIVE, 20 * s);
+	loom_balance_note_probe(balance, 1, LOOM_PROBE_NOT_SERVING, 20 * s);
 	for (i = 0; i < 20; i++)
 		CU_ASSERT_EQUAL(loom_balance_pick(balance, NULL, 0, 20 * s), 1);
 	talloc_free(balance);
@@ -309,7 +310,7 @@
 	uint64_t now_us = 100 * ms;
 	int i;
 
-	loom_balance_hosts_changed(balance, hosts, 2, 0);
+	loom_balance_set_hosts(balance, hosts, 2, 0);
 	for (i = 0; i < 20; i++) {
 		loom_balance_note_done(
 		    balance, 1, LOOM_TARGET_OK, 12 * ms, now_us);
@@ -317,8 +318,8 @@
 		    balance, 2, LOOM_TARGET_OK, 25 * ms, now_us);
 	}
 	CU_ASSERT_EQUAL(loom_balance_pick(balance, NULL, 0, now_us), 1);
-	loom_balance_note_used(balance, 1, 1.4, now_us);
-	loom_balance_note_used(balance, 2, 0.4, now_us);
+	loom_balance_note_utilization(balance, 1, 1.4, now_us);
+	loom_balance_note_utilization(balance, 2, 0.4, now_us);
 	CU_ASSERT_EQUAL(loom_balance_pick(balance, NULL, 0, now_us), 2);
 	now_us += 60 * LOOM_US_PER_S;
 	loom_balance_note_done(balance, 1, LOOM_TARGET_OK, 12 * ms, now_us);
@@ -345,15 +346,15 @@
 	struct loom_random random = test_random_new(1);
 	struct loom_balance *balance = loom_balance_new(NULL, &random, COLD_US);
 
-	loom_balance_hosts_changed(balance, hosts, 2, 0);
-	loom_balance_note_leaving(balance, 1, 1000 * ms);
+	loom_balance_set_hosts(balance, hosts, 2, 0);
+	loom_balance_note_draining(balance, 1, 1000 * ms);
 	CU_ASSERT_EQUAL(loom_balance_probe_due(balance, 1000 * ms), 0);
 	CU_ASSERT_EQUAL(loom_balance_probe_due(balance, 1600 * ms), 1);
-	loom_balance_note_probe(balance, 1, LOOM_PROBE_ALIVE, 1600 * ms);
-	CU_ASSERT_EQUAL(loom_balance_live(balance, 1600 * ms), 1);
+	loom_balance_note_probe(balance, 1, LOOM_PROBE_NOT_SERVING, 1600 * ms);
+	CU_ASSERT_EQUAL(loom_balance_available_count(balance, 1600 * ms), 1);
 	CU_ASSERT_EQUAL(loom_balance_probe_due(balance, 2200 * ms), 1);
 	loom_balance_note_probe(balance, 1, LOOM_PROBE_SERVING, 2200 * ms);
-	CU_ASSERT_EQUAL(loom_balance_live(balance, 2200 * ms), 2);
+	CU_ASSERT_EQUAL(loom_balance_available_count(balance, 2200 * ms), 2);
 	CU_ASSERT_EQUAL(loom_balance_probe_due(balance, 9000 * ms), 0);
 	talloc_free(balance);
 	test_random_free(&random);
@@ -394,10 +395,10 @@
 	for (i = 0; i < G_N_ELEMENTS(rows); i++) {
 		balance = loom_balance_new(NULL, &random, COLD_US);
 		loom_balance_set_far_cost(balance, rows[i].far_cost);
-		loom_balance_hosts_changed(balance, hosts, 2, 0);
+		loom_balance_set_hosts(balance, hosts, 2, 0);
 		for (j = 0; j < rows[i].near_in_flight; j++)
 			loom_balance_note_sent(balance, 1, LOOM_US_PER_MS);
-		loom_balance_note_used(
+		loom_balance_note_utilization(
 		    balance, 1, rows[i].near_utilization, LOOM_US_PER_MS);
 		TEST_CHECK(loom_balance_pick(balance, NULL, 0,
 			       LOOM_US_PER_MS) == rows[i].expected,
--- a/tests/decide/test_gone.c
+++ b/tests/decide/test_crash_check.c
@@ -2,7 +2,7 @@
  * Detection of crashes of an upstream that accepts connections again at once.
  */
 
-#include "decide/gone.h"
+#include "decide/crash_check.h"
 #include "support/test.h"
 
 #define MS UINT64_C(1000)
@@ -28,7 +28,7 @@
 {
 	static const struct {
 		const char *name;
-		struct witness_case witnesses[GONE_WITNESSES];
+		struct witness_case witnesses[CRASH_WITNESS_COUNT];
 		bool crashed;
 	} cases[] = {
 		{ "both witnesses close with the call",
@@ -52,29 +52,29 @@
 		{ "opened with the smallest allowed spacing",
 		    { { 60000, 20, 0 }, { 59750, 20, 0 } }, true },
 	};
-	struct gone_witness witnesses[GONE_WITNESSES];
+	struct crash_witness witnesses[CRASH_WITNESS_COUNT];
 	const struct witness_case *witness;
 	size_t i, j;
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
-		for (j = 0; j < GONE_WITNESSES; j++) {
+		for (j = 0; j < CRASH_WITNESS_COUNT; j++) {
 			witness = &cases[i].witnesses[j];
-			witnesses[j] = (struct gone_witness){
+			witnesses[j] = (struct crash_witness){
 				.ended = witness->found_closed_ago_ms >= 0,
 				.opened_us = (uint64_t)(NOW_MS -
 						 witness->opened_ago_ms) *
 				    MS,
-				.seen_us = (uint64_t)(NOW_MS -
-					       witness->last_open_ago_ms) *
+				.last_open_us = (uint64_t)(NOW_MS -
+						    witness->last_open_ago_ms) *
 				    MS,
 				.ended_us = (uint64_t)(NOW_MS -
 						witness->found_closed_ago_ms) *
 				    MS,
 			};
 		}
-		TEST_CHECK(
-		    gone_with(witnesses, NOW_MS * MS) == cases[i].crashed, "%s",
-		    cases[i].name);
+		TEST_CHECK(crash_check_upstream_gone(witnesses, NOW_MS * MS) ==
+			cases[i].crashed,
+		    "%s", cases[i].name);
 	}
 }
 
@@ -82,9 +82,11 @@
 static void
 test_witness_spacing(void)
 {
-	CU_ASSERT_TRUE(gone_may_open(0, 5));
-	CU_ASSERT_FALSE(gone_may_open(5, 5 + GONE_APART_US - 1));
-	CU_ASSERT_TRUE(gone_may_open(5, 5 + GONE_APART_US));
+	CU_ASSERT_TRUE(crash_check_may_open_witness(0, 5));
+	CU_ASSERT_FALSE(
+	    crash_check_may_open_witness(5, 5 + CRASH_WITNESS_SPACING_US - 1));
+	CU_ASSERT_TRUE(
+	    crash_check_may_open_witness(5, 5 + CRASH_WITNESS_SPACING_US));
 }
 
 static const struct test_case tests[] = {
--- a/tests/decide/test_outcome.c
+++ b/tests/decide/test_outcome.c
@@ -158,7 +158,7 @@
 	unsigned bits;
 	int failure;
 
-	for (failure = 0; failure < LOOM_FAILURES; failure++) {
+	for (failure = 0; failure < LOOM_FAILURE_COUNT; failure++) {
 		for (bits = 0; bits < 16; bits++) {
 			facts = (struct loom_failure_facts){
 				.leg = bits & 1 ? PEER : UP,
@@ -179,7 +179,7 @@
 static void
 test_refusal_round_trip(void)
 {
-	struct loom_refusal refusal = loom_refusal_of(LOOM_TICKET_NEEDED);
+	struct loom_refusal refusal = loom_refusal_for_code(LOOM_TICKET_NEEDED);
 	struct loom_refusal copy;
 	char *text;
 
--- a/tests/decide/test_suspects.c
+++ b/tests/decide/test_suspects.c
@@ -55,7 +55,7 @@
 };
 
 static void
-leave(struct script_state *state, int i, enum loom_quarantine_end end)
+leave(struct script_state *state, int i, enum loom_quarantine_result end)
 {
 	if (state->entries[i] != NULL)
 		suspects_leave(
@@ -75,7 +75,7 @@
 		any = true;
 		suspects_crashed(
 		    &state->suspects, state->entries[i], state->now_us);
-		leave(state, i, LOOM_QUARANTINE_BROKEN);
+		leave(state, i, LOOM_QUARANTINE_INCOMPLETE);
 	}
 	if (!any)
 		suspects_unreachable(&state->suspects, NULL, state->now_us);
@@ -124,7 +124,8 @@
 		} else if (*script == '>') {
 			state->now_us += 3600 * SECOND;
 		} else if (*script == '-') {
-			leave(state, *++script - 'a', LOOM_QUARANTINE_BROKEN);
+			leave(
+			    state, *++script - 'a', LOOM_QUARANTINE_INCOMPLETE);
 		} else if (g_ascii_islower(*script)) {
 			i = *script - 'a';
 			fingerprint = fingerprint_of((unsigned)i);
@@ -166,7 +167,7 @@
 		{ "in flight at a second crash", "ab!bBac!",
 		    LOOM_QUARANTINE_PASS, "s-w" },
 		{ "a strong suspect has to wait", "ab!bBac!cCa",
-		    LOOM_QUARANTINE_LATER, "s--" },
+		    LOOM_QUARANTINE_RETRY_LATER, "s--" },
 		{ "the upstream is quiesced for a strong suspect",
 		    "ab!bBac!+cCba", LOOM_QUARANTINE_HOLD, "s--" },
 		{ "quiescing holds other calls back", "ab!bBac!+cCbac",
@@ -442,7 +443,7 @@
 		suspects_crashed(
 		    &host->suspects, host->calls[i].entry, sim->now_us);
 		suspects_leave(&host->suspects, host->calls[i].entry,
-		    LOOM_QUARANTINE_BROKEN, sim->now_us);
+		    LOOM_QUARANTINE_INCOMPLETE, sim->now_us);
 	}
 	if (!any)
 		suspects_unreachable(&host->suspects, NULL, sim->now_us);
@@ -467,7 +468,7 @@
 		call = &host->calls[i];
 		if (call->entry != NULL && call->abandoned_us <= sim->now_us) {
 			suspects_leave(&host->suspects, call->entry,
-			    LOOM_QUARANTINE_BROKEN, sim->now_us);
+			    LOOM_QUARANTINE_INCOMPLETE, sim->now_us);
 			call->entry = NULL;
 		}
 		if (call->ends_us > sim->now_us) {
--- a/tests/load/test_load.c
+++ b/tests/load/test_load.c
@@ -480,8 +480,9 @@
 static void
 test_wrongful_refusals(void)
 {
-	const struct loom_refusal rate = loom_refusal_of(LOOM_TEAM_RATE);
-	const struct loom_refusal overload = loom_refusal_of(LOOM_OVERLOAD);
+	const struct loom_refusal rate = loom_refusal_for_code(LOOM_TEAM_RATE);
+	const struct loom_refusal overload =
+	    loom_refusal_for_code(LOOM_OVERLOAD);
 	struct load_settings settings;
 	struct load_results *results;
 	bool within;
