--- a/bench/bench_rights.c
+++ b/bench/bench_rights.c
@@ -160,7 +160,7 @@
 		up.entries[i] = (struct loom_rights_up_entry){
 			.team_id = team_id(i),
 			.demand_mhz = 30000,
-			.ahead_utok = LOOM_TOKEN_UTOK,
+			.prefetch_utok = LOOM_TOKEN_UTOK,
 		};
 	len = loom_rights_up_pack(&up, buf, sizeof(buf));
 	loom_rights_ops.message(
@@ -267,7 +267,7 @@
 		down.entries[i] = (struct loom_rights_down_entry){
 			.team_id = team_id(i),
 			.flags = LOOM_RIGHTS_GRANT,
-			.share.capacity = LOOM_WHOLE / 1000,
+			.share.capacity = LOOM_SHARE_WHOLE / 1000,
 			.tokens_utok = LOOM_TOKEN_UTOK,
 			.duration_us = 400 * MS,
 		};
--- a/include/loom/rights.h
+++ b/include/loom/rights.h
@@ -45,7 +45,7 @@
  * The longest that a call waits while its pool is silent. By then another pool
  * has been chosen and what was lent to the silent one has returned.
  */
-#define LOOM_RIGHTS_SILENCE_US UINT64_C(2000000)
+#define LOOM_RIGHTS_SILENT_WAIT_US UINT64_C(2000000)
 
 /* Conditions under which the rates are guaranteed. 0 selects the default. */
 struct loom_rights_settings {
@@ -147,7 +147,7 @@
 	uint64_t team_id;
 	uint64_t since_us;
 	uint64_t until_us; /* end of the wait if the pool responds */
-	uint64_t latest_us; /* end of the wait if it is silent */
+	uint64_t silent_until_us; /* end of the wait if it is silent */
 	uint64_t retry_after_us;
 	enum loom_result result;
 	uint8_t state;
--- a/include/loom/rights_set.h
+++ b/include/loom/rights_set.h
@@ -31,7 +31,7 @@
  * The partition responsible for a team, borrowed; for loom_rights_take(),
  * _wait(), _cancel() and _team_status(). Any thread.
  */
-struct loom_rights *loom_rights_of(
+struct loom_rights *loom_rights_set_find(
     const struct loom_rights_set *, uint64_t team_id);
 
 uint32_t loom_rights_set_count(const struct loom_rights_set *);
--- a/src/control/rights.c
+++ b/src/control/rights.c
@@ -385,7 +385,7 @@
 static double
 part_of_whole(uint64_t parts)
 {
-	return (double)parts / (double)LOOM_WHOLE;
+	return (double)parts / (double)LOOM_SHARE_WHOLE;
 }
 
 bool
--- a/src/control/rights_child.c
+++ b/src/control/rights_child.c
@@ -171,7 +171,8 @@
 		entry->first_utok =
 		    MIN(entry->need_utok, first > level ? first - level : 1);
 	if (!team->scarce && waiting + target > level)
-		entry->ahead_utok = waiting + target - level - entry->need_utok;
+		entry->prefetch_utok =
+		    waiting + target - level - entry->need_utok;
 }
 
 static void
@@ -194,7 +195,7 @@
 	if (in->share.refill == 0)
 		in->share.capacity = MIN(in->share.capacity,
 		    loom_capacity_parts(&team->bucket, entry->held_utok));
-	entry->got_seq = in->seq;
+	entry->received_seq = in->seq;
 	entry->keep = in->share;
 }
 
@@ -231,7 +232,7 @@
 	}
 	team->bucket.level_utok -= utok;
 	entry->held_utok -= utok;
-	entry->give_utok = utok;
+	entry->returned_utok = utok;
 }
 
 /* Returns everything of a team that has had no calls for long. */
@@ -262,7 +263,7 @@
 	    demand_per_s(team, now_us), rights->choice.stage > 0, team->plenty);
 	if (in != NULL && !team->scarce)
 		keep += (uint64_t)((double)in->share.refill /
-		    (double)LOOM_WHOLE * team->bucket.rate_per_s *
+		    (double)LOOM_SHARE_WHOLE * team->bucket.rate_per_s *
 		    (double)LOOM_LOAN_RENEW_US / 2);
 	return keep;
 }
@@ -470,7 +471,7 @@
 		.seq = down->seq,
 		.share = entry->share,
 		.tokens_utok = entry->tokens_utok -
-		    MIN(entry->tokens_utok, entry->flash_utok),
+		    MIN(entry->tokens_utok, entry->transit_utok),
 		.until_us = down->child_now_us +
 		    loom_loan_borrower_duration_us(entry->duration_us),
 	};
@@ -479,11 +480,11 @@
 		&team->bucket, &team->shard->base, &grant, now_us))
 		return;
 	/* The pool reserves capacity for these tokens no longer than this. */
-	if (entry->flash_utok > 0 &&
+	if (entry->transit_utok > 0 &&
 	    now_us < down->child_now_us +
 		    loom_loan_borrower_duration_us(LOOM_LOAN_TRANSIT_US))
 		rights_serve_transit(
-		    team, entry->flash_utok, now_us, &rights->last_done);
+		    team, entry->transit_utok, now_us, &rights->last_done);
 }
 
 /*
--- a/src/control/rights_internal.h
+++ b/src/control/rights_internal.h
@@ -19,10 +19,10 @@
 #include <stdatomic.h>
 
 #include "decide/demand.h"
-#include "decide/holding.h"
 #include "decide/loan.h"
 #include "decide/ownership.h"
 #include "decide/pool_choice.h"
+#include "decide/team_bucket.h"
 #include "inner/codec_rights.h"
 #include "loom/counter.h"
 #include "loom/rights.h"
--- a/src/control/rights_pool.c
+++ b/src/control/rights_pool.c
@@ -164,7 +164,7 @@
 refill_per_s(const struct rights_team *team, uint64_t now_us)
 {
 	return team->bucket.rate_per_s *
-	    (double)whole_share(team, now_us).refill / (double)LOOM_WHOLE;
+	    (double)whole_share(team, now_us).refill / (double)LOOM_SHARE_WHOLE;
 }
 
 static double
@@ -277,7 +277,7 @@
 		entry->flags |= LOOM_RIGHTS_PLENTY;
 	entry->share = decision.share;
 	entry->tokens_utok = decision.added_utok;
-	entry->flash_utok = decision.transit_utok;
+	entry->transit_utok = decision.transit_utok;
 	entry->duration_us = duration_us;
 }
 
@@ -366,16 +366,16 @@
 	if (now_us >= out->lender_loan.until_us)
 		out->lender_loan.committed = (struct loom_share){ 0 };
 	loom_lender_loan_confirm(
-	    &out->lender_loan, entry->got_seq, entry->keep);
+	    &out->lender_loan, entry->received_seq, entry->keep);
 	rights_update_lent(team, &before, &out->lender_loan.committed);
 	loom_bucket_add(
-	    &team->bucket, &team->shard->base, entry->give_utok, now_us);
-	team->returned_utok += entry->give_utok;
+	    &team->bucket, &team->shard->base, entry->returned_utok, now_us);
+	team->returned_utok += entry->returned_utok;
 	set_demand(team, out, (double)entry->demand_mhz / MHZ_PER_HZ);
 	out->held_utok = entry->held_utok;
 	out->lender_loan.need_utok = entry->need_utok;
 	out->lender_loan.first_utok = entry->first_utok;
-	rights_grant(rights, team, out, entry->ahead_utok, now_us);
+	rights_grant(rights, team, out, entry->prefetch_utok, now_us);
 	if (out->lender_loan.need_utok > 0)
 		wait_or_refuse(rights, team, out, now_us);
 	if (!g_queue_is_empty(&team->waiting_children) || team->nwaiters > 0)
--- a/src/control/rights_set.c
+++ b/src/control/rights_set.c
@@ -47,7 +47,7 @@
 }
 
 struct loom_rights *
-loom_rights_of(const struct loom_rights_set *set, uint64_t team_id)
+loom_rights_set_find(const struct loom_rights_set *set, uint64_t team_id)
 {
 	return set->partitions[loom_rights_partition(team_id, set->n)];
 }
--- a/src/control/rights_take.c
+++ b/src/control/rights_take.c
@@ -79,7 +79,7 @@
 	struct loom_share net =
 	    loom_bucket_usable_share(&team->bucket, base, now_us);
 	unsigned shares = atomic_load(&rights->shares);
-	uint64_t wait_us, least = LOOM_WHOLE;
+	uint64_t wait_us, least = LOOM_SHARE_WHOLE;
 	double per_s;
 
 	wait_us =
@@ -89,9 +89,9 @@
 	if (team->no_tokens_until_us > now_us)
 		wait_us = MAX(wait_us, team->no_tokens_until_us - now_us);
 	if (shares > 0)
-		least = LOOM_WHOLE / shares;
+		least = LOOM_SHARE_WHOLE / shares;
 	per_s = team->bucket.rate_per_s * (double)MAX(net.refill, least) /
-	    (double)LOOM_WHOLE;
+	    (double)LOOM_SHARE_WHOLE;
 	return loom_loan_retry_after_us(per_s,
 	    loom_demand_per_s(&team->refused, now_us), wait_us,
 	    loom_random_unit(&rights->random));
@@ -189,7 +189,7 @@
 {
 	uint64_t left_us =
 	    waiter->deadline_us - MIN(waiter->deadline_us, now_us);
-	uint64_t wait_us = LOOM_RIGHTS_SILENCE_US;
+	uint64_t wait_us = LOOM_RIGHTS_SILENT_WAIT_US;
 
 	if (waiter->deadline_us != 0)
 		wait_us = MIN(wait_us, left_us / 2);
@@ -211,7 +211,7 @@
 	waiter->team_id = team_id;
 	waiter->since_us = now_us;
 	waiter->until_us = now_us + rights->settings.wait_us;
-	waiter->latest_us = wait_limit_us(waiter, now_us);
+	waiter->silent_until_us = wait_limit_us(waiter, now_us);
 	waiter->retry_after_us = 0;
 	waiter->state = RIGHTS_WAITER_QUEUED;
 	*team->last_waiter = waiter;
@@ -315,8 +315,8 @@
 	const struct loom_rights_waiter *waiter = team->first_waiter;
 
 	if (is_rate_unknown(rights, waiter, now_us))
-		return now_us < waiter->latest_us ? LOOM_RIGHTS_PENDING
-						  : LOOM_RATE_UNKNOWN;
+		return now_us < waiter->silent_until_us ? LOOM_RIGHTS_PENDING
+							: LOOM_RATE_UNKNOWN;
 	return is_wait_futile(team, now_us) ? LOOM_TEAM_RATE
 					    : LOOM_RIGHTS_PENDING;
 }
--- a/src/daemon/rate.c
+++ b/src/daemon/rate.c
@@ -8,7 +8,7 @@
 static struct loom_rights *
 call_rights(const struct call *call)
 {
-	return loom_rights_of(
+	return loom_rights_set_find(
 	    call->worker->daemon->rights, call->context.team_id);
 }
 
--- a/src/daemon/status.c
+++ b/src/daemon/status.c
@@ -63,8 +63,9 @@
 	loom_json_add_text(object, "team", team->name);
 	add_real(object, "rate_per_s", team->rate_per_s);
 	loom_json_add_int(object, "burst", team->burst);
-	if (!loom_rights_team_status(loom_rights_of(daemon->rights, team->id),
-		team->id, loom_now_us(), &status))
+	if (!loom_rights_team_status(
+		loom_rights_set_find(daemon->rights, team->id), team->id,
+		loom_now_us(), &status))
 		return object;
 	add_real(object, "refill_per_s", status.refill_per_s);
 	add_real(object, "capacity", status.capacity);
--- a/src/decide/loan.c
+++ b/src/decide/loan.c
@@ -176,14 +176,14 @@
 	    team->rate_per_s <= 0)
 		return 0;
 	lendable = REFILL_LENT_MAX_PART * team->rate_per_s *
-	    (double)request->team_share.refill / (double)LOOM_WHOLE;
+	    (double)request->team_share.refill / (double)LOOM_SHARE_WHOLE;
 	want = part * request->demand_per_s;
 	if (part * all > lendable)
 		want = lendable * request->demand_per_s / all;
 	if (want > team->rate_per_s)
 		want = team->rate_per_s;
 	return min_u64(request->lendable.refill,
-	    (uint64_t)(want / team->rate_per_s * (double)LOOM_WHOLE));
+	    (uint64_t)(want / team->rate_per_s * (double)LOOM_SHARE_WHOLE));
 }
 
 /*
@@ -284,7 +284,7 @@
 loom_loan_is_under_rate(const struct loom_team_bucket *team,
     struct loom_share whole, double demand_per_s)
 {
-	double part = (double)whole.refill / (double)LOOM_WHOLE;
+	double part = (double)whole.refill / (double)LOOM_SHARE_WHOLE;
 
 	return demand_per_s < UNDER_RATE_PART * part * team->rate_per_s;
 }
--- a/src/decide/loan.h
+++ b/src/decide/loan.h
@@ -10,7 +10,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "decide/holding.h"
+#include "decide/team_bucket.h"
 
 /*
  * A daemon may lend on what it has borrowed, so the loan it makes must end
--- a/src/decide/ownership.c
+++ b/src/decide/ownership.c
@@ -3,7 +3,7 @@
  */
 
 #include "decide/ownership.h"
-#include "decide/holding.h"
+#include "decide/team_bucket.h"
 
 struct known_host {
 	uint64_t host_id;
@@ -183,5 +183,5 @@
 		return 0;
 	own->withheld = false;
 	/* Cannot divide by 0: a listed host counts itself. */
-	return LOOM_WHOLE / MAX(1, own->shares);
+	return LOOM_SHARE_WHOLE / MAX(1, own->shares);
 }
--- a/src/decide/ownership.h
+++ b/src/decide/ownership.h
@@ -73,8 +73,8 @@
     struct loom_ownership *, const struct loom_hosts *hosts, uint64_t now_us);
 
 /*
- * The share owned now, in units of 1/LOOM_WHOLE. Must be called often: a gap
- * longer than list_lag_us between two calls is taken for a pause of the
+ * The share owned now, in units of 1/LOOM_SHARE_WHOLE. Must be called often: a
+ * gap longer than list_lag_us between two calls is taken for a pause of the
  * process, after which it owns nothing until it has had time to receive a newer
  * list.
  */
--- a/src/decide/holding.c
+++ b/src/decide/team_bucket.c
@@ -16,13 +16,14 @@
 
 #include <string.h>
 
-#include "decide/holding.h"
 #include "decide/integer.h"
+#include "decide/team_bucket.h"
 
 uint64_t
 loom_capacity_utok(const struct loom_team_bucket *bucket, uint64_t parts)
 {
-	double tokens = (double)parts * bucket->burst / (double)LOOM_WHOLE;
+	double tokens =
+	    (double)parts * bucket->burst / (double)LOOM_SHARE_WHOLE;
 
 	return (uint64_t)(tokens * (double)LOOM_TOKEN_UTOK);
 }
@@ -33,9 +34,9 @@
 	double tokens = (double)utok / (double)LOOM_TOKEN_UTOK;
 
 	if (bucket->burst == 0 || tokens >= bucket->burst)
-		return LOOM_WHOLE;
-	return min_u64(LOOM_WHOLE,
-	    (uint64_t)(tokens * (double)LOOM_WHOLE / bucket->burst) + 1);
+		return LOOM_SHARE_WHOLE;
+	return min_u64(LOOM_SHARE_WHOLE,
+	    (uint64_t)(tokens * (double)LOOM_SHARE_WHOLE / bucket->burst) + 1);
 }
 
 struct loom_share
@@ -92,7 +93,7 @@
 	struct loom_share net =
 	    loom_bucket_usable_share(bucket, base, bucket->at_us);
 	double elapsed_us = (double)(to_us - bucket->at_us);
-	double part = (double)net.refill / (double)LOOM_WHOLE;
+	double part = (double)net.refill / (double)LOOM_SHARE_WHOLE;
 
 	/* Tokens per second equal microtokens per microsecond. */
 	bucket->level_utok +=
@@ -235,7 +236,7 @@
 {
 	struct loom_share net = loom_bucket_usable_share(bucket, base, now_us);
 	double per_us =
-	    (double)net.refill / (double)LOOM_WHOLE * bucket->rate_per_s;
+	    (double)net.refill / (double)LOOM_SHARE_WHOLE * bucket->rate_per_s;
 
 	if (bucket->level_utok >= utok)
 		return 0;
--- a/src/decide/holding.h
+++ b/src/decide/team_bucket.h
@@ -1,5 +1,5 @@
-#ifndef LOOM_DECIDE_HOLDING_H
-#define LOOM_DECIDE_HOLDING_H
+#ifndef LOOM_DECIDE_TEAM_BUCKET_H
+#define LOOM_DECIDE_TEAM_BUCKET_H
 
 /*
  * One daemon's token bucket for one team: its share of the team's refill and
@@ -18,12 +18,12 @@
  * The whole of a team's rate and burst. 1/17,000 of it is represented with an
  * error of at most 4 in a million.
  */
-#define LOOM_WHOLE (UINT64_C(1) << 32)
+#define LOOM_SHARE_WHOLE (UINT64_C(1) << 32)
 
 /* Microtokens that one call costs. */
 #define LOOM_TOKEN_UTOK UINT64_C(1000000)
 
-/* Both in units of 1/LOOM_WHOLE. */
+/* Both in units of 1/LOOM_SHARE_WHOLE. */
 struct loom_share {
 	uint64_t refill;
 	uint64_t capacity;
--- a/src/inner/codec_rights.c
+++ b/src/inner/codec_rights.c
@@ -65,14 +65,16 @@
 {
 	unsigned i = 0;
 
-	fields[i++] = (struct field_codec){ &entry->got_seq, UINT64_MAX };
-	fields[i++] = (struct field_codec){ &entry->keep.refill, LOOM_WHOLE };
-	fields[i++] = (struct field_codec){ &entry->keep.capacity, LOOM_WHOLE };
+	fields[i++] = (struct field_codec){ &entry->received_seq, UINT64_MAX };
+	fields[i++] =
+	    (struct field_codec){ &entry->keep.refill, LOOM_SHARE_WHOLE };
+	fields[i++] =
+	    (struct field_codec){ &entry->keep.capacity, LOOM_SHARE_WHOLE };
 	fields[i++] = (struct field_codec){ &entry->held_utok, UTOK_MAX };
 	fields[i++] = (struct field_codec){ &entry->need_utok, UTOK_MAX };
 	fields[i++] = (struct field_codec){ &entry->first_utok, UTOK_MAX };
-	fields[i++] = (struct field_codec){ &entry->ahead_utok, UTOK_MAX };
-	fields[i++] = (struct field_codec){ &entry->give_utok, UTOK_MAX };
+	fields[i++] = (struct field_codec){ &entry->prefetch_utok, UTOK_MAX };
+	fields[i++] = (struct field_codec){ &entry->returned_utok, UTOK_MAX };
 }
 
 /* Lists the optional fields in the order in which they are encoded. */
@@ -82,11 +84,12 @@
 {
 	unsigned i = 0;
 
-	fields[i++] = (struct field_codec){ &entry->share.refill, LOOM_WHOLE };
 	fields[i++] =
-	    (struct field_codec){ &entry->share.capacity, LOOM_WHOLE };
+	    (struct field_codec){ &entry->share.refill, LOOM_SHARE_WHOLE };
+	fields[i++] =
+	    (struct field_codec){ &entry->share.capacity, LOOM_SHARE_WHOLE };
 	fields[i++] = (struct field_codec){ &entry->tokens_utok, UTOK_MAX };
-	fields[i++] = (struct field_codec){ &entry->flash_utok, UTOK_MAX };
+	fields[i++] = (struct field_codec){ &entry->transit_utok, UTOK_MAX };
 	fields[i++] =
 	    (struct field_codec){ &entry->duration_us, DURATION_MAX_US };
 	fields[i++] = (struct field_codec){ &entry->retry_us, DURATION_MAX_US };
@@ -139,7 +142,7 @@
 	up->now_us = loom_unpack_u64(&unpacker, UINT64_MAX);
 	up->pool_incarnation = loom_unpack_u64(&unpacker, UINT64_MAX);
 	up->pool_now_us = loom_unpack_u64(&unpacker, UINT64_MAX);
-	up->lend_parts = loom_unpack_u64(&unpacker, LOOM_WHOLE);
+	up->lend_parts = loom_unpack_u64(&unpacker, LOOM_SHARE_WHOLE);
 	up->lend_us = loom_unpack_u64(&unpacker, DURATION_MAX_US);
 	up->stage = (uint32_t)loom_unpack_u64(&unpacker, STAGE_MAX);
 	up->nentries = loom_unpack_count(&unpacker, LOOM_RIGHTS_ENTRIES_MAX);
--- a/src/inner/codec_rights.h
+++ b/src/inner/codec_rights.h
@@ -10,7 +10,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#include "decide/holding.h"
+#include "decide/team_bucket.h"
 
 /* Entries in one message. Further teams are sent in additional messages. */
 #define LOOM_RIGHTS_ENTRIES_MAX 256
@@ -21,13 +21,13 @@
 /* A child's report on one team. */
 struct loom_rights_up_entry {
 	uint64_t team_id;
-	uint64_t got_seq; /* of the last grant received */
+	uint64_t received_seq; /* of the last grant received */
 	struct loom_share keep; /* part of this pool's loan that it keeps */
 	uint64_t held_utok; /* its tokens, and capacity it has lent */
 	uint64_t need_utok; /* needed by waiting calls */
 	uint64_t first_utok; /* still missing for the first waiting call */
-	uint64_t ahead_utok; /* requested in advance for expected calls */
-	uint64_t give_utok; /* returned by this message */
+	uint64_t prefetch_utok; /* requested in advance for expected calls */
+	uint64_t returned_utok; /* returned by this message */
 	uint64_t demand_mhz; /* calls per 1000 s, including below it */
 };
 
@@ -60,7 +60,7 @@
 	uint32_t flags;
 	struct loom_share share;
 	uint64_t tokens_utok;
-	uint64_t flash_utok; /* of these, only for waiting calls */
+	uint64_t transit_utok; /* of these, only for waiting calls */
 	uint64_t duration_us;
 	uint64_t retry_us; /* if not 0, no tokens until it has passed */
 };
--- a/tests/control/test_rights_loan.c
+++ b/tests/control/test_rights_loan.c
@@ -129,7 +129,8 @@
 	down.entries[0] = (struct loom_rights_down_entry){
 		.team_id = loom_name_id(TEAM),
 		.flags = LOOM_RIGHTS_GRANT,
-		.share.capacity = (uint64_t)(capacity * (double)LOOM_WHOLE),
+		.share.capacity =
+		    (uint64_t)(capacity * (double)LOOM_SHARE_WHOLE),
 		.tokens_utok = (uint64_t)(tokens * (double)LOOM_TOKEN_UTOK),
 		.duration_us = 400 * MS,
 	};
@@ -208,7 +209,7 @@
 	struct loom_grant grant = { .lender_host_id = 1,
 		.lender_incarnation = 1,
 		.seq = 5,
-		.share = { 0, LOOM_WHOLE / 2 },
+		.share = { 0, LOOM_SHARE_WHOLE / 2 },
 		.tokens_utok = LOOM_TOKEN_UTOK,
 		.until_us = 1000 };
 
@@ -220,11 +221,12 @@
 	/*
 	 * What was lent on stays until it expires, even if the pool lends less.
 	 */
-	holding.lent.capacity = LOOM_WHOLE / 4;
+	holding.lent.capacity = LOOM_SHARE_WHOLE / 4;
 	grant.seq = 6;
 	grant.share.capacity = 0;
 	CU_ASSERT_TRUE(loom_bucket_apply_grant(&holding, &none, &grant, 4));
-	CU_ASSERT_EQUAL(holding.borrowed[0].share.capacity, LOOM_WHOLE / 4);
+	CU_ASSERT_EQUAL(
+	    holding.borrowed[0].share.capacity, LOOM_SHARE_WHOLE / 4);
 }
 
 /*
@@ -261,7 +263,7 @@
 		.now_us = 1,
 		.pool_incarnation = incarnation,
 		.pool_now_us = pool_now_us,
-		.lend_parts = (uint64_t)(parts * (double)LOOM_WHOLE),
+		.lend_parts = (uint64_t)(parts * (double)LOOM_SHARE_WHOLE),
 		.lend_us = 800 * MS };
 	len = loom_rights_up_pack(&up, buf, sizeof(buf));
 	loom_rights_ops.message(
@@ -432,7 +434,7 @@
 		down.entries[0] = (struct loom_rights_down_entry){
 			.team_id = loom_name_id(TEAM),
 			.flags = LOOM_RIGHTS_GRANT | flags,
-			.share.capacity = LOOM_WHOLE,
+			.share.capacity = LOOM_SHARE_WHOLE,
 			.tokens_utok = 20 * LOOM_TOKEN_UTOK,
 			.duration_us = 400 * MS,
 		};
@@ -524,7 +526,7 @@
 	};
 	const struct loom_team_bucket team = { .rate_per_s = 500,
 		.burst = 100 };
-	const struct loom_share whole = { LOOM_WHOLE, LOOM_WHOLE };
+	const struct loom_share whole = { LOOM_SHARE_WHOLE, LOOM_SHARE_WHOLE };
 	struct loom_loan_request ask = { .lendable = whole,
 		.team_share = whole,
 		.spare_utok = 100 * LOOM_TOKEN_UTOK,
--- a/tests/decide/test_ownership.c
+++ b/tests/decide/test_ownership.c
@@ -5,9 +5,9 @@
 
 #include <string.h>
 
-#include "decide/holding.h"
 #include "decide/ownership.h"
 #include "decide/pool_choice.h"
+#include "decide/team_bucket.h"
 #include "support/test.h"
 
 #define S UINT64_C(1000000)
@@ -57,7 +57,8 @@
 
 	for (at_us = own->checked_us + S; at_us < now_us; at_us += S)
 		loom_ownership_parts(own, at_us);
-	return (double)loom_ownership_parts(own, now_us) / (double)LOOM_WHOLE;
+	return (double)loom_ownership_parts(own, now_us) /
+	    (double)LOOM_SHARE_WHOLE;
 }
 
 #define IS_PART(got, n) ((got) > 0.999 / (n) && (got) <= 1.0 / (n))
--- a/tests/support/fleet.c
+++ b/tests/support/fleet.c
@@ -390,7 +390,7 @@
 	call->waiter.done = waiter_done;
 	call->waiter.arg = call;
 	fleet->teams[team].arrived++;
-	rights = loom_rights_of(daemon->rights, fleet->team_ids[team]);
+	rights = loom_rights_set_find(daemon->rights, fleet->team_ids[team]);
 	result = loom_rights_take(
 	    rights, fleet->team_ids[team], daemon_now_us(daemon), &retry_us);
 	if (result == LOOM_RIGHTS_PENDING) {
