--- a/include/loom/spread.h
+++ b/include/loom/spread.h
@@ -21,9 +21,9 @@
 #define LOOM_SPREAD_NAME_MAX 255
 /* Default for within_us: the time in which a change that the platform
  * acknowledged is in effect on every daemon. */
-#define LOOM_SPREAD_WITHIN_US (11 * LOOM_US_PER_S)
-/* Returns the timing for such a bound; 0 for LOOM_SPREAD_WITHIN_US. */
-struct loom_age_plan loom_spread_plan(uint64_t within_us);
+#define LOOM_SPREAD_WITHIN_DEFAULT_US (11 * LOOM_US_PER_S)
+/* Returns the timing for such a bound; 0 for LOOM_SPREAD_WITHIN_DEFAULT_US. */
+struct loom_age_timing loom_spread_timing(uint64_t within_us);
 /* The largest value that the platform stores, in bytes. */
 #define LOOM_SPREAD_TEXT_MAX UINT32_C(1000000)
 
@@ -42,10 +42,10 @@
 	char *text; /* owned */
 	size_t len;
 	void *object; /* owned: what check() returned */
-	uint64_t since_us; /* when this version arrived */
-	uint64_t force_number; /* the version in effect; 0 for none */
-	uint64_t force_digest; /* first 8 bytes */
-	uint64_t force_since_us;
+	uint64_t received_us; /* when this version arrived */
+	uint64_t applied_number; /* the version in effect; 0 for none */
+	uint64_t applied_digest; /* first 8 bytes */
+	uint64_t applied_us;
 };
 
 struct loom_spread_ops {
@@ -77,7 +77,7 @@
 	struct loom_random random; /* arg borrowed */
 	const uint64_t *seeds; /* hosts to query at the start; copied */
 	uint32_t nseeds;
-	uint64_t within_us; /* 0 for LOOM_SPREAD_WITHIN_US */
+	uint64_t within_us; /* 0 for LOOM_SPREAD_WITHIN_DEFAULT_US */
 	bool platform_is_current; /* its answer alone is enough to start */
 };
 
--- a/include/loom/spread_config.h
+++ b/include/loom/spread_config.h
@@ -30,11 +30,11 @@
 	const struct loom_public_key *trusted; /* copied */
 	size_t ntrusted;
 	/* Bound on the time from a change's acknowledgement by the platform
-	 * until it is in effect; 0 for LOOM_SPREAD_WITHIN_US. */
+	 * until it is in effect; 0 for LOOM_SPREAD_WITHIN_DEFAULT_US. */
 	uint64_t within_us;
 	/* The platform never answers with an older state than before, so that
 	 * its answer alone is enough to start. */
-	bool is_current;
+	bool platform_is_current;
 	/* Documents have no signed envelope: whoever can write to the platform
 	 * is trusted, and no one else can write. */
 	bool is_unsigned;
@@ -57,6 +57,6 @@
 
 /* Returns the gossip protocol, for loom_spread_is_ready() and
  * loom_spread_status().  Borrowed. */
-struct loom_spread *loom_spread_config_part(struct loom_spread_config *);
+struct loom_spread *loom_spread_config_spread(struct loom_spread_config *);
 
 #endif
--- a/include/loom/spread_policy.h
+++ b/include/loom/spread_policy.h
@@ -18,10 +18,10 @@
  * while both are, other daemons read the platform themselves (loom/age.h). */
 #define LOOM_SPREAD_READERS 2
 /* Daemons that query the same parent for its age, at most. */
-#define LOOM_SPREAD_CHILDREN 16
+#define LOOM_SPREAD_CHILDREN_MAX 16
 /* Serving peers that a starting daemon must agree with while the platform is
  * down. */
-#define LOOM_SPREAD_START_PEERS 2
+#define LOOM_SPREAD_START_QUORUM 2
 
 struct loom_spread_version {
 	uint64_t number; /* a document's version, a host list's revision */
@@ -38,14 +38,14 @@
 
 /* Sorts the host ids of a data centre by rank.  A host that is added or removed
  * moves the rank of others by at most one. */
-void loom_spread_order(uint64_t *ids, uint32_t n);
+void loom_spread_sort_by_rank(uint64_t *ids, uint32_t n);
 
-/* Returns the rank of self, from 0, in ids that loom_spread_order() sorted; n
- * if it is not among them. */
+/* Returns the rank of self, from 0, in ids that loom_spread_sort_by_rank()
+ * sorted; n if it is not among them. */
 uint32_t loom_spread_rank(const uint64_t *ids, uint32_t n, uint64_t self);
 
 /* Returns the rank of the parent that a daemon of this rank queries; UINT32_MAX
- * for a reader.  No parent has more than LOOM_SPREAD_CHILDREN children. */
+ * for a reader.  No parent has more than LOOM_SPREAD_CHILDREN_MAX children. */
 uint32_t loom_spread_parent(uint32_t rank);
 
 /*
@@ -59,18 +59,18 @@
     uint64_t *out, uint32_t max);
 
 /* What a starting daemon has learnt from the platform and from peers. */
-struct loom_spread_found {
-	bool in_force; /* its manifest and hosts are in effect */
-	bool platform; /* the platform has answered for all prefixes */
-	uint64_t platform_us; /* time since then */
+struct loom_spread_start_state {
+	bool versions_applied; /* its manifest and hosts are in effect */
+	bool platform_answered; /* the platform has answered for all prefixes */
+	uint64_t since_answer_us; /* time since then */
 	bool platform_is_current; /* the platform is never stale */
 	uint32_t known_peers; /* other hosts known */
-	bool heard_peers; /* at least one peer has answered */
-	uint32_t heard_ready; /* peers that answered and are ready */
-	uint32_t agreeing_ready; /* of those, how many hold the same versions */
+	bool any_peer_replied; /* at least one peer has answered */
+	uint32_t ready_peers; /* peers that answered and are ready */
+	uint32_t agreeing_peers; /* of those, how many hold the same versions */
 };
 
 /* Returns whether a starting daemon may serve. */
-bool loom_spread_ready(const struct loom_spread_found *);
+bool loom_spread_ready(const struct loom_spread_start_state *);
 
 #endif
--- a/src/control/spread.c
+++ b/src/control/spread.c
@@ -140,7 +140,7 @@
 	spread->sent_us[kind] = sent_us;
 	for (i = 0; i < LOOM_SPREAD_KINDS; i++)
 		oldest_us = MIN(oldest_us, spread->sent_us[i]);
-	loom_age_hold(&spread->age, oldest_us);
+	loom_age_advance(&spread->age, oldest_us);
 }
 
 uint64_t
@@ -204,7 +204,7 @@
 	spread->ops = ops;
 	spread->arg = arg;
 	spread->platform_is_current = options->platform_is_current;
-	spread->timing = loom_spread_plan(options->within_us);
+	spread->timing = loom_spread_timing(options->within_us);
 	spread->started_us = now_us;
 	spread->nseeds = options->nseeds;
 	spread->seeds = talloc_memdup(
--- a/src/control/spread_age.c
+++ b/src/control/spread_age.c
@@ -21,11 +21,11 @@
 /* At a high age, so many queries are sent per usual interval. */
 #define WIDE_QUERY_RATE 3
 
-struct loom_age_plan
-loom_spread_plan(uint64_t within_us)
+struct loom_age_timing
+loom_spread_timing(uint64_t within_us)
 {
-	return loom_age_plan(
-	    within_us != 0 ? within_us : LOOM_SPREAD_WITHIN_US);
+	return loom_age_timing(
+	    within_us != 0 ? within_us : LOOM_SPREAD_WITHIN_DEFAULT_US);
 }
 
 uint64_t
@@ -48,7 +48,7 @@
 	if (spread->pending_as_of_us == 0 ||
 	    spread->pending_root != spread_store_root(spread->store))
 		return;
-	loom_age_hold(&spread->age, spread->pending_as_of_us);
+	loom_age_advance(&spread->age, spread->pending_as_of_us);
 	spread->pending_as_of_us = 0;
 }
 
@@ -72,9 +72,9 @@
 	spread->last_reply_us = now_us;
 	if (have->age_ms == SPREAD_AGE_UNKNOWN)
 		return;
-	as_of_us = loom_age_proof(
+	as_of_us = loom_age_peer_as_of_us(
 	    query->asked_us, (uint64_t)have->age_ms * LOOM_US_PER_MS);
-	if (as_of_us <= spread->age.held_us)
+	if (as_of_us <= spread->age.as_of_us)
 		return;
 	spread->pending_root = have->root;
 	spread->pending_as_of_us = as_of_us;
@@ -123,8 +123,8 @@
 static void
 query_peer(struct loom_spread *spread, uint64_t age_us, uint64_t now_us)
 {
-	const bool wide = age_us >= spread->timing.elsewhere_us;
-	uint64_t interval_us = spread->timing.beat_us;
+	const bool wide = age_us >= spread->timing.wide_query_age_us;
+	uint64_t interval_us = spread->timing.query_interval_us;
 	uint64_t target;
 
 	if (now_us < spread->next_query_us)
@@ -143,7 +143,8 @@
 static bool
 is_isolated(const struct loom_spread *spread, uint64_t now_us)
 {
-	return now_us - spread->last_reply_us > spread->timing.elsewhere_us;
+	return now_us - spread->last_reply_us >
+	    spread->timing.wide_query_age_us;
 }
 
 static uint64_t
@@ -151,9 +152,9 @@
 {
 	const struct loom_age_reader reader = {
 		.rank = spread->rank,
-		.readers = LOOM_SPREAD_READERS,
-		.hosts = spread->live->len,
-		.alone = is_isolated(spread, now_us),
+		.nreaders = LOOM_SPREAD_READERS,
+		.nhosts = spread->live->len,
+		.isolated = is_isolated(spread, now_us),
 	};
 
 	return loom_age_read_delay_us(
@@ -165,7 +166,7 @@
 static void
 read_platform(struct loom_spread *spread, uint64_t age_us, uint64_t now_us)
 {
-	if (age_us < spread->timing.self_us || spread->watching) {
+	if (age_us < spread->timing.platform_read_age_us || spread->watching) {
 		spread->next_read_us = 0;
 		return;
 	}
@@ -188,7 +189,7 @@
 log_staleness(struct loom_spread *spread, uint64_t age_us, uint64_t now_us)
 {
 	const uint64_t limit_us =
-	    spread->timing.self_us + 2 * spread->timing.answer_us;
+	    spread->timing.platform_read_age_us + 2 * spread->timing.answer_us;
 	const bool stale = age_us > limit_us;
 	const struct loom_event_field fields[] = {
 		LOOM_F_TEXT("what", stale ? "behind" : "in touch"),
--- a/src/control/spread_force.c
+++ b/src/control/spread_apply.c
@@ -55,12 +55,12 @@
 	for (i = 0; i < items->len; i++) {
 		item = g_ptr_array_index(items, i);
 		id = spread_id_of(item);
-		if (item->force_number == id.number &&
-		    item->force_digest == id.digest)
+		if (item->applied_number == id.number &&
+		    item->applied_digest == id.digest)
 			continue;
-		item->force_number = id.number;
-		item->force_digest = id.digest;
-		item->force_since_us = now_us;
+		item->applied_number = id.number;
+		item->applied_digest = id.digest;
+		item->applied_us = now_us;
 	}
 }
 
@@ -77,12 +77,12 @@
 		item = g_ptr_array_index(items, i);
 		id = spread_id_of(item);
 		row = (struct spread_status_row){
-			.applied_number = item->force_number,
-			.applied_digest = item->force_digest,
-			.applied_us = item->force_since_us,
+			.applied_number = item->applied_number,
+			.applied_digest = item->applied_digest,
+			.applied_us = item->applied_us,
 		};
-		if (item->force_number != id.number ||
-		    item->force_digest != id.digest)
+		if (item->applied_number != id.number ||
+		    item->applied_digest != id.digest)
 			row.held_number = id.number;
 		g_strlcpy(row.name, item->name, sizeof(row.name));
 		g_array_append_val(spread->status, row);
@@ -193,35 +193,35 @@
 static void
 check_ready(struct loom_spread *spread, uint64_t now_us)
 {
-	struct loom_spread_found state = {
-		.in_force = all_applied(spread),
+	struct loom_spread_start_state state = {
+		.versions_applied = all_applied(spread),
 		.known_peers = known_peers(spread),
-		.heard_peers = spread->any_peer_answered,
+		.any_peer_replied = spread->any_peer_answered,
 		.platform_is_current = spread->platform_is_current,
 	};
 	uint64_t root = spread_store_root(spread->store), first_us = 0;
 	unsigned kind;
 	uint32_t i;
 
-	state.platform = true;
+	state.platform_answered = true;
 	for (kind = 0; kind < LOOM_SPREAD_KINDS; kind++) {
-		state.platform &= spread->answered_us[kind] != 0;
+		state.platform_answered &= spread->answered_us[kind] != 0;
 		first_us = MAX(first_us, spread->first_answer_us[kind]);
 	}
-	state.platform_us = now_us - first_us;
+	state.since_answer_us = now_us - first_us;
 	for (i = 0; i < spread->npeer_states; i++) {
 		if (!spread->peer_states[i].ready)
 			continue;
-		state.heard_ready++;
-		state.agreeing_ready += spread->peer_states[i].root == root;
+		state.ready_peers++;
+		state.agreeing_peers += spread->peer_states[i].root == root;
 	}
 	if (!loom_spread_ready(&state))
 		return;
 	atomic_store(&spread->ready, true);
 	loom_log(LOOM_LOG_INFO, "spread", LOOM_OK,
 	    "ready: platform %s, %u of %u ready peers agree",
-	    state.platform ? "answered" : "silent", state.agreeing_ready,
-	    state.heard_ready);
+	    state.platform_answered ? "answered" : "silent",
+	    state.agreeing_peers, state.ready_peers);
 }
 
 void
--- a/src/control/spread_config.c
+++ b/src/control/spread_config.c
@@ -255,8 +255,8 @@
     const struct loom_spread_config_options *options)
 {
 	struct tevent_context *ev = loom_control_loop(options->control);
-	const struct loom_age_plan timing =
-	    loom_spread_plan(options->within_us);
+	const struct loom_age_timing timing =
+	    loom_spread_timing(options->within_us);
 	struct loom_platform_options platform = {
 		.source = options->source,
 		.source_arg = options->source_arg,
@@ -264,7 +264,7 @@
 		.address = options->address,
 		.random = options->random,
 		.pace = { .wait_ms =
-			      (uint32_t)(timing.wait_us / LOOM_US_PER_MS),
+			      (uint32_t)(timing.watch_us / LOOM_US_PER_MS),
 		    .answer_timeout_ms =
 			(uint32_t)(timing.answer_us / LOOM_US_PER_MS) },
 	};
@@ -301,7 +301,7 @@
 		.random = options->random,
 		.nseeds = (uint32_t)options->nseeds,
 		.within_us = options->within_us,
-		.platform_is_current = options->is_current,
+		.platform_is_current = options->platform_is_current,
 	};
 	uint64_t *seeds = g_new(uint64_t, MAX(options->nseeds, 1));
 	size_t i;
@@ -358,7 +358,7 @@
 }
 
 struct loom_spread *
-loom_spread_config_part(struct loom_spread_config *config)
+loom_spread_config_spread(struct loom_spread_config *config)
 {
 	return config->spread;
 }
--- a/src/control/spread_peers.c
+++ b/src/control/spread_peers.c
@@ -48,7 +48,7 @@
 		if (host->state == LOOM_HOST_LIVE)
 			g_array_append_val(spread->live, host->id);
 	}
-	loom_spread_order(
+	loom_spread_sort_by_rank(
 	    (uint64_t *)(void *)spread->live->data, spread->live->len);
 	choose_neighbours(spread);
 	choose_rank(spread);
--- a/src/control/spread_private.h
+++ b/src/control/spread_private.h
@@ -106,7 +106,7 @@
 	uint64_t give_refilled_us;
 
 	/* age of the data */
-	struct loom_age_plan timing;
+	struct loom_age_timing timing;
 	struct loom_age age;
 	struct spread_query queries[SPREAD_QUERIES_MAX];
 	uint64_t last_query_number;
--- a/src/control/spread_store.c
+++ b/src/control/spread_store.c
@@ -159,7 +159,7 @@
 	item->text = g_memdup2(text, len);
 	item->len = len;
 	item->object = object;
-	item->since_us = now_us;
+	item->received_us = now_us;
 	toggle_digest(store, item);
 	note_arrival(store, id, now_us);
 	return true;
--- a/src/daemon/config.c
+++ b/src/daemon/config.c
@@ -105,7 +105,7 @@
 		.source = daemon->kind->source,
 		.within_us = (uint64_t)(daemon->settings.change_within_s *
 		    (double)LOOM_US_PER_S),
-		.is_current = daemon->settings.platform_is_current,
+		.platform_is_current = daemon->settings.platform_is_current,
 		.is_unsigned = daemon->settings.unsigned_documents,
 		.publish = on_versions_changed,
 		.arg = config,
@@ -139,12 +139,12 @@
 bool
 config_ready(const struct config *config)
 {
-	return loom_spread_is_ready(loom_spread_config_part(config->spread));
+	return loom_spread_is_ready(loom_spread_config_spread(config->spread));
 }
 
 char *
 config_status(struct config *config)
 {
 	return loom_spread_status(
-	    loom_spread_config_part(config->spread), loom_now_us());
+	    loom_spread_config_spread(config->spread), loom_now_us());
 }
--- a/src/daemon/settings.c
+++ b/src/daemon/settings.c
@@ -98,7 +98,8 @@
 	    .offset = OFFSET(change_within_s),
 	    .min = 1,
 	    .max = 600,
-	    .number_default = (double)LOOM_SPREAD_WITHIN_US / LOOM_US_PER_S },
+	    .number_default =
+		(double)LOOM_SPREAD_WITHIN_DEFAULT_US / LOOM_US_PER_S },
 	{ .name = "data_centres",
 	    .type = LOOM_FIELD_STRINGS,
 	    .offset = OFFSET(data_centres),
--- a/src/decide/age.c
+++ b/src/decide/age.c
@@ -39,13 +39,13 @@
 #define READ_INTERVAL_US (50 * LOOM_US_PER_MS)
 
 void
-loom_age_hold(struct loom_age *age, uint64_t as_of_us)
+loom_age_advance(struct loom_age *age, uint64_t as_of_us)
 {
-	age->held_us = MAX(age->held_us, as_of_us);
+	age->as_of_us = MAX(age->as_of_us, as_of_us);
 }
 
 uint64_t
-loom_age_proof(uint64_t asked_us, uint64_t peer_age_us)
+loom_age_peer_as_of_us(uint64_t asked_us, uint64_t peer_age_us)
 {
 	uint64_t max_age_us;
 
@@ -58,36 +58,37 @@
 uint64_t
 loom_age_us(const struct loom_age *age, uint64_t now_us)
 {
-	if (age->held_us == 0)
+	if (age->as_of_us == 0)
 		return UINT64_MAX;
-	return now_us > age->held_us ? now_us - age->held_us : 0;
+	return now_us > age->as_of_us ? now_us - age->as_of_us : 0;
 }
 
-struct loom_age_plan
-loom_age_plan(uint64_t within_us)
+struct loom_age_timing
+loom_age_timing(uint64_t within_us)
 {
-	return (struct loom_age_plan){
-		.wait_us = within_us / WATCH_DIVISOR,
+	return (struct loom_age_timing){
+		.watch_us = within_us / WATCH_DIVISOR,
 		.answer_us = within_us / ANSWER_DIVISOR,
-		.beat_us = within_us / QUERY_INTERVAL_DIVISOR,
-		.elsewhere_us = within_us * WIDE_QUERY_TENTHS / TENTHS,
-		.self_us = within_us * PLATFORM_READ_TENTHS / TENTHS,
+		.query_interval_us = within_us / QUERY_INTERVAL_DIVISOR,
+		.wide_query_age_us = within_us * WIDE_QUERY_TENTHS / TENTHS,
+		.platform_read_age_us =
+		    within_us * PLATFORM_READ_TENTHS / TENTHS,
 	};
 }
 
 uint64_t
 loom_age_read_delay_us(const struct loom_age_reader *reader,
-    const struct loom_age_plan *timing, const struct loom_random *random)
+    const struct loom_age_timing *timing, const struct loom_random *random)
 {
 	uint32_t position;
 
-	if (reader->alone)
-		return 1 + loom_random_below(random, timing->beat_us);
-	if (reader->rank < reader->readers + STANDBYS) {
-		position = reader->rank - MIN(reader->rank, reader->readers);
+	if (reader->isolated)
+		return 1 + loom_random_below(random, timing->query_interval_us);
+	if (reader->rank < reader->nreaders + STANDBYS) {
+		position = reader->rank - MIN(reader->rank, reader->nreaders);
 		return 1 + position * STANDBY_STEP_US;
 	}
 	return timing->answer_us +
 	    loom_random_below(
-		random, (uint64_t)reader->hosts * READ_INTERVAL_US);
+		random, (uint64_t)reader->nhosts * READ_INTERVAL_US);
 }
--- a/src/decide/spread.c
+++ b/src/decide/spread.c
@@ -63,7 +63,7 @@
 }
 
 void
-loom_spread_order(uint64_t *ids, uint32_t n)
+loom_spread_sort_by_rank(uint64_t *ids, uint32_t n)
 {
 	qsort(ids, n, sizeof(*ids), compare_hashes);
 }
@@ -83,7 +83,7 @@
 {
 	if (rank < LOOM_SPREAD_READERS)
 		return UINT32_MAX;
-	return (rank - LOOM_SPREAD_READERS) / LOOM_SPREAD_CHILDREN;
+	return (rank - LOOM_SPREAD_READERS) / LOOM_SPREAD_CHILDREN_MAX;
 }
 
 /* Returns the id with the next higher hash on a ring, or self if there is no
@@ -149,22 +149,22 @@
  * AGREEMENT_WAIT_US.
  */
 bool
-loom_spread_ready(const struct loom_spread_found *state)
+loom_spread_ready(const struct loom_spread_start_state *state)
 {
-	uint32_t needed = LOOM_SPREAD_START_PEERS;
+	uint32_t needed = LOOM_SPREAD_START_QUORUM;
 
-	if (!state->in_force)
+	if (!state->versions_applied)
 		return false;
 	if (state->known_peers > 0 && state->known_peers < needed)
 		needed = state->known_peers;
-	if (state->agreeing_ready >= needed)
+	if (state->agreeing_peers >= needed)
 		return true;
-	if (!state->platform)
+	if (!state->platform_answered)
 		return false;
-	if (state->agreeing_ready > 0 || state->platform_is_current)
+	if (state->agreeing_peers > 0 || state->platform_is_current)
 		return true;
-	if (state->heard_ready > 0)
-		return state->platform_us >= AGREEMENT_WAIT_US;
-	return state->platform_us >=
-	    (state->heard_peers ? NO_READY_WAIT_US : NO_PEER_WAIT_US);
+	if (state->ready_peers > 0)
+		return state->since_answer_us >= AGREEMENT_WAIT_US;
+	return state->since_answer_us >=
+	    (state->any_peer_replied ? NO_READY_WAIT_US : NO_PEER_WAIT_US);
 }
--- a/tests/adapter/test_deploy.c
+++ b/tests/adapter/test_deploy.c
@@ -32,7 +32,7 @@
 {
 	static const uint32_t change_within_ms[] = { 1500, 2000, 2500, 3000,
 		4000, 5000 };
-	struct loom_age_plan plan;
+	struct loom_age_timing plan;
 	uint64_t hidden_ms;
 	char *text;
 	size_t i;
@@ -44,8 +44,8 @@
 	    "change_within_s is not taken from the platform's bounds");
 	g_free(text);
 	for (i = 0; i < G_N_ELEMENTS(change_within_ms); i++) {
-		plan = loom_age_plan(change_within_ms[i] * LOOM_US_PER_MS);
-		hidden_ms = (plan.wait_us + plan.answer_us) / LOOM_US_PER_MS +
+		plan = loom_age_timing(change_within_ms[i] * LOOM_US_PER_MS);
+		hidden_ms = (plan.watch_us + plan.answer_us) / LOOM_US_PER_MS +
 		    BACKOFF_MS + TICK_MS + APPLY_INTERVAL_MS;
 		TEST_CHECK(hidden_ms < BOUNDS_APPLY_AGAIN_MS,
 		    "change limit %u ms: a lost watch hides changes for %u ms",
--- a/tests/control/test_spread.c
+++ b/tests/control/test_spread.c
@@ -598,7 +598,8 @@
 		watching += fleet.nodes[i].watching;
 	TEST_CHECK(watching == LOOM_SPREAD_READERS, "%u watch", watching);
 	/* a reader's calls are at least a watch apart */
-	per_s = (double)S / (double)(loom_age_plan(CHANGE_WITHIN_US).wait_us);
+	per_s =
+	    (double)S / (double)(loom_age_timing(CHANGE_WITHIN_US).watch_us);
 	TEST_CHECK(fleet.calls - calls <=
 		(uint64_t)(LOOM_SPREAD_READERS * (120 * per_s + 1)),
 	    "%u calls", (unsigned)(fleet.calls - calls));
--- a/tests/control/test_spread_config.c
+++ b/tests/control/test_spread_config.c
@@ -216,7 +216,7 @@
 static bool
 is_ready(struct daemon *daemon)
 {
-	return loom_spread_is_ready(loom_spread_config_part(daemon->config));
+	return loom_spread_is_ready(loom_spread_config_spread(daemon->config));
 }
 
 static bool
@@ -270,7 +270,7 @@
 		g_mutex_unlock(&daemon->lock);
 	}
 	status = loom_spread_status(
-	    loom_spread_config_part(f.daemons[0].config), loom_now_us());
+	    loom_spread_config_spread(f.daemons[0].config), loom_now_us());
 	CU_ASSERT_PTR_NOT_NULL(
 	    strstr(status, "\"name\":\"manifest\\/teams\",\"version\":2"));
 	CU_ASSERT_PTR_NOT_NULL(strstr(status, "hosts\\/orders"));
--- a/tests/decide/test_age.c
+++ b/tests/decide/test_age.c
@@ -33,7 +33,7 @@
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(rows); i++)
-		TEST_CHECK(loom_age_proof(rows[i].asked_us,
+		TEST_CHECK(loom_age_peer_as_of_us(rows[i].asked_us,
 			       rows[i].peer_age_us) == rows[i].as_of_us,
 		    "row %zu", i);
 }
@@ -41,16 +41,16 @@
 static void
 test_monotonic(void)
 {
-	struct loom_age age = { .held_us = 0 };
+	struct loom_age age = { .as_of_us = 0 };
 
 	CU_ASSERT_EQUAL(loom_age_us(&age, MS(5)), UINT64_MAX);
-	loom_age_hold(&age, MS(1000));
-	loom_age_hold(&age, MS(900));
-	loom_age_hold(&age, MS(800));
+	loom_age_advance(&age, MS(1000));
+	loom_age_advance(&age, MS(900));
+	loom_age_advance(&age, MS(800));
 	CU_ASSERT_EQUAL(loom_age_us(&age, MS(1500)), MS(500));
 	/* as from a thread that read the clock earlier */
 	CU_ASSERT_EQUAL(loom_age_us(&age, MS(999)), 0);
-	loom_age_hold(&age, MS(1200));
+	loom_age_advance(&age, MS(1200));
 	CU_ASSERT_EQUAL(loom_age_us(&age, MS(1500)), MS(300));
 }
 
@@ -63,20 +63,21 @@
 		11000, 60000 };
 	/* from the answer until it is in effect */
 	const uint64_t apply_us = MS(350);
-	struct loom_age_plan timing;
+	struct loom_age_timing timing;
 	uint64_t within_us;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(within_ms); i++) {
 		within_us = MS(within_ms[i]);
-		timing = loom_age_plan(within_us);
-		TEST_CHECK(timing.wait_us + 2 * timing.answer_us + apply_us <
+		timing = loom_age_timing(within_us);
+		TEST_CHECK(timing.watch_us + 2 * timing.answer_us + apply_us <
 			within_us,
 		    "a lost watch, within %u ms", (unsigned)within_ms[i]);
-		TEST_CHECK(timing.self_us + apply_us < within_us,
+		TEST_CHECK(timing.platform_read_age_us + apply_us < within_us,
 		    "a lost reader, within %u ms", (unsigned)within_ms[i]);
-		TEST_CHECK(timing.beat_us < timing.elsewhere_us &&
-			timing.elsewhere_us < timing.self_us,
+		TEST_CHECK(
+		    timing.query_interval_us < timing.wide_query_age_us &&
+			timing.wide_query_age_us < timing.platform_read_age_us,
 		    "order, within %u ms", (unsigned)within_ms[i]);
 	}
 }
@@ -84,9 +85,9 @@
 static void
 test_read_delay(void)
 {
-	const struct loom_age_plan timing = loom_age_plan(3 * S);
+	const struct loom_age_timing timing = loom_age_timing(3 * S);
 	struct loom_random random = test_random_new(1);
-	struct loom_age_reader reader = { .readers = 2, .hosts = 850 };
+	struct loom_age_reader reader = { .nreaders = 2, .nhosts = 850 };
 	uint64_t delay_us;
 	uint32_t early = 0;
 
@@ -96,9 +97,9 @@
 		early += delay_us <= MS(500);
 	}
 	TEST_CHECK(early <= 4, "%u read in the first half second", early);
-	reader.alone = true;
+	reader.isolated = true;
 	CU_ASSERT(loom_age_read_delay_us(&reader, &timing, &random) <=
-	    timing.beat_us);
+	    timing.query_interval_us);
 	test_random_free(&random);
 }
 
@@ -174,8 +175,8 @@
 static void
 test_no_faults(void)
 {
-	const struct loom_age_plan timing = loom_age_plan(3 * S);
-	const uint64_t a_minute = 60 * S / timing.wait_us;
+	const struct loom_age_timing timing = loom_age_timing(3 * S);
+	const uint64_t a_minute = 60 * S / timing.watch_us;
 	struct spread_fleet fleet;
 	uint64_t calls, max_age_us;
 
@@ -183,7 +184,7 @@
 	calls = fleet.calls;
 	max_age_us = max_age_over(&fleet, 30 * S);
 	calls = fleet.calls - calls;
-	TEST_CHECK(max_age_us < timing.self_us, "%u ms",
+	TEST_CHECK(max_age_us < timing.platform_read_age_us, "%u ms",
 	    (unsigned)(max_age_us / 1000));
 	TEST_CHECK(calls <= 5 * LOOM_SPREAD_READERS * a_minute / 2, "%u calls",
 	    (unsigned)calls);
--- a/tests/decide/test_spread.c
+++ b/tests/decide/test_spread.c
@@ -64,7 +64,7 @@
 	bool seen[IDS] = { false };
 
 	fill_ids(ids);
-	loom_spread_order(ids, IDS);
+	loom_spread_sort_by_rank(ids, IDS);
 	for (i = 0; i < IDS; i++) {
 		ranks[i] = loom_spread_rank(ids, IDS, ids[i]);
 		CU_ASSERT_FATAL(ranks[i] < IDS);
@@ -76,7 +76,7 @@
 	memcpy(remaining, ids, sizeof(remaining));
 	removed = remaining[IDS / 2];
 	remaining[IDS / 2] = remaining[IDS - 1];
-	loom_spread_order(remaining, IDS - 1);
+	loom_spread_sort_by_rank(remaining, IDS - 1);
 	for (i = 0; i < IDS; i++) {
 		if (ids[i] == removed)
 			continue;
@@ -150,7 +150,7 @@
 				asked[loom_spread_parent(rank)]++;
 		}
 		for (rank = 0; rank < sizes[i]; rank++)
-			CU_ASSERT(asked[rank] <= LOOM_SPREAD_CHILDREN);
+			CU_ASSERT(asked[rank] <= LOOM_SPREAD_CHILDREN_MAX);
 		g_free(asked);
 	}
 	CU_ASSERT_EQUAL(loom_spread_parent(0), UINT32_MAX);
@@ -162,83 +162,86 @@
 {
 	static const struct {
 		const char *name;
-		struct loom_spread_found state;
+		struct loom_spread_start_state state;
 		bool ready;
 	} cases[] = {
-		{ "nothing", { .in_force = false }, false },
+		{ "nothing", { .versions_applied = false }, false },
 		{ "nothing in force",
-		    { .platform = true,
-			.platform_us = 60 * S,
-			.agreeing_ready = 9 },
+		    { .platform_answered = true,
+			.since_answer_us = 60 * S,
+			.agreeing_peers = 9 },
 		    false },
 		{ "platform down, one peer of many",
-		    { .in_force = true,
+		    { .versions_applied = true,
 			.known_peers = 9,
-			.heard_peers = true,
-			.heard_ready = 1,
-			.agreeing_ready = 1 },
+			.any_peer_replied = true,
+			.ready_peers = 1,
+			.agreeing_peers = 1 },
 		    false },
 		{ "platform down, two peers",
-		    { .in_force = true,
+		    { .versions_applied = true,
 			.known_peers = 9,
-			.heard_peers = true,
-			.heard_ready = 2,
-			.agreeing_ready = 2 },
+			.any_peer_replied = true,
+			.ready_peers = 2,
+			.agreeing_peers = 2 },
 		    true },
 		{ "platform down, the only peer",
-		    { .in_force = true,
+		    { .versions_applied = true,
 			.known_peers = 1,
-			.heard_peers = true,
-			.heard_ready = 1,
-			.agreeing_ready = 1 },
+			.any_peer_replied = true,
+			.ready_peers = 1,
+			.agreeing_peers = 1 },
 		    true },
 		{ "platform down, starting peers",
-		    { .in_force = true, .known_peers = 9, .heard_peers = true },
+		    { .versions_applied = true,
+			.known_peers = 9,
+			.any_peer_replied = true },
 		    false },
 		{ "platform and a peer",
-		    { .in_force = true,
+		    { .versions_applied = true,
 			.known_peers = 9,
-			.platform = true,
-			.heard_peers = true,
-			.heard_ready = 1,
-			.agreeing_ready = 1 },
+			.platform_answered = true,
+			.any_peer_replied = true,
+			.ready_peers = 1,
+			.agreeing_peers = 1 },
 		    true },
 		{ "platform, a peer that differs",
-		    { .in_force = true,
+		    { .versions_applied = true,
 			.known_peers = 9,
-			.platform = true,
-			.platform_us = 29 * S,
-			.heard_peers = true,
-			.heard_ready = 3 },
+			.platform_answered = true,
+			.since_answer_us = 29 * S,
+			.any_peer_replied = true,
+			.ready_peers = 3 },
 		    false },
 		{ "platform, peers differ for long",
-		    { .in_force = true,
+		    { .versions_applied = true,
 			.known_peers = 9,
-			.platform = true,
-			.platform_us = 30 * S,
-			.heard_peers = true,
-			.heard_ready = 3 },
+			.platform_answered = true,
+			.since_answer_us = 30 * S,
+			.any_peer_replied = true,
+			.ready_peers = 3 },
 		    true },
 		{ "first of a fleet, at once",
-		    { .in_force = true, .platform = true }, false },
+		    { .versions_applied = true, .platform_answered = true },
+		    false },
 		{ "first of a fleet, later",
-		    { .in_force = true,
-			.platform = true,
-			.platform_us = 2 * S },
+		    { .versions_applied = true,
+			.platform_answered = true,
+			.since_answer_us = 2 * S },
 		    true },
 		{ "all start, at once",
-		    { .in_force = true,
+		    { .versions_applied = true,
 			.known_peers = 9,
-			.platform = true,
-			.platform_us = 2 * S,
-			.heard_peers = true },
+			.platform_answered = true,
+			.since_answer_us = 2 * S,
+			.any_peer_replied = true },
 		    false },
 		{ "all start, later",
-		    { .in_force = true,
+		    { .versions_applied = true,
 			.known_peers = 9,
-			.platform = true,
-			.platform_us = 3 * S,
-			.heard_peers = true },
+			.platform_answered = true,
+			.since_answer_us = 3 * S,
+			.any_peer_replied = true },
 		    true },
 	};
 	size_t i;
--- a/tests/support/spread_fleet.c
+++ b/tests/support/spread_fleet.c
@@ -308,8 +308,8 @@
 call_platform(struct spread_fleet_node *node)
 {
 	struct spread_fleet *fleet = node->fleet;
-	const struct loom_age_plan timing =
-	    loom_spread_plan(fleet->options.within_us);
+	const struct loom_age_timing timing =
+	    loom_spread_timing(fleet->options.within_us);
 	bool first = node->call_end_us == 0, any;
 	uint64_t sent_us;
 
@@ -334,7 +334,7 @@
 	sent_us = node->fetching || first ? fleet->now_us : node->sent_us;
 	node->fetching = false;
 	node->sent_us = fleet->now_us + CALL_GAP_US;
-	node->call_end_us = fleet->now_us + CALL_GAP_US + timing.wait_us;
+	node->call_end_us = fleet->now_us + CALL_GAP_US + timing.watch_us;
 	node->next_call_us = fleet->now_us + CALL_GAP_US;
 	loom_spread_platform_answered(
 	    node->spread, LOOM_SPREAD_MANIFEST, sent_us, fleet->now_us);
