--- a/src/daemon/auth.c
+++ b/src/daemon/auth.c
@@ -11,16 +11,16 @@
 enum loom_result
 auth_key(struct call *call, const struct loom_key **key)
 {
-	const char *text = call->worker->daemon->dialect->key(call->x);
+	const char *text = call->worker->daemon->dialect->key(call->exchange);
 	uint8_t digest[LOOM_DIGEST_SIZE];
 	enum loom_result result;
 	const char *reason;
 
 	if (text == NULL || *text == '\0')
 		return LOOM_KEY_MISSING;
-	if (loom_exchange_header_count(call->x, HEADER_KEY) > 1)
+	if (loom_exchange_header_count(call->exchange, HEADER_KEY) > 1)
 		return LOOM_HEADER_INVALID;
-	result = headers_check(call->x, text, &reason);
+	result = headers_check(call->exchange, text, &reason);
 	if (result != LOOM_OK)
 		return result;
 	loom_key_digest(text, strlen(text), digest);
@@ -71,13 +71,13 @@
 	enum loom_result result;
 	const char *reason;
 
-	if (loom_exchange_header_count(call->x, HEADER_CONTEXT) != 1)
+	if (loom_exchange_header_count(call->exchange, HEADER_CONTEXT) != 1)
 		return LOOM_CONTEXT_INVALID;
 	result = loom_context_verify(text, strlen(text), &daemon->context_key,
 	    &expect, call->arrived_us, &call->context);
 	if (result != LOOM_OK)
 		return result;
-	result = headers_check(call->x, NULL, &reason);
+	result = headers_check(call->exchange, NULL, &reason);
 	if (result != LOOM_OK)
 		return result;
 	return auth_key_granted(call->manifest, &call->context)
@@ -101,7 +101,7 @@
 enum loom_result
 auth_peer_context(struct call *call)
 {
-	const char *text = loom_exchange_header(call->x, HEADER_CONTEXT);
+	const char *text = loom_exchange_header(call->exchange, HEADER_CONTEXT);
 	enum loom_result result;
 
 	if (text == NULL)
--- a/src/daemon/call.c
+++ b/src/daemon/call.c
@@ -4,13 +4,13 @@
  */
 
 #include "daemon/call.h"
-#include "daemon/again.h"
 #include "daemon/auth.h"
+#include "daemon/call_retry.h"
+#include "daemon/call_ticket.h"
 #include "daemon/headers.h"
 #include "daemon/latency.h"
 #include "daemon/rate.h"
 #include "daemon/report.h"
-#include "daemon/ticketed.h"
 
 struct call *
 call_new(struct worker *worker, struct loom_exchange *x)
@@ -20,7 +20,7 @@
 	if (call == NULL)
 		return NULL;
 	call->worker = worker;
-	call->x = x;
+	call->exchange = x;
 	call->ref_count = 1;
 	call->arrived_us = loom_now_us();
 	call->body_length = loom_exchange_body_length(x);
@@ -47,7 +47,7 @@
 		return NULL;
 	if (call->route != NULL && call->route->repeatable)
 		return NULL;
-	return loom_exchange_header(call->x, HEADER_TICKET);
+	return loom_exchange_header(call->exchange, HEADER_TICKET);
 }
 
 const struct loom_team *
@@ -70,7 +70,7 @@
 		.end_us = loom_now_us(),
 	};
 
-	if (call->own_page)
+	if (call->is_internal_page)
 		return;
 	if (team != NULL)
 		facts.team = team->name;
@@ -97,7 +97,7 @@
 	if (call->manifest != NULL)
 		loom_manifest_release(call->manifest);
 	loom_counter_add(call->worker->daemon->counters.inflight, -1);
-	if (call->is_inner)
+	if (call->is_nested)
 		executor_count_nested(call, false);
 	if (call->has_parent)
 		loom_calls_deeper_end(call->worker->daemon->calls,
@@ -140,7 +140,7 @@
 call_end(struct call *call)
 {
 	call->exchange_ended = true;
-	call->x = NULL;
+	call->exchange = NULL;
 	if (may_run_detached(call)) {
 		call->detached = true;
 		return;
@@ -184,7 +184,7 @@
 	executor_release(call, LOOM_CALL_FAILED);
 	call_ticket_settle(call, code, refusal.outcome);
 	if (call->streaming)
-		loom_exchange_abort(call->x);
+		loom_exchange_abort(call->exchange);
 	else
 		call_refuse(call, &refusal);
 }
@@ -224,7 +224,7 @@
 	    call->body_length <= CALL_BUFFER_MAX) {
 		call->body_buffered = true;
 		call->body.keep = true;
-		loom_exchange_take_body(call->x);
+		loom_exchange_take_body(call->exchange);
 	} else {
 		dispatch_call(call);
 	}
--- a/src/daemon/call.h
+++ b/src/daemon/call.h
@@ -51,7 +51,7 @@
 
 struct call {
 	struct worker *worker; /* borrowed */
-	struct loom_exchange *x; /* borrowed; NULL after it has ended */
+	struct loom_exchange *exchange; /* borrowed; NULL after it has ended */
 	struct call *next, **link; /* in worker->calls */
 	struct loom_manifest *manifest; /* counted */
 	const struct loom_route *route; /* borrowed from manifest */
@@ -66,11 +66,11 @@
 	uint32_t ref_count;
 	bool exchange_ended;
 	/* request for one of the daemon's own pages (internal.c) */
-	bool own_page;
+	bool is_internal_page;
 	bool has_parent; /* nested call of parent_id */
 	/* nested call that the local upstream sent without a context, so
 	 * that the parent is unknown */
-	bool is_inner;
+	bool is_nested;
 	/* admitted while the service that runs it admitted only a share of
 	 * its requests (keep.c) */
 	bool admitted_by_share;
@@ -78,10 +78,12 @@
 	char *report_id; /* owned: request id set by the caller, or NULL */
 	/* service that refused the call or else the one with the lowest
 	 * admitted share; 0 for none */
-	uint64_t below_service_id;
-	double below_share; /* its admitted share when the call was checked */
-	uint64_t below_age_us; /* age of the report of that share */
-	double below_calls; /* calls per request of this route to it */
+	uint64_t throttled_service_id;
+	double
+	    throttled_share; /* its admitted share when the call was checked */
+	uint64_t throttled_report_age_us; /* age of the report of that share */
+	double throttled_calls_per_request; /* calls per request of this route
+					       to it */
 	struct loom_id128 parent_id;
 	bool counted_as_working; /* in daemon->working */
 	bool refused; /* a refusal was sent */
@@ -111,7 +113,7 @@
 	bool sent; /* a cancelled leg may have sent data */
 	uint64_t leg_us; /* start time */
 	uint64_t target_id; /* host of the active peer leg; 0 for none */
-	uint64_t tried[CALL_ATTEMPTS_MAX];
+	uint64_t tried_host_ids[CALL_ATTEMPTS_MAX];
 	uint32_t ntried;
 	/* goes to the executor of its ticket or that host's successors */
 	bool routed_by_ticket;
@@ -131,7 +133,7 @@
 
 	/* at the executor */
 	struct loom_admission_call waiting;
-	bool offered; /* waiting is valid */
+	bool offered_to_admission; /* waiting is valid */
 	enum call_admission admission;
 	bool registered; /* listed in daemon->calls as registered_id */
 	uint64_t nested_us; /* part of the leg's time spent in nested calls */
@@ -237,7 +239,7 @@
 void executor_release(struct call *, enum loom_call_end);
 /* Applies the verdicts of admission on queued calls, which may belong to
  * other workers. */
-void executor_moved(struct loom_verdicts *);
+void executor_apply_verdicts(struct loom_verdicts *);
 
 /* upstream.c */
 /* Starts the leg of a call that holds a slot. */
--- a/src/daemon/again.c
+++ b/src/daemon/call_retry.c
@@ -8,7 +8,7 @@
 
 #include <string.h>
 
-#include "daemon/again.h"
+#include "daemon/call_retry.h"
 
 void
 call_retry_refuse(struct call *call)
--- a/src/daemon/again.h
+++ b/src/daemon/call_retry.h
@@ -1,5 +1,5 @@
-#ifndef LOOM_DAEMON_AGAIN_H
-#define LOOM_DAEMON_AGAIN_H
+#ifndef LOOM_DAEMON_CALL_RETRY_H
+#define LOOM_DAEMON_CALL_RETRY_H
 
 /*
  * Retries a call on another host after a refusal or failure.
--- a/src/daemon/ticketed.c
+++ b/src/daemon/call_ticket.c
@@ -8,9 +8,9 @@
 
 #include <string.h>
 
+#include "daemon/call_ticket.h"
 #include "daemon/headers.h"
 #include "daemon/issue.h"
-#include "daemon/ticketed.h"
 
 /* Refuses a request without a ticket; the refusal carries a new one. */
 static void
@@ -56,8 +56,9 @@
 	headers_add_hop(call, &list);
 	call->span.status = answer->status;
 	loom_counter_add(call->worker->daemon->counters.answered, 1);
-	loom_exchange_answer(call->x, answer->status, header_list_items(&list),
-	    list.headers->len, answer->body, answer->body_bytes);
+	loom_exchange_answer(call->exchange, answer->status,
+	    header_list_items(&list), list.headers->len, answer->body,
+	    answer->body_bytes);
 	header_list_clear(&list);
 	g_strfreev(lines);
 	g_free(head);
@@ -126,8 +127,8 @@
 	struct loom_request_digest digest;
 	bool has_body = call->body_buffered;
 
-	loom_request_digest(&digest, loom_exchange_method(call->x),
-	    loom_exchange_target(call->x),
+	loom_request_digest(&digest, loom_exchange_method(call->exchange),
+	    loom_exchange_target(call->exchange),
 	    call->body_length < 0 ? 0 : (uint64_t)call->body_length,
 	    loom_buffer_peek(&call->body), loom_buffer_length(&call->body));
 	digest.has_body = has_body;
--- a/src/daemon/ticketed.h
+++ b/src/daemon/call_ticket.h
@@ -1,5 +1,5 @@
-#ifndef LOOM_DAEMON_TICKETED_H
-#define LOOM_DAEMON_TICKETED_H
+#ifndef LOOM_DAEMON_CALL_TICKET_H
+#define LOOM_DAEMON_CALL_TICKET_H
 
 /*
  * Handles tickets of non-idempotent routes, at their executor.
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -15,12 +15,12 @@
 
 #include "daemon/auth.h"
 #include "daemon/config.h"
-#include "daemon/cuts.h"
 #include "daemon/headers.h"
 #include "daemon/internal.h"
 #include "daemon/issue.h"
-#include "daemon/keep.h"
 #include "daemon/rate.h"
+#include "daemon/shed_thresholds.h"
+#include "daemon/throttle.h"
 
 /* Sets the deadline from the caller's header or the route's default, but no
  * later than latest_us. */
@@ -28,7 +28,7 @@
 set_deadline(struct call *call, uint64_t latest_us)
 {
 	const char *text = loom_exchange_header(
-	    call->x, call->worker->daemon->dialect->deadline_header);
+	    call->exchange, call->worker->daemon->dialect->deadline_header);
 	uint64_t requested_us = call->route->deadline_ms * LOOM_US_PER_MS;
 	char *end;
 
@@ -54,8 +54,9 @@
 match_route(const struct call *call)
 {
 	return loom_manifest_route_at(call->manifest,
-	    loom_exchange_header(call->x, "Host"),
-	    loom_exchange_method(call->x), loom_exchange_target(call->x));
+	    loom_exchange_header(call->exchange, "Host"),
+	    loom_exchange_method(call->exchange),
+	    loom_exchange_target(call->exchange));
 }
 
 /* Selects one of the services that share the route's requests, at random by
@@ -81,7 +82,7 @@
 static enum loom_result
 find_route(struct call *call)
 {
-	if (issue_is_request(call->x))
+	if (issue_is_request(call->exchange))
 		return issue_parse(call);
 	call->route = match_route(call);
 	if (call->route == NULL)
@@ -99,7 +100,7 @@
 open_retry_budget(struct call *call, struct loom_id128 *id)
 {
 	const char *request_id = loom_exchange_header(
-	    call->x, call->worker->daemon->dialect->request_id_header);
+	    call->exchange, call->worker->daemon->dialect->request_id_header);
 	struct loom_retry_root root;
 	uint64_t request_key = 0;
 
@@ -166,8 +167,8 @@
 	/* A root request has a key.  Without a key, on a route that is
 	 * meant for upstreams, this is a nested call of a request that was
 	 * admitted before. */
-	call->is_inner = key == NULL;
-	if (call->is_inner) {
+	call->is_nested = key == NULL;
+	if (call->is_nested) {
 		call->context.importance = LOOM_CRITICAL;
 		executor_count_nested(call, true);
 		throttle_count_nested(call);
@@ -226,7 +227,7 @@
 	if (result != LOOM_OK)
 		return result;
 	call->caller_service =
-	    loom_exchange_header(call->x, HEADER_CALLER_SERVICE);
+	    loom_exchange_header(call->exchange, HEADER_CALLER_SERVICE);
 	if (call->manifest->fleet.entry_decides)
 		return use_entry_route(call);
 	result = find_route(call);
--- a/src/daemon/executor.c
+++ b/src/daemon/executor.c
@@ -9,9 +9,9 @@
 
 #include <string.h>
 
-#include "daemon/cuts.h"
-#include "daemon/keep.h"
-#include "daemon/ticketed.h"
+#include "daemon/call_ticket.h"
+#include "daemon/shed_thresholds.h"
+#include "daemon/throttle.h"
 
 /* How long a draining daemon still accepts calls from peers. */
 #define DRAIN_ACCEPT_PEERS_US (500 * LOOM_US_PER_MS)
@@ -100,7 +100,7 @@
 	loom_verdicts_init(&moved);
 	loom_admission_done(call->worker->daemon->admission, &call->waiting,
 	    &result, now_us, &moved);
-	executor_moved(&moved);
+	executor_apply_verdicts(&moved);
 }
 
 /*
@@ -175,13 +175,13 @@
 		.deadline_us = call->deadline_us,
 		.arg = call,
 	};
-	call->offered = true;
+	call->offered_to_admission = true;
 	loom_verdicts_init(&moved);
 	call_ref(call);
 	call->admission = CALL_ADMISSION_QUEUED;
 	admit =
 	    loom_admission_offer(daemon->admission, waiting, now_us, &moved);
-	executor_moved(&moved);
+	executor_apply_verdicts(&moved);
 	if (admit == LOOM_QUEUED)
 		return;
 	call->admission = CALL_ADMISSION_NONE;
@@ -230,7 +230,7 @@
 }
 
 void
-executor_moved(struct loom_verdicts *moved)
+executor_apply_verdicts(struct loom_verdicts *moved)
 {
 	struct loom_admission_call *waiting, *next;
 	struct call *call;
--- a/src/daemon/headers.c
+++ b/src/daemon/headers.c
@@ -5,9 +5,9 @@
 
 #include <string.h>
 
-#include "daemon/cuts.h"
 #include "daemon/headers.h"
-#include "daemon/keep.h"
+#include "daemon/shed_thresholds.h"
+#include "daemon/throttle.h"
 
 /* Preallocated sizes that suffice for an ordinary message. */
 #define HEADERS_PREALLOCATED 16
@@ -131,13 +131,14 @@
 {
 	struct header_forward forward = {
 		.list = list,
-		.connection = loom_exchange_header(call->x, "Connection"),
+		.connection =
+		    loom_exchange_header(call->exchange, "Connection"),
 		.dialect = call->worker->daemon->dialect,
 		.drop_authorization = call->origin == CALL_ORIGIN_CALLER &&
-		    loom_exchange_header(call->x, HEADER_KEY) == NULL,
+		    loom_exchange_header(call->exchange, HEADER_KEY) == NULL,
 	};
 
-	loom_exchange_headers(call->x, forward_header, &forward);
+	loom_exchange_headers(call->exchange, forward_header, &forward);
 }
 
 void
--- a/src/daemon/internal.c
+++ b/src/daemon/internal.c
@@ -20,7 +20,8 @@
 {
 	const struct loom_header header = { "Content-Type", type };
 
-	loom_exchange_answer(call->x, status, &header, 1, text, strlen(text));
+	loom_exchange_answer(
+	    call->exchange, status, &header, 1, text, strlen(text));
 }
 
 static void
@@ -88,9 +89,9 @@
 void
 internal_ready_request(struct call *call)
 {
-	const char *target = loom_exchange_target(call->x);
+	const char *target = loom_exchange_target(call->exchange);
 
-	call->own_page = true;
+	call->is_internal_page = true;
 	if (strcmp(target, call->worker->daemon->dialect->ready_path) == 0)
 		answer_health(call);
 	else if (strcmp(target, "/metrics") == 0)
@@ -102,13 +103,13 @@
 bool
 internal_request(struct call *call)
 {
-	const char *target = loom_exchange_target(call->x);
+	const char *target = loom_exchange_target(call->exchange);
 	size_t i;
 
 	if (strncmp(target, own_prefix, sizeof(own_prefix) - 1) != 0 ||
-	    issue_is_request(call->x))
+	    issue_is_request(call->exchange))
 		return false;
-	call->own_page = true;
+	call->is_internal_page = true;
 	target += sizeof(own_prefix) - 1;
 	for (i = 0; i < G_N_ELEMENTS(pages); i++) {
 		if (strcmp(target, pages[i].path) == 0) {
--- a/src/daemon/issue.c
+++ b/src/daemon/issue.c
@@ -60,13 +60,13 @@
 enum loom_result
 issue_parse(struct call *call)
 {
-	const char *target = loom_exchange_target(call->x);
+	const char *target = loom_exchange_target(call->exchange);
 	char *route = query_parameter(target, "route");
 	char *count = query_parameter(target, "count");
 	enum loom_result result = LOOM_BAD_REQUEST;
 	unsigned long n = count != NULL ? strtoul(count, NULL, 10) : 1;
 
-	if (strcmp(loom_exchange_method(call->x), "POST") != 0 ||
+	if (strcmp(loom_exchange_method(call->exchange), "POST") != 0 ||
 	    call->body_length != 0 || n < 1 || n > LOOM_TICKET_ISSUE_MAX)
 		goto out;
 	result = LOOM_ROUTE_UNKNOWN;
@@ -168,7 +168,7 @@
 	header_list_add(&headers, "Content-Type", "application/json");
 	headers_add_hop(call, &headers);
 	call->span.status = 200;
-	loom_exchange_answer(call->x, 200, header_list_items(&headers),
+	loom_exchange_answer(call->exchange, 200, header_list_items(&headers),
 	    headers.headers->len, text, strlen(text));
 	header_list_clear(&headers);
 	json_object_put(object);
--- a/src/daemon/latency.c
+++ b/src/daemon/latency.c
@@ -99,7 +99,7 @@
 	struct route_latency *latency;
 	unsigned stage = call->origin == CALL_ORIGIN_PEER ? 1 : 0;
 
-	if (call->own_page)
+	if (call->is_internal_page)
 		return;
 	latency = find_route_latency(call->worker->latencies, call->route);
 	loom_histogram_add(latency->histograms[stage][call_end_kind(call)],
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -63,9 +63,9 @@
 	} else {
 		*end = call->body_ended;
 	}
-	if (!call->body_ended && call->x != NULL &&
+	if (!call->body_ended && call->exchange != NULL &&
 	    loom_buffer_length(&call->body) < BODY_HIGH_WATER_BYTES / 2)
-		loom_exchange_take_body(call->x);
+		loom_exchange_take_body(call->exchange);
 	return len;
 }
 
@@ -84,11 +84,11 @@
 
 	call->streaming = true;
 	collect_headers(call, &list);
-	loom_exchange_stream(call->x, loom_fetch_status(call->fetch),
+	loom_exchange_stream(call->exchange, loom_fetch_status(call->fetch),
 	    header_list_items(&list), list.headers->len,
 	    loom_fetch_length(call->fetch));
 	header_list_clear(&list);
-	loom_exchange_push(call->x, loom_buffer_peek(&call->answer),
+	loom_exchange_push(call->exchange, loom_buffer_peek(&call->answer),
 	    loom_buffer_length(&call->answer));
 	loom_buffer_clear(&call->answer);
 }
@@ -109,7 +109,7 @@
 	struct call *call = arg;
 
 	if (call->streaming)
-		return loom_exchange_push(call->x, data, len);
+		return loom_exchange_push(call->exchange, data, len);
 	if (call->answer_kind != LOOM_ANSWER_RAN)
 		return true;
 	if (call->exchange_ended) {
@@ -117,7 +117,7 @@
 		return true;
 	}
 	if (!loom_buffer_append(&call->answer, call, data, len)) {
-		loom_exchange_abort(call->x);
+		loom_exchange_abort(call->exchange);
 		return true;
 	}
 	if (loom_buffer_length(&call->answer) > CALL_BUFFER_MAX)
@@ -128,7 +128,7 @@
 static bool
 is_head(const struct call *call)
 {
-	return strcmp(loom_exchange_method(call->x), "HEAD") == 0;
+	return strcmp(loom_exchange_method(call->exchange), "HEAD") == 0;
 }
 
 void
@@ -139,17 +139,17 @@
 	loom_counter_add(call->worker->daemon->counters.answered, 1);
 	call->span.status = loom_fetch_status(call->fetch);
 	if (call->streaming) {
-		loom_exchange_finish(call->x);
+		loom_exchange_finish(call->exchange);
 		return;
 	}
 	collect_headers(call, &list);
 	if (is_head(call)) {
-		loom_exchange_stream(call->x, call->span.status,
+		loom_exchange_stream(call->exchange, call->span.status,
 		    header_list_items(&list), list.headers->len,
 		    loom_fetch_length(call->fetch));
-		loom_exchange_finish(call->x);
+		loom_exchange_finish(call->exchange);
 	} else {
-		loom_exchange_answer(call->x, call->span.status,
+		loom_exchange_answer(call->exchange, call->span.status,
 		    header_list_items(&list), list.headers->len,
 		    loom_buffer_peek(&call->answer),
 		    loom_buffer_length(&call->answer));
--- a/src/daemon/report.c
+++ b/src/daemon/report.c
@@ -43,8 +43,8 @@
 	const struct loom_host *host = NULL;
 
 	if (call->ntried > 0 && call->worker->hosts != NULL)
-		host = loom_hosts_find(
-		    call->worker->hosts, call->tried[call->ntried - 1]);
+		host = loom_hosts_find(call->worker->hosts,
+		    call->tried_host_ids[call->ntried - 1]);
 	return host == NULL ? NULL : host->name;
 }
 
@@ -80,9 +80,9 @@
 {
 	const struct loom_service *service = NULL;
 
-	if (call->below_service_id != 0)
+	if (call->throttled_service_id != 0)
 		service = loom_manifest_service_by_id(
-		    call->manifest, call->below_service_id);
+		    call->manifest, call->throttled_service_id);
 	return service == NULL ? NULL : service->name;
 }
 
@@ -120,11 +120,11 @@
 	struct loom_rights_status rate = { .level = 0 };
 	bool rate_refused;
 
-	if (call->own_page || (ended_well(call) && !is_sampled(id)))
+	if (call->is_internal_page || (ended_well(call) && !is_sampled(id)))
 		return;
 	if (!loom_event_admit(id, now_us))
 		return;
-	if (call->offered)
+	if (call->offered_to_admission)
 		loom_admission_state(call->worker->daemon->admission, &state);
 	const struct loom_event_field rate_of_team =
 	    LOOM_F_REAL("rate_per_s", team == NULL ? 0 : team->rate_per_s);
@@ -149,7 +149,7 @@
 		LOOM_F_TEXT("service",
 		    call->service == NULL ? NULL : call->service->name),
 		LOOM_F_TEXT("team", team == NULL ? NULL : team->name),
-		LOOM_F_BOOL("inner", call->is_inner),
+		LOOM_F_BOOL("inner", call->is_nested),
 		LOOM_F_INT("importance", call->context.importance),
 		LOOM_F_INT("manifest",
 		    call->manifest == NULL ? 0 : call->manifest->generation),
@@ -163,9 +163,10 @@
 		LOOM_F_TEXT("host", last_host_name(call)),
 		LOOM_F_BOOL("may_have_run", call->may_have_run),
 		LOOM_F_TEXT("below", bottleneck_name(call)),
-		LOOM_F_REAL("below_share", call->below_share),
-		LOOM_F_REAL("below_calls", call->below_calls),
-		LOOM_F_INT("below_age_ms", call->below_age_us / LOOM_US_PER_MS),
+		LOOM_F_REAL("below_share", call->throttled_share),
+		LOOM_F_REAL("below_calls", call->throttled_calls_per_request),
+		LOOM_F_INT("below_age_ms",
+		    call->throttled_report_age_us / LOOM_US_PER_MS),
 		LOOM_F_INT("limit", state.limit),
 		LOOM_F_INT("inside", state.inside),
 		LOOM_F_INT("waiting", state.waiting),
--- a/src/daemon/run.c
+++ b/src/daemon/run.c
@@ -542,7 +542,7 @@
 	measure_workers(daemon, loom_now_us());
 	loom_verdicts_init(&moved);
 	loom_admission_tick(daemon->admission, loom_now_us(), &moved);
-	executor_moved(&moved);
+	executor_apply_verdicts(&moved);
 	if (loom_now_us() - daemon->last_report_us >= REPORT_INTERVAL_US) {
 		daemon->last_report_us = loom_now_us();
 		report_admission(daemon);
--- a/src/daemon/cuts.c
+++ b/src/daemon/shed_thresholds.c
@@ -9,7 +9,7 @@
 
 #include <string.h>
 
-#include "daemon/cuts.h"
+#include "daemon/shed_thresholds.h"
 
 static void
 append_threshold(GString *text, uint64_t service_id, uint16_t threshold)
@@ -32,7 +32,7 @@
 	if (call->route == NULL)
 		return NULL;
 	text = g_string_new(NULL);
-	if (call->offered)
+	if (call->offered_to_admission)
 		append_threshold(
 		    text, worker->daemon->self.service_id, call->waiting.cut);
 	view = worker_route(worker, call->manifest, call->route);
--- a/src/daemon/cuts.h
+++ b/src/daemon/shed_thresholds.h
@@ -1,5 +1,5 @@
-#ifndef LOOM_DAEMON_CUTS_H
-#define LOOM_DAEMON_CUTS_H
+#ifndef LOOM_DAEMON_SHED_THRESHOLDS_H
+#define LOOM_DAEMON_SHED_THRESHOLDS_H
 
 /*
  * Shedding thresholds that answers between daemons carry: the header
--- a/src/daemon/target.c
+++ b/src/daemon/target.c
@@ -5,12 +5,12 @@
 
 #include <string.h>
 
-#include "daemon/again.h"
-#include "daemon/cuts.h"
+#include "daemon/call_retry.h"
 #include "daemon/headers.h"
-#include "daemon/heirs.h"
-#include "daemon/keep.h"
 #include "daemon/probe.h"
+#include "daemon/shed_thresholds.h"
+#include "daemon/throttle.h"
+#include "daemon/ticket_route.h"
 #include "loom/log.h"
 
 /* Loom-Used is in thousandths. */
@@ -168,7 +168,7 @@
 	call->fetch = NULL;
 	if (call->streaming) {
 		loom_counter_add(call->worker->daemon->counters.cut, 1);
-		loom_exchange_abort(call->x);
+		loom_exchange_abort(call->exchange);
 	} else if (refused && parse_refusal(call, &refusal)) {
 		call->refusal_from_peer = true;
 		target_refused(call, &refusal);
@@ -190,7 +190,7 @@
 	char context[LOOM_CONTEXT_TEXT_MAX];
 	struct header_list list;
 	struct loom_fetch_request request = {
-		.method = loom_exchange_method(call->x),
+		.method = loom_exchange_method(call->exchange),
 		.has_body = call->body_length != 0,
 		.body_length = call->body_length,
 		.expect = !call->body_buffered,
@@ -213,7 +213,7 @@
 		header_list_add(
 		    &list, HEADER_CALLER_SERVICE, call->caller_service);
 	request.address = host->peer;
-	request.target = loom_exchange_target(call->x);
+	request.target = loom_exchange_target(call->exchange);
 	request.source = call->worker->daemon->settings.source_address;
 	request.headers = header_list_items(&list);
 	request.nheaders = list.headers->len;
@@ -238,7 +238,7 @@
 	loom_buffer_clear(&call->answer);
 	loom_buffer_rewind(&call->body);
 	if (call->ntried < CALL_ATTEMPTS_MAX)
-		call->tried[call->ntried++] = host_id;
+		call->tried_host_ids[call->ntried++] = host_id;
 	if (host_id == call->worker->daemon->self.host_id) {
 		executor_start(call);
 		return;
@@ -263,7 +263,7 @@
 	    loom_admission_used(daemon->admission) / UTILIZATION_UNIT,
 	    loom_now_us());
 	return loom_balance_pick(
-	    balance, call->tried, call->ntried, loom_now_us());
+	    balance, call->tried_host_ids, call->ntried, loom_now_us());
 }
 
 void
@@ -311,7 +311,7 @@
 
 	if (refusal->code != LOOM_CONTEXT_STALE || call->ntried == 0)
 		return false;
-	host_id = call->tried[call->ntried - 1];
+	host_id = call->tried_host_ids[call->ntried - 1];
 	if (host_id == call->stale_resent_host_id)
 		return false;
 	call->stale_resent_host_id = host_id;
--- a/src/daemon/keep.c
+++ b/src/daemon/throttle.c
@@ -12,8 +12,8 @@
 
 #include <string.h>
 
-#include "daemon/cuts.h"
-#include "daemon/keep.h"
+#include "daemon/shed_thresholds.h"
+#include "daemon/throttle.h"
 
 #define PER_THOUSAND 1000.0
 
@@ -191,14 +191,14 @@
 	struct loom_throttle *keep = call->worker->keep;
 	double share = loom_throttle_share(keep, service_id, now_us);
 	bool is_lowest =
-	    call->below_service_id == 0 || share < call->below_share;
+	    call->throttled_service_id == 0 || share < call->throttled_share;
 
 	if (pass && (share >= 1.0 || !is_lowest))
 		return;
-	call->below_service_id = service_id;
-	call->below_calls = calls;
-	call->below_share = share;
-	call->below_age_us =
+	call->throttled_service_id = service_id;
+	call->throttled_calls_per_request = calls;
+	call->throttled_share = share;
+	call->throttled_report_age_us =
 	    loom_throttle_report_age_us(keep, service_id, now_us);
 }
 
--- a/src/daemon/keep.h
+++ b/src/daemon/throttle.h
@@ -1,5 +1,5 @@
-#ifndef LOOM_DAEMON_KEEP_H
-#define LOOM_DAEMON_KEEP_H
+#ifndef LOOM_DAEMON_THROTTLE_H
+#define LOOM_DAEMON_THROTTLE_H
 
 /*
  * Admitted shares of overloaded services that answers between daemons carry:
--- a/src/daemon/heirs.c
+++ b/src/daemon/ticket_route.c
@@ -11,7 +11,7 @@
 #include <string.h>
 
 #include "daemon/headers.h"
-#include "daemon/heirs.h"
+#include "daemon/ticket_route.h"
 
 /*
  * LOOM_TICKET_LOST is included because a host that was replaced under the same
@@ -36,7 +36,7 @@
 	uint32_t i;
 
 	for (i = 0; i < call->ntried; i++) {
-		if (call->tried[i] == host_id)
+		if (call->tried_host_ids[i] == host_id)
 			return true;
 	}
 	return false;
@@ -66,7 +66,7 @@
 	(void)timer;
 	(void)now;
 	call->handover_timer = NULL;
-	target_send_to(call, call->tried[--call->ntried]);
+	target_send_to(call, call->tried_host_ids[--call->ntried]);
 }
 
 /*
--- a/src/daemon/heirs.h
+++ b/src/daemon/ticket_route.h
@@ -1,5 +1,5 @@
-#ifndef LOOM_DAEMON_HEIRS_H
-#define LOOM_DAEMON_HEIRS_H
+#ifndef LOOM_DAEMON_TICKET_ROUTE_H
+#define LOOM_DAEMON_TICKET_ROUTE_H
 
 /*
  * Selects the hosts to which a request with a ticket is sent.
--- a/src/daemon/upstream.c
+++ b/src/daemon/upstream.c
@@ -15,8 +15,8 @@
 #include <unistd.h>
 
 #include "daemon/auth.h"
+#include "daemon/call_ticket.h"
 #include "daemon/headers.h"
-#include "daemon/ticketed.h"
 #include "daemon/witness.h"
 #include "loom/log.h"
 
@@ -200,7 +200,7 @@
 		call_ticket_settle(
 		    call, LOOM_UPSTREAM_CUT, LOOM_OUTCOME_UNKNOWN);
 		loom_counter_add(call->worker->daemon->counters.cut, 1);
-		loom_exchange_abort(call->x);
+		loom_exchange_abort(call->exchange);
 	} else {
 		refuse_failed_leg(call, end, crashed);
 	}
@@ -295,10 +295,10 @@
 	struct call *call = arg;
 	const struct loom_dialect *dialect = call->worker->daemon->dialect;
 
-	if (call->x == NULL)
+	if (call->exchange == NULL)
 		return;
-	call->answer_kind = dialect->judge(
-	    fetch, loom_exchange_header(call->x, dialect->request_id_header));
+	call->answer_kind = dialect->judge(fetch,
+	    loom_exchange_header(call->exchange, dialect->request_id_header));
 	/* The upstream sent a surplus answer, and the one to this request
 	 * may still follow: answers on this connection can no longer be
 	 * matched to requests. */
@@ -417,7 +417,7 @@
 send_request(struct call *call)
 {
 	struct loom_fetch_request request = {
-		.method = loom_exchange_method(call->x),
+		.method = loom_exchange_method(call->exchange),
 		.has_body = call->body_length != 0,
 		.body_length = call->body_length,
 		.ops = &leg_ops,
@@ -428,7 +428,7 @@
 	header_list_init(&list);
 	add_headers(call, &list);
 	request.address = call->worker->daemon->settings.upstream;
-	request.target = loom_exchange_target(call->x);
+	request.target = loom_exchange_target(call->exchange);
 	request.headers = header_list_items(&list);
 	request.nheaders = list.headers->len;
 	request.timeout_us = call_remaining_us(call, call->leg_us);
@@ -453,7 +453,7 @@
 	    call->body_length < 0 ? 0 : (uint64_t)call->body_length;
 
 	loom_fingerprint(print, call->context.team_id, call->route->id,
-	    loom_exchange_target(call->x), declared,
+	    loom_exchange_target(call->exchange), declared,
 	    loom_buffer_peek(&call->body),
 	    MIN(loom_buffer_length(&call->body),
 		(size_t)LOOM_FINGERPRINT_PREFIX_BYTES));
@@ -545,7 +545,7 @@
 		executor_refuse_code(call, LOOM_LATE, 0);
 	} else if (!has_body_prefix(call)) {
 		call->awaits_body_prefix = true;
-		loom_exchange_take_body(call->x);
+		loom_exchange_take_body(call->exchange);
 	} else {
 		call->awaits_body_prefix = false;
 		enter_quarantine(call);
--- a/src/daemon/worker.c
+++ b/src/daemon/worker.c
@@ -250,8 +250,8 @@
 	g_thread_join(worker->thread);
 	for (call = worker->calls; call != NULL; call = next) {
 		next = call->next;
-		if (call->x != NULL)
-			loom_exchange_abort(call->x);
+		if (call->exchange != NULL)
+			loom_exchange_abort(call->exchange);
 	}
 	TALLOC_FREE(worker->caller_server);
 	TALLOC_FREE(worker->peer_server);
