--- a/include/loom/dialect.h
+++ b/include/loom/dialect.h
@@ -15,7 +15,7 @@
 #include "loom/server.h"
 
 /* The data for the headers of a request to the upstream; all borrowed. */
-struct loom_upstream_facts {
+struct loom_upstream_request_info {
 	const char *request_id; /* of the root, in hex */
 	uint64_t remaining_us; /* of the deadline */
 	const char *team; /* NULL for a public route */
@@ -27,7 +27,7 @@
 enum loom_answer_kind {
 	LOOM_ANSWER_RAN, /* the request ran, whatever the status */
 	LOOM_ANSWER_NOT_RUN, /* refused before it ran */
-	LOOM_ANSWER_FOREIGN, /* the answer to another request */
+	LOOM_ANSWER_MISMATCHED, /* the answer to another request */
 };
 
 typedef void (*loom_header_add)(void *arg, const char *name, const char *value);
@@ -50,13 +50,13 @@
 	 */
 	bool (*is_own_header)(const char *name);
 	/* Adds the headers of a request to the upstream. */
-	void (*upstream_headers)(
-	    const struct loom_upstream_facts *, loom_header_add, void *arg);
+	void (*upstream_headers)(const struct loom_upstream_request_info *,
+	    loom_header_add, void *arg);
 	/*
 	 * Classifies an upstream's answer. request_id is the one that the
 	 * caller sent, or NULL.
 	 */
-	enum loom_answer_kind (*judge)(
+	enum loom_answer_kind (*classify_answer)(
 	    const struct loom_fetch *, const char *request_id);
 	/* Returns the HTTP status for a refusal. */
 	uint16_t (*status)(const struct loom_refusal *);
--- a/src/daemon/call.c
+++ b/src/daemon/call.c
@@ -90,7 +90,7 @@
 		return;
 	emit_call_span(call);
 	report_call(call);
-	latency_count(call);
+	latency_record(call);
 	*call->link = call->next;
 	if (call->next != NULL)
 		call->next->link = call->link;
@@ -103,7 +103,7 @@
 		loom_calls_deeper_end(call->worker->daemon->calls,
 		    &call->parent_id, loom_now_us());
 	if (call->counted_as_working)
-		atomic_fetch_sub(&call->worker->daemon->working, 1);
+		atomic_fetch_sub(&call->worker->daemon->admitted, 1);
 	atomic_fetch_sub(&call->worker->daemon->inflight, 1);
 	talloc_free(call);
 }
@@ -215,7 +215,7 @@
 call_start(struct call *call)
 {
 	call->counted_as_working = true;
-	atomic_fetch_add(&call->worker->daemon->working, 1);
+	atomic_fetch_add(&call->worker->daemon->admitted, 1);
 	if (call->body_length == 0) {
 		call->body_buffered = true;
 		call->body_ended = true;
--- a/src/daemon/processor.c
+++ b/src/daemon/cpu_usage.c
@@ -6,7 +6,7 @@
 #include <pthread.h>
 #include <time.h>
 
-#include "daemon/processor.h"
+#include "daemon/cpu_usage.h"
 #include "daemon/worker.h"
 #include "loom/event.h"
 
@@ -77,7 +77,7 @@
 count_calls(const struct daemon_counters *counters)
 {
 	return loom_counter_value(counters->requests) +
-	    loom_counter_value(counters->deeper) +
+	    loom_counter_value(counters->nested) +
 	    loom_counter_value(counters->executed);
 }
 
--- a/src/daemon/processor.h
+++ b/src/daemon/cpu_usage.h
@@ -1,5 +1,5 @@
-#ifndef LOOM_DAEMON_PROCESSOR_H
-#define LOOM_DAEMON_PROCESSOR_H
+#ifndef LOOM_DAEMON_CPU_USAGE_H
+#define LOOM_DAEMON_CPU_USAGE_H
 
 /*
  * Reports a daemon's CPU usage to operators: metrics of the CPU time in total
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -10,7 +10,7 @@
 #include <netinet/in.h>
 #include <sodium.h>
 
-#include "daemon/processor.h"
+#include "daemon/cpu_usage.h"
 #include "daemon/settings.h"
 #include "loom/admission.h"
 #include "loom/calls.h"
@@ -35,11 +35,11 @@
 struct daemon_counters {
 	struct loom_counter *requests; /* root requests, from callers */
 	struct loom_counter
-	    *deeper; /* nested requests, from the own upstream */
+	    *nested; /* nested requests, from the own upstream */
 	struct loom_counter *executed; /* sent to the own upstream */
 	struct loom_counter *answered; /* complete answers */
-	struct loom_counter *cut; /* truncated answers */
-	struct loom_counter *gone; /* callers that disconnected early */
+	struct loom_counter *truncated; /* truncated answers */
+	struct loom_counter *disconnected; /* callers that disconnected early */
 	struct loom_counter *retried; /* repeated on another host */
 	struct loom_counter *probes;
 	struct loom_counter *inflight; /* gauge */
@@ -58,7 +58,7 @@
 	struct loom_tickets *tickets; /* any thread */
 	struct loom_quarantine *quarantine; /* any thread */
 	struct loom_rights_set *rights; /* any thread */
-	atomic_bool rights_held; /* the teams' rates can be used */
+	atomic_bool rights_ready; /* the teams' rates can be used */
 	uint64_t rights_wait_end_us; /* of the initial wait; control thread */
 	/* control thread */
 	struct loom_rights_summary
@@ -77,11 +77,11 @@
 	struct tracer *tracer; /* any thread */
 	struct worker **workers; /* constant */
 	uint32_t nworkers;
-	atomic_bool leaving; /* not ready, but still serving */
+	atomic_bool shutting_down; /* not ready, but still serving */
 	atomic_bool draining; /* callers are refused, peers informed */
 	uint64_t drain_us; /* start; written before draining is set */
 	atomic_uint inflight; /* calls in progress, all workers */
-	atomic_uint working; /* those of them that were admitted */
+	atomic_uint admitted; /* those of them that were admitted */
 	struct config *config; /* ready and status: any thread */
 	/* The rest is used by the main thread only. */
 	struct tevent_context *ev;
--- a/src/daemon/dialect.c
+++ b/src/daemon/dialect.c
@@ -39,8 +39,8 @@
 }
 
 static void
-own_upstream_headers(
-    const struct loom_upstream_facts *facts, loom_header_add add, void *arg)
+own_upstream_headers(const struct loom_upstream_request_info *facts,
+    loom_header_add add, void *arg)
 {
 	char text[32];
 
@@ -81,7 +81,7 @@
 	.key = own_key,
 	.is_own_header = own_is_own_header,
 	.upstream_headers = own_upstream_headers,
-	.judge = own_judge,
+	.classify_answer = own_judge,
 	.status = own_status,
 	.retry_after = own_retry_after,
 };
--- a/src/daemon/drain.c
+++ b/src/daemon/drain.c
@@ -30,7 +30,7 @@
 static bool
 is_work_finished(const struct loom_daemon *daemon, uint64_t now_us)
 {
-	return atomic_load(&daemon->working) == 0 &&
+	return atomic_load(&daemon->admitted) == 0 &&
 	    loom_tickets_drained(daemon->tickets) &&
 	    now_us - daemon->drain_us >=
 	    daemon->settings.drain_notice_ms * LOOM_US_PER_MS;
@@ -123,7 +123,7 @@
 
 	loom_log(LOOM_LOG_INFO, "loomd", LOOM_OK, "draining");
 	report_lifecycle(daemon, "drain");
-	atomic_store(&daemon->leaving, true);
+	atomic_store(&daemon->shutting_down, true);
 	tevent_add_timer(daemon->ev, daemon,
 	    tevent_timeval_current_ofs((uint32_t)(delay_us / LOOM_US_PER_S),
 		(uint32_t)(delay_us % LOOM_US_PER_S)),
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -172,7 +172,7 @@
 		call->context.importance = LOOM_CRITICAL;
 		executor_count_nested(call, true);
 		throttle_count_nested(call);
-		loom_counter_add(call->worker->daemon->counters.deeper, 1);
+		loom_counter_add(call->worker->daemon->counters.nested, 1);
 		return LOOM_OK;
 	}
 	loom_counter_add(call->worker->daemon->counters.requests, 1);
@@ -193,7 +193,7 @@
 	result = find_route(call);
 	if (result != LOOM_OK)
 		return result;
-	loom_counter_add(call->worker->daemon->counters.deeper, 1);
+	loom_counter_add(call->worker->daemon->counters.nested, 1);
 	call->has_parent = true;
 	call->parent_id = parent.context.call;
 	loom_calls_deeper_begin(
--- a/src/daemon/internal.c
+++ b/src/daemon/internal.c
@@ -27,12 +27,12 @@
 static void
 answer_health(struct call *call)
 {
-	if (atomic_load(&call->worker->daemon->leaving))
+	if (atomic_load(&call->worker->daemon->shutting_down))
 		answer_text(call, 503, "text/plain", "draining\n");
 	else if (call->manifest == NULL ||
 	    !config_ready(call->worker->daemon->config))
 		answer_text(call, 503, "text/plain", "no manifest yet\n");
-	else if (!atomic_load(&call->worker->daemon->rights_held))
+	else if (!atomic_load(&call->worker->daemon->rights_ready))
 		answer_text(call, 503, "text/plain", "no rights yet\n");
 	else
 		answer_text(call, 200, "text/plain", "ready\n");
--- a/src/daemon/latency.c
+++ b/src/daemon/latency.c
@@ -94,7 +94,7 @@
 }
 
 void
-latency_count(const struct call *call)
+latency_record(const struct call *call)
 {
 	struct route_latency *latency;
 	unsigned stage = call->origin == CALL_ORIGIN_PEER ? 1 : 0;
--- a/src/daemon/latency.h
+++ b/src/daemon/latency.h
@@ -13,6 +13,6 @@
 struct latencies *latencies_new(TALLOC_CTX *ctx);
 
 /* Records the latency of a call that has ended. */
-void latency_count(const struct call *);
+void latency_record(const struct call *);
 
 #endif
--- a/src/daemon/lag.c
+++ b/src/daemon/loop_delay.c
@@ -9,7 +9,7 @@
 
 #include <glib.h>
 
-#include "daemon/lag.h"
+#include "daemon/loop_delay.h"
 #include "loom/clock.h"
 
 static void
--- a/src/daemon/lag.h
+++ b/src/daemon/loop_delay.h
@@ -1,5 +1,5 @@
-#ifndef LOOM_DAEMON_LAG_H
-#define LOOM_DAEMON_LAG_H
+#ifndef LOOM_DAEMON_LOOP_DELAY_H
+#define LOOM_DAEMON_LOOP_DELAY_H
 
 /*
  * Measures the delay of an event loop: the time from when an event is ready
--- a/src/daemon/busy.c
+++ b/src/daemon/loop_utilization.c
@@ -11,7 +11,7 @@
 
 #include <glib.h>
 
-#include "daemon/busy.h"
+#include "daemon/loop_utilization.h"
 #include "loom/clock.h"
 
 /* Records the end of a wait, and pauses the loop if that is due. */
--- a/src/daemon/busy.h
+++ b/src/daemon/loop_utilization.h
@@ -1,5 +1,5 @@
-#ifndef LOOM_DAEMON_BUSY_H
-#define LOOM_DAEMON_BUSY_H
+#ifndef LOOM_DAEMON_LOOP_UTILIZATION_H
+#define LOOM_DAEMON_LOOP_UTILIZATION_H
 
 /*
  * Measures the fraction of the time that an event loop is busy, and pauses a
--- a/src/daemon/probe.c
+++ b/src/daemon/probe.c
@@ -78,7 +78,7 @@
 }
 
 void
-probe_silent(struct worker *worker, struct loom_balance *balance)
+probe_start_if_due(struct worker *worker, struct loom_balance *balance)
 {
 	uint64_t now_us = loom_now_us();
 	uint64_t host_id = loom_balance_probe_due(balance, now_us);
--- a/src/daemon/probe.h
+++ b/src/daemon/probe.h
@@ -11,6 +11,6 @@
  * Starts a probe if one is due (loom/balance.h). balance belongs to the worker.
  * To be called on the worker's thread.
  */
-void probe_silent(struct worker *, struct loom_balance *balance);
+void probe_start_if_due(struct worker *, struct loom_balance *balance);
 
 #endif
--- a/src/daemon/rate.c
+++ b/src/daemon/rate.c
@@ -20,7 +20,7 @@
 	 * exceeds its rate, nor estimate from its empty share when a token
 	 * will be available. */
 	if (result == LOOM_TEAM_RATE &&
-	    !atomic_load(&call->worker->daemon->rights_held)) {
+	    !atomic_load(&call->worker->daemon->rights_ready)) {
 		result = LOOM_STARTING;
 		retry_after_us = 0;
 	}
--- a/src/daemon/run.c
+++ b/src/daemon/run.c
@@ -68,15 +68,15 @@
 {
 	counters->requests = loom_counter("loom_requests_total",
 	    "from=\"caller\"", "Requests that were let in.");
-	counters->deeper = loom_counter("loom_requests_total",
+	counters->nested = loom_counter("loom_requests_total",
 	    "from=\"upstream\"", "Requests that were let in.");
 	counters->executed = loom_counter(
 	    "loom_executed_total", NULL, "Calls sent to the own upstream.");
 	counters->answered = loom_counter(
 	    "loom_answers_total", "end=\"whole\"", "Answers given.");
-	counters->cut =
+	counters->truncated =
 	    loom_counter("loom_answers_total", "end=\"cut\"", "Answers given.");
-	counters->gone = loom_counter("loom_callers_gone_total", NULL,
+	counters->disconnected = loom_counter("loom_callers_gone_total", NULL,
 	    "Callers that went away before their answer.");
 	counters->retried = loom_counter(
 	    "loom_sent_again_total", NULL, "Calls sent to another host.");
@@ -312,7 +312,7 @@
 	(void)signal_number;
 	(void)count;
 	(void)info;
-	if (atomic_load(&daemon->leaving))
+	if (atomic_load(&daemon->shutting_down))
 		daemon->stopping = true;
 	else
 		daemon_drain(daemon);
@@ -486,7 +486,7 @@
 			daemon->rights_wait_end_us = loom_now_us();
 	} else if (loom_now_us() - daemon->rights_wait_end_us >=
 	    RIGHTS_FILL_US) {
-		atomic_store(&daemon->rights_held, true);
+		atomic_store(&daemon->rights_ready, true);
 	}
 }
 
@@ -549,7 +549,7 @@
 		cpu_usage_report(daemon, daemon->last_report_us);
 		loom_control_post(daemon->control, report_rights_task, daemon);
 	}
-	if (!atomic_load(&daemon->rights_held))
+	if (!atomic_load(&daemon->rights_ready))
 		loom_control_post(daemon->control, check_rights_filled, daemon);
 	tick_ms = atomic_load(&daemon->inflight) > 0 ? ADMISSION_TICK_MS
 						     : IDLE_TICK_MS;
--- a/src/daemon/shed_thresholds.c
+++ b/src/daemon/shed_thresholds.c
@@ -24,7 +24,7 @@
 shed_thresholds_format(const struct call *call)
 {
 	struct worker *worker = call->worker;
-	const struct route_view *view;
+	const struct route_services *view;
 	uint64_t now_us = loom_now_us();
 	GString *text;
 	uint32_t i;
@@ -35,7 +35,7 @@
 	if (call->offered_to_admission)
 		append_threshold(
 		    text, worker->daemon->self.service_id, call->waiting.cut);
-	view = worker_route(worker, call->manifest, call->route);
+	view = worker_route_services(worker, call->manifest, call->route);
 	for (i = 0; view != NULL && i < view->nservices; i++) {
 		if (view->service_ids[i] != worker->daemon->self.service_id)
 			append_threshold(text, view->service_ids[i],
@@ -87,9 +87,9 @@
     const struct call *call, uint64_t now_us, uint64_t *retry_after_us)
 {
 	struct worker *worker = call->worker;
-	const struct route_view *view;
+	const struct route_services *view;
 
-	view = worker_route(worker, call->manifest, call->route);
+	view = worker_route_services(worker, call->manifest, call->route);
 	if (view == NULL)
 		return LOOM_OK;
 	return loom_shed_check(worker->shed, view->service_ids, view->nservices,
--- a/src/daemon/target.c
+++ b/src/daemon/target.c
@@ -167,7 +167,7 @@
 	call->target_id = 0;
 	call->fetch = NULL;
 	if (call->streaming) {
-		loom_counter_add(call->worker->daemon->counters.cut, 1);
+		loom_counter_add(call->worker->daemon->counters.truncated, 1);
 		loom_exchange_abort(call->exchange);
 	} else if (refused && parse_refusal(call, &refusal)) {
 		call->refusal_from_peer = true;
@@ -258,7 +258,7 @@
 
 	if (balance == NULL)
 		return 0;
-	probe_silent(call->worker, balance);
+	probe_start_if_due(call->worker, balance);
 	loom_balance_note_utilization(balance, daemon->self.host_id,
 	    loom_admission_used(daemon->admission) / UTILIZATION_UNIT,
 	    loom_now_us());
--- a/src/daemon/upstream.c
+++ b/src/daemon/upstream.c
@@ -199,7 +199,7 @@
 	if (!call->exchange_ended && call->streaming) {
 		call_ticket_settle(
 		    call, LOOM_UPSTREAM_CUT, LOOM_OUTCOME_UNKNOWN);
-		loom_counter_add(call->worker->daemon->counters.cut, 1);
+		loom_counter_add(call->worker->daemon->counters.truncated, 1);
 		loom_exchange_abort(call->exchange);
 	} else {
 		refuse_failed_leg(call, end, crashed);
@@ -227,7 +227,7 @@
 	struct call *call = arg;
 	const struct loom_daemon *daemon = call->worker->daemon;
 	uint64_t now_us = loom_now_us();
-	bool crashed = witnesses_gone(daemon->witnesses, now_us);
+	bool crashed = witnesses_detect_crash(daemon->witnesses, now_us);
 
 	(void)ev;
 	(void)timer;
@@ -297,12 +297,12 @@
 
 	if (call->exchange == NULL)
 		return;
-	call->answer_kind = dialect->judge(fetch,
+	call->answer_kind = dialect->classify_answer(fetch,
 	    loom_exchange_header(call->exchange, dialect->request_id_header));
 	/* The upstream sent a surplus answer, and the one to this request
 	 * may still follow: answers on this connection can no longer be
 	 * matched to requests. */
-	if (call->answer_kind == LOOM_ANSWER_FOREIGN)
+	if (call->answer_kind == LOOM_ANSWER_MISMATCHED)
 		loom_fetch_reject(fetch);
 }
 
@@ -382,7 +382,7 @@
 	const bool passes_context =
 	    call->worker->daemon->dialect->passes_context;
 	const struct loom_team *team = call_team(call);
-	const struct loom_upstream_facts facts = {
+	const struct loom_upstream_request_info facts = {
 		.request_id = request_id,
 		.remaining_us = call_remaining_us(call, call->leg_us),
 		.team = team == NULL ? NULL : team->name,
--- a/src/daemon/witness.c
+++ b/src/daemon/witness.c
@@ -162,7 +162,7 @@
 }
 
 bool
-witnesses_gone(struct witnesses *witnesses, uint64_t now_us)
+witnesses_detect_crash(struct witnesses *witnesses, uint64_t now_us)
 {
 	bool gone;
 
--- a/src/daemon/witness.h
+++ b/src/daemon/witness.h
@@ -27,6 +27,6 @@
  * were closed together with it, which means that the upstream crashed. Any
  * thread.
  */
-bool witnesses_gone(struct witnesses *, uint64_t now_us);
+bool witnesses_detect_crash(struct witnesses *, uint64_t now_us);
 
 #endif
--- a/src/daemon/worker.c
+++ b/src/daemon/worker.c
@@ -61,7 +61,8 @@
 	struct call *call = loom_exchange_user(x);
 
 	if (call != NULL)
-		loom_counter_add(call->worker->daemon->counters.gone, 1);
+		loom_counter_add(
+		    call->worker->daemon->counters.disconnected, 1);
 }
 
 static void
--- a/src/daemon/worker.h
+++ b/src/daemon/worker.h
@@ -10,9 +10,9 @@
 #include <stdatomic.h>
 #include <time.h>
 
-#include "daemon/busy.h"
 #include "daemon/daemon.h"
-#include "daemon/lag.h"
+#include "daemon/loop_delay.h"
+#include "daemon/loop_utilization.h"
 #include "loom/balance.h"
 #include "loom/costs.h"
 #include "loom/fetch.h"
@@ -30,7 +30,7 @@
 };
 
 /* The services that a route reaches through its declared calls. */
-struct route_view {
+struct route_services {
 	uint64_t *service_ids; /* owned */
 	uint32_t nservices;
 };
@@ -52,7 +52,7 @@
 	struct loom_costs *costs; /* owned */
 	struct loom_manifest *manifest; /* acquired; NULL before the first */
 	struct loom_hosts *hosts; /* acquired; NULL before the first */
-	struct route_view *routes; /* one for each route of manifest */
+	struct route_services *routes; /* one for each route of manifest */
 	GHashTable *services; /* service id to struct service_state */
 	GHashTable *peer_clocks; /* host id to struct loom_peer_clock */
 	GHashTable *issues; /* team id to struct issue_bucket */
@@ -108,7 +108,7 @@
  * Returns the services that a route reaches, or NULL if the manifest is not the
  * worker's current one.
  */
-const struct route_view *worker_route(const struct worker *,
+const struct route_services *worker_route_services(const struct worker *,
     const struct loom_manifest *, const struct loom_route *);
 
 #endif
--- a/src/daemon/worker_view.c
+++ b/src/daemon/worker_view.c
@@ -115,17 +115,17 @@
 		collect_services(manifest, route->calls[i], seen, ids);
 }
 
-static struct route_view *
+static struct route_services *
 build_route_views(struct worker *worker, const struct loom_manifest *manifest)
 {
-	struct route_view *views;
+	struct route_services *views;
 	bool *seen = g_new(bool, manifest->nroutes);
 	GArray *ids;
 	uint32_t i;
 
 	/* with an empty one at the end, for the unlisted route */
-	views =
-	    talloc_zero_array(worker, struct route_view, manifest->nroutes + 1);
+	views = talloc_zero_array(
+	    worker, struct route_services, manifest->nroutes + 1);
 	for (i = 0; i < manifest->nroutes; i++) {
 		ids = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 		memset(seen, 0, manifest->nroutes * sizeof(bool));
@@ -139,9 +139,9 @@
 	return views;
 }
 
-const struct route_view *
-worker_route(const struct worker *worker, const struct loom_manifest *manifest,
-    const struct loom_route *route)
+const struct route_services *
+worker_route_services(const struct worker *worker,
+    const struct loom_manifest *manifest, const struct loom_route *route)
 {
 	/* A call that began under an older manifest gets none. */
 	if (manifest != worker->manifest || worker->routes == NULL)
--- a/tests/daemon/test_busy.c
+++ b/tests/daemon/test_busy.c
@@ -11,8 +11,8 @@
 #include <talloc.h>
 #include <unistd.h>
 
-#include "daemon/busy.h"
-#include "daemon/lag.h"
+#include "daemon/loop_delay.h"
+#include "daemon/loop_utilization.h"
 #include "loom/clock.h"
 #include "support/test.h"
 
