--- a/bench/bench_rights.c
+++ b/bench/bench_rights.c
@@ -145,7 +145,7 @@
 {
 	static struct loom_rights_up up;
 	static uint8_t buf[LOOM_RIGHTS_MESSAGE_MAX];
-	struct loom_from from = { 100000 + child, 1 };
+	struct loom_message_source from = { 100000 + child, 1 };
 	unsigned i;
 	size_t len;
 
@@ -253,7 +253,7 @@
 	static struct loom_rights_down down;
 	static uint8_t buf[LOOM_RIGHTS_MESSAGE_MAX];
 	struct loom_rights_summary summary;
-	struct loom_from from = { .incarnation = 9 };
+	struct loom_message_source from = { .incarnation = 9 };
 	unsigned i;
 
 	loom_rights_summary(bench->rights, &summary);
--- a/bench/bench_tickets.c
+++ b/bench/bench_tickets.c
@@ -125,10 +125,10 @@
     void *arg, uint64_t host_id, uint8_t type, const void *payload, size_t len)
 {
 	const struct loom_self *self = arg;
-	struct loom_from from = { self->host_id, self->incarnation };
+	struct loom_message_source from = { self->host_id, self->incarnation };
 
 	pair.bytes += len;
-	loom_tickets_part.message(pair.tickets[host_id - 1], &from, type,
+	loom_tickets_ops.message(pair.tickets[host_id - 1], &from, type,
 	    payload, len, loom_now_us());
 }
 
@@ -165,7 +165,7 @@
 		config.self = &pair.self[i];
 		config.sender = &pair.sender[i];
 		pair.tickets[i] = loom_tickets_new(&config);
-		loom_tickets_part.hosts_changed(pair.tickets[i], hosts, 0);
+		loom_tickets_ops.hosts_changed(pair.tickets[i], hosts, 0);
 	}
 	loom_hosts_release(hosts);
 }
@@ -212,11 +212,11 @@
 	for (i = 0; i < TEAMS * 100; i++)
 		one_ticket(i % TEAMS, NULL);
 	now_us = loom_now_us();
-	loom_tickets_part.drain(pair.tickets[0], now_us);
+	loom_tickets_ops.drain(pair.tickets[0], now_us);
 	begun_us = loom_now_us();
 	for (i = 0; i < 100 && !loom_tickets_drained(pair.tickets[0]); i++) {
 		now_us += 50 * LOOM_US_PER_MS;
-		loom_tickets_part.tick(pair.tickets[0], now_us);
+		loom_tickets_ops.tick(pair.tickets[0], now_us);
 	}
 	printf("%-34s %8zu bytes, %.1f a team, %.1f ms of work\n",
 	    "hand-over, 200 teams, 100 each", pair.bytes,
--- a/include/loom/calls.h
+++ b/include/loom/calls.h
@@ -53,13 +53,13 @@
  * nothing about the load of its own upstream, so it is counted here; concurrent
  * nested calls count once.  An unknown id is ignored.
  */
-void loom_calls_deeper_begin(
+void loom_calls_nested_begin(
     struct loom_calls *, const struct loom_id128 *call, uint64_t now_us);
-void loom_calls_deeper_end(
+void loom_calls_nested_end(
     struct loom_calls *, const struct loom_id128 *call, uint64_t now_us);
 
 /* Returns the time spent in nested calls so far; 0 for an unknown id. */
-uint64_t loom_calls_deeper_us(
+uint64_t loom_calls_nested_us(
     struct loom_calls *, const struct loom_id128 *call, uint64_t now_us);
 
 size_t loom_calls_count(struct loom_calls *);
--- a/include/loom/control.h
+++ b/include/loom/control.h
@@ -46,7 +46,7 @@
 };
 
 /* The sender of a message, authenticated by the transport. */
-struct loom_from {
+struct loom_message_source {
 	uint64_t host_id; /* loom_name_id() of the host's name */
 	uint64_t incarnation; /* random, new at each start of the daemon */
 };
@@ -63,7 +63,7 @@
 };
 
 /* The callbacks of a component; any function may be NULL. */
-struct loom_part_ops {
+struct loom_component_ops {
 	const char *name; /* borrowed, static */
 	/* range of message types delivered to this component */
 	uint8_t first_type;
@@ -76,7 +76,7 @@
 	 */
 	uint32_t busy_tick_us;
 	bool (*busy)(void *component);
-	void (*message)(void *component, const struct loom_from *from,
+	void (*message)(void *component, const struct loom_message_source *from,
 	    uint8_t type, const uint8_t *payload, size_t len, uint64_t now_us);
 	void (*tick)(void *component, uint64_t now_us);
 	/* manifest and hosts are borrowed; acquire them to keep them. */
--- a/include/loom/control_thread.h
+++ b/include/loom/control_thread.h
@@ -52,14 +52,14 @@
  * known yet: a seed, which a starting daemon contacts first.  Before the start
  * only.
  */
-uint64_t loom_control_seed(struct loom_control *, const char *address);
+uint64_t loom_control_add_seed(struct loom_control *, const char *address);
 
 /*
  * Adds a component. ops and component are borrowed and must outlive the stop.
  * Before the start only.  Two components must not share a message type.
  */
 void loom_control_add(
-    struct loom_control *, const struct loom_part_ops *, void *component);
+    struct loom_control *, const struct loom_component_ops *, void *component);
 
 /* Returns false if the thread cannot be created. */
 bool loom_control_start(struct loom_control *);
@@ -75,7 +75,7 @@
  * Tells the control that the component may have become busy, so that its next
  * tick follows within busy_tick_us.  Control thread.
  */
-void loom_control_hurry(struct loom_control *, const void *component);
+void loom_control_shorten_tick(struct loom_control *, const void *component);
 
 /*
  * Pass a new manifest or host list to all components; hosts are resolved by the
--- a/include/loom/inner.h
+++ b/include/loom/inner.h
@@ -36,7 +36,7 @@
 
 /* The envelope of a payload. */
 struct loom_message {
-	struct loom_from from;
+	struct loom_message_source from;
 	uint64_t sequence; /* increases with each message of an incarnation */
 	char control[LOOM_ADDRESS_SIZE]; /* the sender's, or "" */
 	uint8_t type; /* less than LOOM_MESSAGE_TYPES */
@@ -73,8 +73,8 @@
  * replayed message, and for one of a new sender while too many senders are
  * active to track another.
  */
-bool loom_repeats_check(struct loom_repeats *, const struct loom_from *,
-    uint64_t sequence, uint64_t now_us);
+bool loom_repeats_check(struct loom_repeats *,
+    const struct loom_message_source *, uint64_t sequence, uint64_t now_us);
 
 /*
  * Parses a secret of 64 hex digits. Returns false with LOOM_INNER_SECRET on
--- a/include/loom/outcome.h
+++ b/include/loom/outcome.h
@@ -27,7 +27,7 @@
 	enum loom_outcome outcome;
 	bool final; /* no daemon closer to the caller may retry */
 	uint32_t retry_after_ms; /* 0 for none */
-	uint64_t heir_host_id; /* for LOOM_TICKET_MOVED; 0 for none */
+	uint64_t successor_host_id; /* for LOOM_TICKET_MOVED; 0 for none */
 	char trace_id[LOOM_TRACE_ID_TEXT_SIZE]; /* "" for none */
 	char ticket[128]; /* a new ticket, "" for none */
 	char detail[LOOM_DETAIL_MAX + 1]; /* "" for none */
--- a/include/loom/quarantine.h
+++ b/include/loom/quarantine.h
@@ -126,6 +126,6 @@
 size_t loom_quarantine_count(struct loom_quarantine *, uint64_t now_us);
 
 /* Handles messages 70-71; its argument is a struct loom_quarantine. */
-extern const struct loom_part_ops loom_quarantine_ops;
+extern const struct loom_component_ops loom_quarantine_ops;
 
 #endif
--- a/include/loom/retry.h
+++ b/include/loom/retry.h
@@ -70,7 +70,7 @@
 
 struct loom_retry;
 
-extern const struct loom_part_ops loom_retry_ops;
+extern const struct loom_component_ops loom_retry_ops;
 
 /* Owned by ctx; self and sender are copied, but not what they point to. */
 struct loom_retry *loom_retry_new(TALLOC_CTX *ctx, const struct loom_self *self,
--- a/include/loom/rights.h
+++ b/include/loom/rights.h
@@ -103,7 +103,7 @@
  * registers loom_rights_set_ops, which also has the message types and tick
  * times.
  */
-extern const struct loom_part_ops loom_rights_ops;
+extern const struct loom_component_ops loom_rights_ops;
 
 /*
  * The result is owned by ctx. self, sender, random, settings and waker are
--- a/include/loom/rights_set.h
+++ b/include/loom/rights_set.h
@@ -16,7 +16,7 @@
 struct loom_rights_set;
 
 /* Operations of the whole set; `part` is the struct loom_rights_set. */
-extern const struct loom_part_ops loom_rights_set_ops;
+extern const struct loom_component_ops loom_rights_set_ops;
 
 /*
  * Like loom_rights_new(), for settings->partitions partitions.
--- a/include/loom/spread.h
+++ b/include/loom/spread.h
@@ -89,7 +89,7 @@
     void *arg, uint64_t now_us);
 
 /* For loom_control_add(), with a struct loom_spread as the part. */
-extern const struct loom_part_ops loom_spread_part;
+extern const struct loom_component_ops loom_spread_part;
 
 /* Passes in a value that the platform answered with.  Control thread. */
 void loom_spread_platform_value(struct loom_spread *, const char *name,
--- a/include/loom/ticket.h
+++ b/include/loom/ticket.h
@@ -152,7 +152,7 @@
 	 * which the request is forwarded.  If another daemon forwards it, this
 	 * is the refusal's heir_host_id.
 	 */
-	uint64_t heir_host_id;
+	uint64_t successor_host_id;
 };
 
 /*
@@ -201,21 +201,21 @@
  * ticket; any other host refuses it with LOOM_TICKET_MOVED or LOOM_TICKET_LOST.
  * Writes up to max ids and returns their count.
  */
-size_t loom_ticket_heirs(const struct loom_hosts *, uint64_t service_id,
+size_t loom_ticket_successors(const struct loom_hosts *, uint64_t service_id,
     uint64_t source_host_id, uint64_t *host_ids, size_t max);
 
 /* Interval at which a call polls for a ticket that is being handed over. */
-#define LOOM_TICKET_MOVING_ASK_US UINT64_C(100000)
+#define LOOM_TICKET_MOVING_POLL_US UINT64_C(100000)
 
 /*
  * Returns whether a call that has polled this often for such a ticket may wait
- * for one more LOOM_TICKET_MOVING_ASK_US.  No host runs a ticket while it is
+ * for one more LOOM_TICKET_MOVING_POLL_US.  No host runs a ticket while it is
  * being handed over, so polling is always safe, for the daemon and for the
  * caller.
  */
-bool loom_ticket_may_wait(uint32_t polls, uint64_t remaining_us);
+bool loom_ticket_may_poll(uint32_t polls, uint64_t remaining_us);
 
 /* Callbacks for the control thread; their argument is a struct loom_tickets. */
-extern const struct loom_part_ops loom_tickets_part;
+extern const struct loom_component_ops loom_tickets_ops;
 
 #endif
--- a/src/control/calls.c
+++ b/src/control/calls.c
@@ -127,7 +127,7 @@
 }
 
 void
-loom_calls_deeper_begin(
+loom_calls_nested_begin(
     struct loom_calls *calls, const struct loom_id128 *id, uint64_t now_us)
 {
 	struct calls_shard *shard = shard_of(calls, id);
@@ -139,7 +139,7 @@
 }
 
 void
-loom_calls_deeper_end(
+loom_calls_nested_end(
     struct loom_calls *calls, const struct loom_id128 *id, uint64_t now_us)
 {
 	struct calls_shard *shard = shard_of(calls, id);
@@ -151,7 +151,7 @@
 }
 
 uint64_t
-loom_calls_deeper_us(
+loom_calls_nested_us(
     struct loom_calls *calls, const struct loom_id128 *id, uint64_t now_us)
 {
 	struct calls_shard *shard = shard_of(calls, id);
--- a/src/control/control.c
+++ b/src/control/control_thread.c
@@ -15,7 +15,7 @@
 #include <pthread.h>
 #include <string.h>
 
-#include "control/resolve.h"
+#include "control/resolver.h"
 #include "loom/control_thread.h"
 #include "loom/counter.h"
 #include "loom/log.h"
@@ -24,7 +24,7 @@
 #define COMPONENTS_MAX 16
 
 struct control_component {
-	const struct loom_part_ops *ops; /* borrowed */
+	const struct loom_component_ops *ops; /* borrowed */
 	void *object; /* borrowed */
 	struct loom_control *control; /* borrowed */
 	struct tevent_timer *timer; /* owned by the control */
@@ -78,7 +78,7 @@
 }
 
 static void
-dispatch(struct loom_control *control, const struct loom_from *from,
+dispatch(struct loom_control *control, const struct loom_message_source *from,
     uint8_t type, const uint8_t *payload, size_t len, uint64_t now_us)
 {
 	struct control_component *component = control->by_type[type];
@@ -108,7 +108,7 @@
 deliver_to_self(void *arg)
 {
 	struct control_job *job = arg;
-	struct loom_from from = {
+	struct loom_message_source from = {
 		.host_id = job->control->self.host_id,
 		.incarnation = job->control->self.incarnation,
 	};
@@ -300,7 +300,7 @@
 }
 
 uint64_t
-loom_control_seed(struct loom_control *control, const char *address)
+loom_control_add_seed(struct loom_control *control, const char *address)
 {
 	uint64_t host_id = loom_name_id(address);
 
@@ -309,8 +309,8 @@
 }
 
 void
-loom_control_add(struct loom_control *control, const struct loom_part_ops *ops,
-    void *component)
+loom_control_add(struct loom_control *control,
+    const struct loom_component_ops *ops, void *component)
 {
 	struct control_component *added;
 	unsigned type;
@@ -347,7 +347,7 @@
 }
 
 void
-loom_control_hurry(struct loom_control *control, const void *target)
+loom_control_shorten_tick(struct loom_control *control, const void *target)
 {
 	uint32_t i;
 
--- a/src/control/handover.c
+++ b/src/control/handover.c
@@ -60,7 +60,7 @@
 /* Fills in the incarnations whose tickets run or ran here. */
 static void
 list_incarnations(struct loom_tickets *tickets, bool include_own,
-    struct handover_heir *successor)
+    struct handover_successor *successor)
 {
 	guint i;
 
@@ -98,15 +98,15 @@
     struct handover *handover, uint64_t successor_host_id, uint64_t now_us)
 {
 	const struct loom_self *self = handover->tickets->config.self;
-	struct handover_heir successor = { .host_id = successor_host_id };
+	struct handover_successor successor = { .host_id = successor_host_id };
 	uint8_t message[HANDOVER_MESSAGE_MAX];
 
 	handover->last_announce_us = now_us;
 	list_incarnations(
 	    handover->tickets, successor_host_id != self->host_id, &successor);
 	if (successor.count != 0)
-		send_to_service(handover, HANDOVER_HEIR, message,
-		    handover_heir_pack(&successor, message));
+		send_to_service(handover, HANDOVER_SUCCESSOR, message,
+		    handover_successor_pack(&successor, message));
 }
 
 /*
@@ -114,16 +114,17 @@
  * as it runs them.
  */
 static void
-reply_to_query(struct handover *handover, const struct loom_from *from)
+reply_to_query(
+    struct handover *handover, const struct loom_message_source *from)
 {
 	const struct loom_self *self = handover->tickets->config.self;
-	struct handover_heir successor = { .host_id = self->host_id };
+	struct handover_successor successor = { .host_id = self->host_id };
 	uint8_t message[HANDOVER_MESSAGE_MAX];
 
 	list_incarnations(handover->tickets, false, &successor);
 	if (handover->phase == HANDOVER_IDLE && successor.count != 0)
-		handover_send(handover, from->host_id, HANDOVER_HEIR, message,
-		    handover_heir_pack(&successor, message));
+		handover_send(handover, from->host_id, HANDOVER_SUCCESSOR,
+		    message, handover_successor_pack(&successor, message));
 }
 
 /* Asks the hosts of the service whose tickets they have inherited. */
@@ -136,17 +137,17 @@
 		return;
 	handover->query_count++;
 	handover->last_query_us = now_us;
-	send_to_service(handover, HANDOVER_ASK, (const uint8_t *)"", 0);
+	send_to_service(handover, HANDOVER_QUERY, (const uint8_t *)"", 0);
 }
 
 static void
 record_successor(struct handover *handover, const uint8_t *payload, size_t len)
 {
 	struct loom_tickets *tickets = handover->tickets;
-	struct handover_heir successor;
+	struct handover_successor successor;
 	uint32_t i;
 
-	if (!handover_heir_unpack(payload, len, &successor))
+	if (!handover_successor_unpack(payload, len, &successor))
 		return;
 	if (successor.host_id == tickets->config.self->host_id)
 		return;
@@ -156,8 +157,8 @@
 }
 
 static void
-on_message(void *component, const struct loom_from *from, uint8_t type,
-    const uint8_t *payload, size_t len, uint64_t now_us)
+on_message(void *component, const struct loom_message_source *from,
+    uint8_t type, const uint8_t *payload, size_t len, uint64_t now_us)
 {
 	struct handover *handover =
 	    ((struct loom_tickets *)component)->handover;
@@ -179,10 +180,10 @@
 		if (handover_reply_unpack(payload, len, &incarnation, &index))
 			handover_on_ack(handover, from, incarnation, index);
 		break;
-	case HANDOVER_HEIR:
+	case HANDOVER_SUCCESSOR:
 		record_successor(handover, payload, len);
 		break;
-	case HANDOVER_ASK:
+	case HANDOVER_QUERY:
 		reply_to_query(handover, from);
 		break;
 	default:
@@ -224,7 +225,7 @@
 	handover_start(((struct loom_tickets *)component)->handover, now_us);
 }
 
-const struct loom_part_ops loom_tickets_part = {
+const struct loom_component_ops loom_tickets_ops = {
 	.name = "tickets",
 	.first_type = HANDOVER_OFFER,
 	.last_type = HANDOVER_LAST,
--- a/src/control/handover.h
+++ b/src/control/handover.h
@@ -76,17 +76,21 @@
 /* The source's side. */
 void handover_start(struct handover *handover, uint64_t now_us);
 void handover_source_tick(struct handover *handover, uint64_t now_us);
-void handover_on_accept(struct handover *handover, const struct loom_from *from,
-    uint64_t incarnation, uint64_t now_us);
-void handover_on_ack(struct handover *handover, const struct loom_from *from,
-    uint64_t incarnation, uint32_t index);
+void handover_on_accept(struct handover *handover,
+    const struct loom_message_source *from, uint64_t incarnation,
+    uint64_t now_us);
+void handover_on_ack(struct handover *handover,
+    const struct loom_message_source *from, uint64_t incarnation,
+    uint32_t index);
 
 /* The successor's side. */
 void handover_successor_init(struct handover *handover);
 void handover_successor_free(struct handover *handover);
-void handover_on_offer(struct handover *handover, const struct loom_from *from);
-void handover_on_chunk(struct handover *handover, const struct loom_from *from,
-    const uint8_t *message, size_t len, uint64_t now_us);
+void handover_on_offer(
+    struct handover *handover, const struct loom_message_source *from);
+void handover_on_chunk(struct handover *handover,
+    const struct loom_message_source *from, const uint8_t *message, size_t len,
+    uint64_t now_us);
 void handover_successor_tick(struct handover *handover, uint64_t now_us);
 
 /*
--- a/src/control/handover_leave.c
+++ b/src/control/handover_source.c
@@ -83,7 +83,7 @@
 		return;
 	}
 	if (handover->hosts != NULL)
-		n = loom_ticket_heirs(handover->hosts, self->service_id,
+		n = loom_ticket_successors(handover->hosts, self->service_id,
 		    self->host_id, ids, CANDIDATES_MAX);
 	if (n != 0)
 		handover_send(handover, ids[handover->offer_count % n],
@@ -120,7 +120,7 @@
 pack_answer(void *arg, const struct loom_ticket_run *run)
 {
 	struct state_writer *writer = arg;
-	size_t size = handover_kept_size(run);
+	size_t size = handover_answer_size(run);
 
 	writer->cached_bytes += size;
 	if (writer->cached_bytes > ANSWERS_MAX_BYTES / TICKET_SHARDS)
@@ -128,7 +128,7 @@
 	if (writer->packer.len + size + LOOM_PACKED_SCALAR_MAX >
 	    HANDOVER_STATE_MAX)
 		return false;
-	handover_kept_pack(&writer->packer, run);
+	handover_answer_pack(&writer->packer, run);
 	return true;
 }
 
@@ -199,9 +199,9 @@
 {
 	const struct loom_self *self = handover->tickets->config.self;
 	const struct handover_pair pair = {
-		.leaver_host_id = self->host_id,
-		.leaver_incarnation = self->incarnation,
-		.heir_incarnation = handover->successor_incarnation,
+		.source_host_id = self->host_id,
+		.source_incarnation = self->incarnation,
+		.successor_incarnation = handover->successor_incarnation,
 	};
 	uint8_t message[HANDOVER_MESSAGE_MAX];
 	size_t offset = (size_t)index * HANDOVER_CHUNK_BYTES;
@@ -236,8 +236,9 @@
 }
 
 void
-handover_on_accept(struct handover *handover, const struct loom_from *from,
-    uint64_t incarnation, uint64_t now_us)
+handover_on_accept(struct handover *handover,
+    const struct loom_message_source *from, uint64_t incarnation,
+    uint64_t now_us)
 {
 	const struct loom_self *self = handover->tickets->config.self;
 
@@ -259,8 +260,9 @@
 }
 
 void
-handover_on_ack(struct handover *handover, const struct loom_from *from,
-    uint64_t incarnation, uint32_t index)
+handover_on_ack(struct handover *handover,
+    const struct loom_message_source *from, uint64_t incarnation,
+    uint32_t index)
 {
 	if (handover->phase != HANDOVER_SENDING ||
 	    incarnation != handover->tickets->config.self->incarnation ||
--- a/src/control/handover_take.c
+++ b/src/control/handover_successor.c
@@ -66,7 +66,8 @@
 }
 
 void
-handover_on_offer(struct handover *handover, const struct loom_from *from)
+handover_on_offer(
+    struct handover *handover, const struct loom_message_source *from)
 {
 	uint8_t message[HANDOVER_MESSAGE_MAX];
 	size_t len;
@@ -160,7 +161,7 @@
 	const struct handover_reader reader = {
 		.issuer = install_issuer,
 		.window = install_window,
-		.kept = install_answer,
+		.answer = install_answer,
 		.arg = &install,
 	};
 
@@ -226,8 +227,8 @@
 }
 
 static void
-acknowledge(
-    struct handover *handover, const struct loom_from *from, uint32_t index)
+acknowledge(struct handover *handover, const struct loom_message_source *from,
+    uint32_t index)
 {
 	uint8_t message[HANDOVER_MESSAGE_MAX];
 	size_t len = handover_reply_pack(from->incarnation, index, message);
@@ -237,7 +238,7 @@
 
 /* Returns true if the chunk is stored, now or by an earlier copy. */
 static bool
-store_chunk(struct handover *handover, const struct loom_from *from,
+store_chunk(struct handover *handover, const struct loom_message_source *from,
     const struct handover_chunk *chunk, uint64_t now_us)
 {
 	struct handover_incoming *incoming;
@@ -260,13 +261,15 @@
 }
 
 void
-handover_on_chunk(struct handover *handover, const struct loom_from *from,
-    const uint8_t *message, size_t len, uint64_t now_us)
+handover_on_chunk(struct handover *handover,
+    const struct loom_message_source *from, const uint8_t *message, size_t len,
+    uint64_t now_us)
 {
 	const struct handover_pair pair = {
-		.leaver_host_id = from->host_id,
-		.leaver_incarnation = from->incarnation,
-		.heir_incarnation = handover->tickets->config.self->incarnation,
+		.source_host_id = from->host_id,
+		.source_incarnation = from->incarnation,
+		.successor_incarnation =
+		    handover->tickets->config.self->incarnation,
 	};
 	struct handover_chunk chunk;
 
--- a/src/control/quarantine.c
+++ b/src/control/quarantine.c
@@ -262,7 +262,7 @@
 }
 
 static void
-part_message(void *part, const struct loom_from *from, uint8_t type,
+part_message(void *part, const struct loom_message_source *from, uint8_t type,
     const uint8_t *payload, size_t len, uint64_t now_us)
 {
 	struct loom_quarantine *quarantine = part;
@@ -292,7 +292,7 @@
 		loom_hosts_release(old);
 }
 
-const struct loom_part_ops loom_quarantine_ops = {
+const struct loom_component_ops loom_quarantine_ops = {
 	.name = "quarantine",
 	.first_type = QUARANTINE_RECORDS,
 	.last_type = QUARANTINE_LAST,
--- a/src/control/resolve.c
+++ b/src/control/resolver.c
@@ -8,7 +8,7 @@
 
 #include <glib.h>
 
-#include "control/resolve.h"
+#include "control/resolver.h"
 #include "loom/clock.h"
 #include "loom/inner.h"
 
--- a/src/control/resolve.h
+++ b/src/control/resolver.h
@@ -1,5 +1,5 @@
-#ifndef LOOM_CONTROL_RESOLVE_H
-#define LOOM_CONTROL_RESOLVE_H
+#ifndef LOOM_CONTROL_RESOLVER_H
+#define LOOM_CONTROL_RESOLVER_H
 
 /*
  * Resolves a host id to the host's control address.
--- a/src/control/retry.c
+++ b/src/control/retry.c
@@ -249,7 +249,7 @@
 }
 
 static void
-handle_query(struct loom_retry *retry, const struct loom_from *from,
+handle_query(struct loom_retry *retry, const struct loom_message_source *from,
     const uint8_t *payload, size_t len, uint64_t now_us)
 {
 	struct loom_retry_query_message wire_query;
@@ -275,7 +275,7 @@
 }
 
 static void
-handle_reply(struct loom_retry *retry, const struct loom_from *from,
+handle_reply(struct loom_retry *retry, const struct loom_message_source *from,
     const uint8_t *payload, size_t len, uint64_t now_us)
 {
 	struct loom_retry_reply_message wire_reply;
@@ -303,7 +303,7 @@
 }
 
 static void
-message(void *part, const struct loom_from *from, uint8_t type,
+message(void *part, const struct loom_message_source *from, uint8_t type,
     const uint8_t *payload, size_t len, uint64_t now_us)
 {
 	struct loom_retry *retry = part;
@@ -352,7 +352,7 @@
 	return pending;
 }
 
-const struct loom_part_ops loom_retry_ops = {
+const struct loom_component_ops loom_retry_ops = {
 	.name = "retry",
 	.first_type = LOOM_RETRY_QUERY,
 	.last_type = LOOM_RETRY_REPLY,
--- a/src/control/rights.c
+++ b/src/control/rights.c
@@ -14,7 +14,7 @@
 static guint
 from_hash(gconstpointer key)
 {
-	const struct loom_from *from = key;
+	const struct loom_message_source *from = key;
 
 	return g_int64_hash(&from->host_id) ^ g_int64_hash(&from->incarnation);
 }
@@ -22,7 +22,7 @@
 static gboolean
 from_equal(gconstpointer a, gconstpointer b)
 {
-	const struct loom_from *x = a, *y = b;
+	const struct loom_message_source *x = a, *y = b;
 
 	return x->host_id == y->host_id && x->incarnation == y->incarnation;
 }
@@ -340,7 +340,7 @@
 }
 
 static void
-message(void *part, const struct loom_from *from, uint8_t type,
+message(void *part, const struct loom_message_source *from, uint8_t type,
     const uint8_t *payload, size_t len, uint64_t now_us)
 {
 	struct loom_rights *rights = part;
@@ -373,7 +373,7 @@
 	return rights->watched->len > 0;
 }
 
-const struct loom_part_ops loom_rights_ops = {
+const struct loom_component_ops loom_rights_ops = {
 	.busy = busy,
 	.message = message,
 	.tick = tick,
--- a/src/control/rights_child.c
+++ b/src/control/rights_child.c
@@ -460,7 +460,7 @@
 }
 
 static void
-apply_grant(struct loom_rights *rights, const struct loom_from *from,
+apply_grant(struct loom_rights *rights, const struct loom_message_source *from,
     struct rights_team *team, const struct loom_rights_down_entry *entry,
     uint64_t now_us)
 {
@@ -510,7 +510,8 @@
 }
 
 static void
-receive_entry(struct loom_rights *rights, const struct loom_from *from,
+receive_entry(struct loom_rights *rights,
+    const struct loom_message_source *from,
     const struct loom_rights_down_entry *entry, uint64_t now_us)
 {
 	struct rights_team *team;
@@ -565,8 +566,8 @@
  * repeated or older than one already received.
  */
 static bool
-note_parent_message(
-    struct loom_rights *rights, const struct loom_from *from, uint64_t now_us)
+note_parent_message(struct loom_rights *rights,
+    const struct loom_message_source *from, uint64_t now_us)
 {
 	const struct loom_rights_down *down = &rights->down_read;
 	struct rights_parent *parent = &rights->parent;
@@ -591,8 +592,9 @@
 }
 
 void
-rights_receive_down(struct loom_rights *rights, const struct loom_from *from,
-    const uint8_t *payload, size_t len, uint64_t now_us)
+rights_receive_down(struct loom_rights *rights,
+    const struct loom_message_source *from, const uint8_t *payload, size_t len,
+    uint64_t now_us)
 {
 	struct loom_rights_down *down = &rights->down_read;
 	uint32_t i;
--- a/src/control/rights_internal.h
+++ b/src/control/rights_internal.h
@@ -52,7 +52,7 @@
 
 /* A daemon below this one. A restarted daemon is a new child. */
 struct rights_child {
-	struct loom_from from;
+	struct loom_message_source from;
 	gint number; /* key of its loans; counts this pool's children */
 	uint64_t seq; /* of its last message; messages up to it are dropped */
 	uint64_t child_now_us; /* the child's clock in that message */
@@ -311,11 +311,12 @@
 bool rights_may_request(
     const struct loom_rights *, const struct rights_team *, uint64_t now_us);
 void rights_flush_up(struct loom_rights *, uint64_t now_us);
-void rights_receive_down(struct loom_rights *, const struct loom_from *,
-    const uint8_t *payload, size_t len, uint64_t now_us);
+void rights_receive_down(struct loom_rights *,
+    const struct loom_message_source *, const uint8_t *payload, size_t len,
+    uint64_t now_us);
 
 /* rights_pool.c */
-void rights_receive_up(struct loom_rights *, const struct loom_from *,
+void rights_receive_up(struct loom_rights *, const struct loom_message_source *,
     const uint8_t *payload, size_t len, uint64_t now_us);
 void rights_serve_children(
     struct loom_rights *, struct rights_team *, uint64_t now_us);
--- a/src/control/rights_pool.c
+++ b/src/control/rights_pool.c
@@ -56,7 +56,7 @@
 }
 
 static struct rights_child *
-find_child(struct loom_rights *rights, const struct loom_from *from)
+find_child(struct loom_rights *rights, const struct loom_message_source *from)
 {
 	struct rights_child *child;
 
@@ -409,8 +409,9 @@
 }
 
 void
-rights_receive_up(struct loom_rights *rights, const struct loom_from *from,
-    const uint8_t *payload, size_t len, uint64_t now_us)
+rights_receive_up(struct loom_rights *rights,
+    const struct loom_message_source *from, const uint8_t *payload, size_t len,
+    uint64_t now_us)
 {
 	struct loom_rights_up *up = &rights->up_read;
 	struct rights_child *child;
--- a/src/control/rights_set.c
+++ b/src/control/rights_set.c
@@ -87,7 +87,7 @@
 }
 
 static void
-message(void *part, const struct loom_from *from, uint8_t type,
+message(void *part, const struct loom_message_source *from, uint8_t type,
     const uint8_t *payload, size_t len, uint64_t now_us)
 {
 	const struct loom_rights_set *set = part;
@@ -142,7 +142,7 @@
 		loom_rights_ops.drain(set->partitions[i], now_us);
 }
 
-const struct loom_part_ops loom_rights_set_ops = {
+const struct loom_component_ops loom_rights_set_ops = {
 	.name = "rights",
 	.first_type = LOOM_RIGHTS_UP,
 	.last_type = LOOM_RIGHTS_UP +
--- a/src/control/spread.c
+++ b/src/control/spread.c
@@ -223,7 +223,7 @@
 	return spread;
 }
 
-const struct loom_part_ops loom_spread_part = {
+const struct loom_component_ops loom_spread_part = {
 	.name = "spread",
 	.first_type = SPREAD_HAVE,
 	.last_type = SPREAD_LAST,
--- a/src/control/spread_config.c
+++ b/src/control/spread_config.c
@@ -308,7 +308,7 @@
 
 	for (i = 0; i < options->nseeds; i++)
 		seeds[i] =
-		    loom_control_seed(options->control, options->seeds[i]);
+		    loom_control_add_seed(options->control, options->seeds[i]);
 	spread.seeds = seeds;
 	config->spread = loom_spread_new(
 	    config, &spread, &spread_ops, config, loom_now_us());
--- a/src/control/spread_messages.c
+++ b/src/control/spread_messages.c
@@ -359,8 +359,8 @@
 }
 
 void
-spread_handle_message(void *part, const struct loom_from *from, uint8_t type,
-    const uint8_t *payload, size_t len, uint64_t now_us)
+spread_handle_message(void *part, const struct loom_message_source *from,
+    uint8_t type, const uint8_t *payload, size_t len, uint64_t now_us)
 {
 	struct loom_spread *spread = part;
 	uint64_t host_id = from->host_id;
--- a/src/control/spread_private.h
+++ b/src/control/spread_private.h
@@ -192,8 +192,8 @@
 void spread_receive_value(struct loom_spread *, const char *name,
     uint64_t number, const char *text, size_t len, uint64_t now_us);
 /* The message callback of loom_spread_part. */
-void spread_handle_message(void *part, const struct loom_from *, uint8_t type,
-    const uint8_t *payload, size_t len, uint64_t now_us);
+void spread_handle_message(void *part, const struct loom_message_source *,
+    uint8_t type, const uint8_t *payload, size_t len, uint64_t now_us);
 
 /* spread_age.c */
 /* Queries peers and reads the platform when the age calls for it. */
--- a/src/control/tickets.c
+++ b/src/control/tickets.c
@@ -208,10 +208,10 @@
 
 	if (info.code != LOOM_OK) {
 		refuse(begin, info.code);
-		begin->heir_host_id = info.successor_host_id;
+		begin->successor_host_id = info.successor_host_id;
 		return;
 	}
-	if (!ticket_mac_holds(ticket, info.secret) ||
+	if (!ticket_mac_is_valid(ticket, info.secret) ||
 	    ticket->team_id != team_id || ticket->route_id != route_id) {
 		refuse(begin, LOOM_TICKET_INVALID);
 		return;
@@ -224,7 +224,7 @@
 	if (begin->verdict == LOOM_TICKET_VERDICT_REFUSED &&
 	    begin->code == LOOM_TICKET_MOVING && info.successor_host_id != 0) {
 		refuse(begin, LOOM_TICKET_MOVED);
-		begin->heir_host_id = info.successor_host_id;
+		begin->successor_host_id = info.successor_host_id;
 	}
 }
 
--- a/src/control/tickets_state.h
+++ b/src/control/tickets_state.h
@@ -7,7 +7,7 @@
  */
 
 #include "control/handover.h"
-#include "decide/ticket_book.h"
+#include "decide/ticket_store.h"
 #include "inner/seal.h"
 #include "loom/ticket.h"
 
--- a/src/daemon/call.c
+++ b/src/daemon/call.c
@@ -100,7 +100,7 @@
 	if (call->is_nested)
 		executor_count_nested(call, false);
 	if (call->has_parent)
-		loom_calls_deeper_end(call->worker->daemon->calls,
+		loom_calls_nested_end(call->worker->daemon->calls,
 		    &call->parent_id, loom_now_us());
 	if (call->counted_as_working)
 		atomic_fetch_sub(&call->worker->daemon->admitted, 1);
--- a/src/daemon/call_ticket.c
+++ b/src/daemon/call_ticket.c
@@ -71,7 +71,7 @@
 	struct loom_refusal refusal = loom_refusal_for_code(code);
 
 	refusal.outcome = outcome;
-	refusal.heir_host_id = heir_host_id;
+	refusal.successor_host_id = heir_host_id;
 	refusal.final = true;
 	executor_refuse(call, &refusal);
 }
@@ -180,8 +180,8 @@
 		loom_answer_release(lookup.answer);
 		break;
 	case LOOM_TICKET_VERDICT_REFUSED:
-		refuse_final(
-		    call, lookup.code, lookup.outcome, lookup.heir_host_id);
+		refuse_final(call, lookup.code, lookup.outcome,
+		    lookup.successor_host_id);
 		break;
 	}
 	return false;
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -196,7 +196,7 @@
 	loom_counter_add(call->worker->daemon->counters.nested, 1);
 	call->has_parent = true;
 	call->parent_id = parent.context.call;
-	loom_calls_deeper_begin(
+	loom_calls_nested_begin(
 	    call->worker->daemon->calls, &call->parent_id, call->arrived_us);
 	return set_deadline(call, parent.deadline_us);
 }
--- a/src/daemon/run.c
+++ b/src/daemon/run.c
@@ -140,7 +140,7 @@
 static void
 add_control_parts(struct loom_daemon *daemon)
 {
-	loom_control_add(daemon->control, &loom_tickets_part, daemon->tickets);
+	loom_control_add(daemon->control, &loom_tickets_ops, daemon->tickets);
 	loom_control_add(daemon->control, &loom_rights_set_ops, daemon->rights);
 	loom_control_add(daemon->control, &loom_retry_ops, daemon->retry);
 	loom_control_add(
@@ -153,7 +153,7 @@
 	struct loom_daemon *daemon = arg;
 
 	loom_rights_set_run(daemon->rights, loom_now_us());
-	loom_control_hurry(daemon->control, daemon->rights);
+	loom_control_shorten_tick(daemon->control, daemon->rights);
 }
 
 /* Makes the control thread run the rights. Any thread. */
@@ -171,7 +171,7 @@
 	struct loom_daemon *daemon = arg;
 
 	loom_retry_process(daemon->retry, loom_now_us());
-	loom_control_hurry(daemon->control, daemon->retry);
+	loom_control_shorten_tick(daemon->control, daemon->retry);
 }
 
 /* Makes the control thread run the retries. Any thread. */
--- a/src/daemon/ticket_route.c
+++ b/src/daemon/ticket_route.c
@@ -46,7 +46,7 @@
 static bool
 try_named_successor(struct call *call, const struct loom_refusal *refusal)
 {
-	uint64_t successor = refusal->heir_host_id;
+	uint64_t successor = refusal->successor_host_id;
 
 	if (successor == 0 || call->ntried >= CALL_ATTEMPTS_MAX ||
 	    was_tried(call, successor) ||
@@ -77,12 +77,12 @@
 wait_for_handover(struct call *call, const struct loom_refusal *refusal)
 {
 	if (refusal->code != LOOM_TICKET_MOVING || call->ntried == 0 ||
-	    !loom_ticket_may_wait(
+	    !loom_ticket_may_poll(
 		call->handover_retries, call_remaining_us(call, loom_now_us())))
 		return false;
 	call->handover_retries++;
 	call->handover_timer = tevent_add_timer(call->worker->ev, call,
-	    tevent_timeval_current_ofs(0, LOOM_TICKET_MOVING_ASK_US),
+	    tevent_timeval_current_ofs(0, LOOM_TICKET_MOVING_POLL_US),
 	    on_handover_timer, call);
 	return call->handover_timer != NULL;
 }
@@ -98,7 +98,7 @@
 	uint32_t i;
 	size_t n;
 
-	n = loom_ticket_heirs(call->worker->hosts, call->service->id,
+	n = loom_ticket_successors(call->worker->hosts, call->service->id,
 	    call->ticket.host_id, successors, CALL_ATTEMPTS_MAX);
 	for (i = 0; i < n && call->ntried < CALL_ATTEMPTS_MAX; i++) {
 		if (!was_tried(call, successors[i])) {
--- a/src/daemon/upstream.c
+++ b/src/daemon/upstream.c
@@ -80,7 +80,7 @@
 	if (!call->registered)
 		return;
 	call->registered = false;
-	call->nested_us = loom_calls_deeper_us(
+	call->nested_us = loom_calls_nested_us(
 	    call->worker->daemon->calls, &call->registered_id, loom_now_us());
 	loom_calls_end(call->worker->daemon->calls, &call->registered_id);
 }
--- a/src/decide/ticket_book.c
+++ b/src/decide/ticket_store.c
@@ -18,7 +18,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "decide/ticket_book.h"
+#include "decide/ticket_store.h"
 
 /* Memory of a cached answer besides its bytes: the structures around it. */
 #define ANSWER_OVERHEAD_BYTES 256
--- a/src/decide/ticket_book.h
+++ b/src/decide/ticket_store.h
@@ -1,5 +1,5 @@
-#ifndef LOOM_DECIDE_TICKET_BOOK_H
-#define LOOM_DECIDE_TICKET_BOOK_H
+#ifndef LOOM_DECIDE_TICKET_STORE_H
+#define LOOM_DECIDE_TICKET_STORE_H
 
 /*
  * The tickets of one shard of an executor: the state windows by issuer and
--- a/src/decide/heirs.c
+++ b/src/decide/ticket_successors.c
@@ -50,7 +50,7 @@
 }
 
 size_t
-loom_ticket_heirs(const struct loom_hosts *hosts, uint64_t service_id,
+loom_ticket_successors(const struct loom_hosts *hosts, uint64_t service_id,
     uint64_t source_host_id, uint64_t *host_ids, size_t max)
 {
 	const struct loom_host *host;
@@ -69,8 +69,8 @@
 }
 
 bool
-loom_ticket_may_wait(uint32_t polls, uint64_t remaining_us)
+loom_ticket_may_poll(uint32_t polls, uint64_t remaining_us)
 {
 	return polls < MOVING_POLLS_MAX &&
-	    remaining_us >= 2 * LOOM_TICKET_MOVING_ASK_US;
+	    remaining_us >= 2 * LOOM_TICKET_MOVING_POLL_US;
 }
--- a/src/decide/ticket_window.c
+++ b/src/decide/ticket_window.c
@@ -16,7 +16,7 @@
 static size_t
 byte_index(uint64_t number)
 {
-	return number % TICKET_WINDOW / 4;
+	return number % TICKET_WINDOW_SIZE / 4;
 }
 
 static void
@@ -46,7 +46,7 @@
 {
 	if (number >= window->next)
 		return TICKET_STATE_NOT_ISSUED;
-	if (window->next - number > TICKET_WINDOW)
+	if (window->next - number > TICKET_WINDOW_SIZE)
 		return TICKET_STATE_EXPIRED;
 	return (enum ticket_state)(
 	    window->bits[byte_index(number)] >> bit_shift(number) & 3);
--- a/src/decide/ticket_window.h
+++ b/src/decide/ticket_window.h
@@ -2,8 +2,8 @@
 #define LOOM_DECIDE_TICKET_WINDOW_H
 
 /*
- * The states of the last TICKET_WINDOW ticket numbers that one executor issued
- * to one team, at two bits a number.
+ * The states of the last TICKET_WINDOW_SIZE ticket numbers that one executor
+ * issued to one team, at two bits a number.
  */
 
 #include <stddef.h>
@@ -15,8 +15,8 @@
  * takes one ticket for each of 10 orders a second has seven minutes to use one,
  * well above any deadline including its retries.
  */
-#define TICKET_WINDOW 4096
-#define TICKET_WINDOW_BYTES (TICKET_WINDOW / 4)
+#define TICKET_WINDOW_SIZE 4096
+#define TICKET_WINDOW_BYTES (TICKET_WINDOW_SIZE / 4)
 
 /* The first four values are stored in two bits. */
 enum ticket_state {
@@ -33,7 +33,7 @@
 	uint8_t bits[TICKET_WINDOW_BYTES]; /* ring buffer indexed by number */
 };
 
-/* Issues count numbers, at most TICKET_WINDOW, and returns the first. */
+/* Issues count numbers, at most TICKET_WINDOW_SIZE, and returns the first. */
 uint64_t ticket_window_issue(struct ticket_window *, uint32_t count);
 
 enum ticket_state ticket_window_get(
--- a/src/inner/handover_codec.c
+++ b/src/inner/handover_codec.c
@@ -33,9 +33,9 @@
 	struct loom_packer packer;
 
 	loom_pack_init(&packer, out, AAD_BYTES_MAX);
-	loom_pack_u64(&packer, pair->leaver_host_id);
-	loom_pack_u64(&packer, pair->leaver_incarnation);
-	loom_pack_u64(&packer, pair->heir_incarnation);
+	loom_pack_u64(&packer, pair->source_host_id);
+	loom_pack_u64(&packer, pair->source_incarnation);
+	loom_pack_u64(&packer, pair->successor_incarnation);
 	loom_pack_u64(&packer, index);
 	loom_pack_u64(&packer, count);
 	return packer.len;
@@ -120,8 +120,8 @@
 }
 
 size_t
-handover_heir_pack(
-    const struct handover_heir *heir, uint8_t out[HANDOVER_MESSAGE_MAX])
+handover_successor_pack(
+    const struct handover_successor *heir, uint8_t out[HANDOVER_MESSAGE_MAX])
 {
 	struct loom_packer packer;
 	uint32_t i;
@@ -135,8 +135,8 @@
 }
 
 bool
-handover_heir_unpack(
-    const uint8_t *message, size_t len, struct handover_heir *heir)
+handover_successor_unpack(
+    const uint8_t *message, size_t len, struct handover_successor *heir)
 {
 	struct loom_unpacker unpacker;
 	uint32_t i;
@@ -184,7 +184,7 @@
 }
 
 size_t
-handover_kept_size(const struct loom_ticket_run *run)
+handover_answer_size(const struct loom_ticket_run *run)
 {
 	return 12 * LOOM_PACKED_SCALAR_MAX +
 	    sizeof(struct loom_request_digest) + run->answer->head_bytes +
@@ -192,10 +192,10 @@
 }
 
 void
-handover_kept_pack(
+handover_answer_pack(
     struct loom_packer *packer, const struct loom_ticket_run *run)
 {
-	loom_pack_u64(packer, HANDOVER_ITEM_KEPT);
+	loom_pack_u64(packer, HANDOVER_ITEM_ANSWER);
 	loom_pack_u64(packer, run->key.incarnation);
 	loom_pack_u64(packer, run->key.team_id);
 	loom_pack_u64(packer, run->key.number);
@@ -232,7 +232,8 @@
 
 	incarnation = loom_unpack_u64(unpacker, UINT64_MAX);
 	team_id = loom_unpack_u64(unpacker, UINT64_MAX);
-	window.next = loom_unpack_u64(unpacker, UINT64_MAX - TICKET_WINDOW);
+	window.next =
+	    loom_unpack_u64(unpacker, UINT64_MAX - TICKET_WINDOW_SIZE);
 	bits = loom_unpack_bin(unpacker, sizeof(window.bits), &len);
 	/* With fewer bytes, used ticket numbers would be read as unused. */
 	if (bits == NULL || len != ticket_window_bytes(&window)) {
@@ -268,7 +269,7 @@
 		return;
 	answer = loom_answer_new(
 	    status, (const char *)head, head_len, body, body_len);
-	reader->kept(reader->arg, &key, &digest, answer);
+	reader->answer(reader->arg, &key, &digest, answer);
 	loom_answer_release(answer);
 }
 
@@ -284,7 +285,7 @@
 	if (loom_unpack_u64(&unpacker, STATE_VERSION) != STATE_VERSION)
 		return false;
 	while (loom_unpack_error(&unpacker) == LOOM_OK) {
-		tag = loom_unpack_u64(&unpacker, HANDOVER_ITEM_KEPT);
+		tag = loom_unpack_u64(&unpacker, HANDOVER_ITEM_ANSWER);
 		if (tag == HANDOVER_ITEM_END)
 			break;
 		if (tag == HANDOVER_ITEM_ISSUER)
--- a/src/inner/handover_codec.h
+++ b/src/inner/handover_codec.h
@@ -6,7 +6,7 @@
  * to its successor, and the state that they transfer.
  */
 
-#include "decide/ticket_book.h"
+#include "decide/ticket_store.h"
 #include "inner/seal.h"
 #include "loom/codec.h"
 #include "loom/control.h"
@@ -17,9 +17,9 @@
 	HANDOVER_ACCEPT, /* successor: yes; envelope has its incarnation */
 	HANDOVER_CHUNK, /* source: one chunk of the state */
 	HANDOVER_ACK, /* successor: the chunk has arrived */
-	HANDOVER_HEIR, /* the successor for these incarnations */
-	HANDOVER_ASK, /* new incarnation: whose tickets do you run? */
-	HANDOVER_LAST = HANDOVER_ASK,
+	HANDOVER_SUCCESSOR, /* the successor for these incarnations */
+	HANDOVER_QUERY, /* new incarnation: whose tickets do you run? */
+	HANDOVER_LAST = HANDOVER_QUERY,
 };
 
 /* Small enough not to delay other control messages on the connection. */
@@ -32,9 +32,9 @@
 
 /* Sender and receiver of a chunk. Decryption fails for any other pair. */
 struct handover_pair {
-	uint64_t leaver_host_id;
-	uint64_t leaver_incarnation;
-	uint64_t heir_incarnation;
+	uint64_t source_host_id;
+	uint64_t source_incarnation;
+	uint64_t successor_incarnation;
 };
 
 /* Encrypts a chunk. Returns the length of the message, or 0 on failure. */
@@ -67,23 +67,23 @@
     const uint8_t *message, size_t len, uint64_t *incarnation, uint32_t *index);
 
 /* The HEIR message. */
-struct handover_heir {
+struct handover_successor {
 	uint64_t host_id;
 	uint32_t count;
 	uint64_t incarnations[HANDOVER_INCARNATIONS_MAX];
 };
 
-size_t handover_heir_pack(
-    const struct handover_heir *heir, uint8_t out[HANDOVER_MESSAGE_MAX]);
-bool handover_heir_unpack(
-    const uint8_t *message, size_t len, struct handover_heir *heir);
+size_t handover_successor_pack(
+    const struct handover_successor *heir, uint8_t out[HANDOVER_MESSAGE_MAX]);
+bool handover_successor_unpack(
+    const uint8_t *message, size_t len, struct handover_successor *heir);
 
 /* The state is a sequence of items, each preceded by its type. */
 enum handover_item {
 	HANDOVER_ITEM_END = 0,
 	HANDOVER_ITEM_ISSUER = 1,
 	HANDOVER_ITEM_WINDOW = 2,
-	HANDOVER_ITEM_KEPT = 3,
+	HANDOVER_ITEM_ANSWER = 3,
 };
 
 struct handover_issuer {
@@ -101,8 +101,8 @@
 void handover_window_pack(struct loom_packer *packer, uint64_t incarnation,
     uint64_t team_id, const struct ticket_window *window);
 /* Returns the maximum encoded size of a stored answer, in bytes. */
-size_t handover_kept_size(const struct loom_ticket_run *run);
-void handover_kept_pack(
+size_t handover_answer_size(const struct loom_ticket_run *run);
+void handover_answer_pack(
     struct loom_packer *packer, const struct loom_ticket_run *run);
 
 /* Callbacks for the items of a state. */
@@ -111,7 +111,7 @@
 	void (*window)(void *arg, uint64_t incarnation, uint64_t team_id,
 	    const struct ticket_window *window);
 	/* the callback must acquire the answer to keep it */
-	void (*kept)(void *arg, const struct ticket_key *key,
+	void (*answer)(void *arg, const struct ticket_key *key,
 	    const struct loom_request_digest *digest,
 	    struct loom_answer *answer);
 	void *arg; /* borrowed */
--- a/src/inner/message.c
+++ b/src/inner/message.c
@@ -70,7 +70,7 @@
 };
 
 struct replay_sender {
-	struct loom_from from;
+	struct loom_message_source from;
 	uint64_t highest_sequence;
 	uint64_t received_mask; /* bit i: highest_sequence - i was received */
 	uint64_t last_received_us;
@@ -79,7 +79,7 @@
 static guint
 from_hash(gconstpointer key)
 {
-	const struct loom_from *from = key;
+	const struct loom_message_source *from = key;
 
 	return (
 	    guint)(from->host_id ^ from->incarnation ^ from->incarnation >> 32);
@@ -88,7 +88,7 @@
 static gboolean
 from_equal(gconstpointer a, gconstpointer b)
 {
-	const struct loom_from *x = a, *y = b;
+	const struct loom_message_source *x = a, *y = b;
 
 	return x->host_id == y->host_id && x->incarnation == y->incarnation;
 }
@@ -129,8 +129,8 @@
  * reached and none of them is idle.
  */
 static bool
-add_sender(struct loom_repeats *replay_window, const struct loom_from *from,
-    uint64_t sequence, uint64_t now_us)
+add_sender(struct loom_repeats *replay_window,
+    const struct loom_message_source *from, uint64_t sequence, uint64_t now_us)
 {
 	struct replay_sender *sender;
 
@@ -150,7 +150,7 @@
 
 bool
 loom_repeats_check(struct loom_repeats *replay_window,
-    const struct loom_from *from, uint64_t sequence, uint64_t now_us)
+    const struct loom_message_source *from, uint64_t sequence, uint64_t now_us)
 {
 	struct replay_sender *sender;
 	uint64_t shift, bit;
--- a/src/inner/refusal.c
+++ b/src/inner/refusal.c
@@ -61,9 +61,9 @@
 	    object, "final", json_object_new_boolean(refusal->final));
 	if (refusal->retry_after_ms != 0)
 		add_int(object, "retry_after_ms", refusal->retry_after_ms);
-	if (refusal->heir_host_id != 0) {
-		snprintf(
-		    heir, sizeof(heir), "%016" PRIx64, refusal->heir_host_id);
+	if (refusal->successor_host_id != 0) {
+		snprintf(heir, sizeof(heir), "%016" PRIx64,
+		    refusal->successor_host_id);
 		add_text(object, "heir", heir);
 	}
 	add_text(object, "trace_id", refusal->trace_id);
@@ -200,7 +200,7 @@
 	if (refusal->outcome == LOOM_OUTCOME_NOT_RUN &&
 	    loom_result_info(refusal->code)->outcome == LOOM_OUTCOME_RAN)
 		return false;
-	if (!read_heir(object, &refusal->heir_host_id))
+	if (!read_heir(object, &refusal->successor_host_id))
 		return false;
 	return read_text(object, "trace_id", refusal->trace_id,
 		   sizeof(refusal->trace_id)) &&
--- a/src/inner/ticket_text.c
+++ b/src/inner/ticket_text.c
@@ -88,7 +88,7 @@
 }
 
 bool
-ticket_mac_holds(
+ticket_mac_is_valid(
     const struct loom_ticket *ticket, const uint8_t secret[LOOM_SEAL_KEY_SIZE])
 {
 	uint8_t bytes[TICKET_BYTES_MAX], mac[LOOM_TICKET_MAC_SIZE];
--- a/src/inner/ticket_text.h
+++ b/src/inner/ticket_text.h
@@ -17,7 +17,7 @@
     const uint8_t secret[LOOM_SEAL_KEY_SIZE], char *out, size_t size);
 
 /* Returns true if the MAC was made with this secret. Takes constant time. */
-bool ticket_mac_holds(
+bool ticket_mac_is_valid(
     const struct loom_ticket *ticket, const uint8_t secret[LOOM_SEAL_KEY_SIZE]);
 
 #endif
--- a/tests/control/test_control.c
+++ b/tests/control/test_control.c
@@ -42,7 +42,7 @@
 }
 
 static void
-on_message(void *part, const struct loom_from *from, uint8_t type,
+on_message(void *part, const struct loom_message_source *from, uint8_t type,
     const uint8_t *payload, size_t len, uint64_t now_us)
 {
 	struct probe *probe = part;
@@ -95,7 +95,7 @@
 	increment(probe, &probe->posts);
 }
 
-static const struct loom_part_ops probe_ops = {
+static const struct loom_component_ops probe_ops = {
 	.name = "probe",
 	.first_type = TYPE,
 	.last_type = TYPE + 1,
@@ -153,7 +153,7 @@
 	CU_ASSERT_FATAL(ca != NULL && cb != NULL);
 	probe_add(ca, &a);
 	probe_add(cb, &b);
-	seed = loom_control_seed(ca, loom_control_address(cb));
+	seed = loom_control_add_seed(ca, loom_control_address(cb));
 	CU_ASSERT(loom_control_start(ca));
 	CU_ASSERT(loom_control_start(cb));
 	CU_ASSERT(wait_for(&a, &a.ticks, 3));
--- a/tests/control/test_quarantine.c
+++ b/tests/control/test_quarantine.c
@@ -32,7 +32,7 @@
     void *arg, uint64_t host_id, uint8_t type, const void *payload, size_t len)
 {
 	struct node *from = arg;
-	struct loom_from sender = { from->self.host_id, 1 };
+	struct loom_message_source sender = { from->self.host_id, 1 };
 
 	from->network->bytes += len;
 	if (!from->network->drop_messages)
--- a/tests/control/test_retry.c
+++ b/tests/control/test_retry.c
@@ -112,7 +112,7 @@
 step(struct chain *chain)
 {
 	struct queued_message message;
-	struct loom_from from;
+	struct loom_message_source from;
 	struct node *to;
 	unsigned i;
 
@@ -121,8 +121,8 @@
 		message = g_array_index(chain->queue, struct queued_message, 0);
 		g_array_remove_index(chain->queue, 0);
 		to = &chain->nodes[message.to];
-		from =
-		    (struct loom_from){ message.from + 1, message.incarnation };
+		from = (struct loom_message_source){ message.from + 1,
+			message.incarnation };
 		if (to->retry != NULL)
 			loom_retry_ops.message(to->retry, &from, message.type,
 			    message.payload, message.len, chain->now_us);
--- a/tests/control/test_rights_loan.c
+++ b/tests/control/test_rights_loan.c
@@ -118,7 +118,7 @@
 {
 	static struct loom_rights_down down;
 	static uint8_t buf[LOOM_RIGHTS_MESSAGE_MAX];
-	struct loom_from from = { fixture->other_id, 5 };
+	struct loom_message_source from = { fixture->other_id, 5 };
 	size_t len;
 
 	down = (struct loom_rights_down){ .seq = seq,
@@ -256,7 +256,7 @@
 {
 	static struct loom_rights_up up;
 	static uint8_t buf[LOOM_RIGHTS_MESSAGE_MAX];
-	struct loom_from from = { fixture->other_id, 5 };
+	struct loom_message_source from = { fixture->other_id, 5 };
 	size_t len;
 
 	up = (struct loom_rights_up){ .seq = seq,
@@ -351,7 +351,7 @@
 {
 	static struct loom_rights_down down;
 	static uint8_t buf[LOOM_RIGHTS_MESSAGE_MAX];
-	struct loom_from from = { fixture->other_id, 5 };
+	struct loom_message_source from = { fixture->other_id, 5 };
 	const uint64_t until_us = *now_us + us;
 	unsigned before, begun = fixture->sent;
 	size_t len;
@@ -410,7 +410,7 @@
 count_renewals_with_calls(
     struct fixture *fixture, uint64_t *now_us, uint32_t flags, bool calls)
 {
-	struct loom_from from = { fixture->other_id, 5 };
+	struct loom_message_source from = { fixture->other_id, 5 };
 	static struct loom_rights_down down;
 	static uint8_t buf[LOOM_RIGHTS_MESSAGE_MAX];
 	const uint64_t until_us = *now_us + 2000 * MS;
@@ -555,11 +555,11 @@
 	static struct loom_rights_up up, read;
 	static uint8_t buf[LOOM_RIGHTS_MESSAGE_MAX];
 	struct fixture fixture;
-	struct loom_from from;
+	struct loom_message_source from;
 	size_t i, len;
 
 	start_fixture(&fixture, true);
-	from = (struct loom_from){ fixture.other_id, 5 };
+	from = (struct loom_message_source){ fixture.other_id, 5 };
 	up = (struct loom_rights_up){ .seq = 1, .nentries = 2 };
 	up.entries[0].team_id = loom_name_id(TEAM);
 	up.entries[0].need_utok = LOOM_TOKEN_UTOK;
--- a/tests/control/test_schedules.c
+++ b/tests/control/test_schedules.c
@@ -166,7 +166,7 @@
 		    request->order_ticket, begin.code, begin.outcome);
 	} else if (request->hops < HOPS_MAX) {
 		next.hops++;
-		next.node = begin.heir_host_id - 1;
+		next.node = begin.successor_host_id - 1;
 		g_array_append_val(sim->requests, next);
 	}
 }
--- a/tests/control/test_spread.c
+++ b/tests/control/test_spread.c
@@ -447,7 +447,7 @@
 	struct spread_fleet_options options = {
 		.nodes = 2, .dcs = 1, .seed = 12
 	};
-	struct loom_from from = { .host_id = 77, .incarnation = 1 };
+	struct loom_message_source from = { .host_id = 77, .incarnation = 1 };
 	struct spread_fleet_node *node;
 	struct spread_fleet fleet;
 	uint8_t buf[256];
--- a/tests/control/test_tickets.c
+++ b/tests/control/test_tickets.c
@@ -208,7 +208,7 @@
 			continue;
 		out = begin(&fleet->nodes[i], ticket);
 		if (out.code == LOOM_TICKET_MOVED)
-			return &fleet->nodes[out.heir_host_id - 1];
+			return &fleet->nodes[out.successor_host_id - 1];
 		if (out.code != LOOM_TICKET_LOST)
 			return &fleet->nodes[i];
 	}
@@ -244,7 +244,7 @@
 	CU_ASSERT_TRUE_FATAL(ticket_fleet_run_until_drained(&fleet, source));
 	out = begin(source, &unused);
 	CU_ASSERT_EQUAL_FATAL(out.code, LOOM_TICKET_MOVED);
-	successor = &fleet.nodes[out.heir_host_id - 1];
+	successor = &fleet.nodes[out.successor_host_id - 1];
 	ticket_fleet_kill(source);
 	ticket_fleet_step(&fleet);
 	ticket_fleet_step(&fleet);
@@ -287,7 +287,7 @@
 		ticket_fleet_step(&fleet);
 	out = begin(source, &ticket);
 	CU_ASSERT_EQUAL_FATAL(out.code, LOOM_TICKET_MOVED);
-	out = begin(&fleet.nodes[out.heir_host_id - 1], &ticket);
+	out = begin(&fleet.nodes[out.successor_host_id - 1], &ticket);
 	CU_ASSERT_EQUAL(out.verdict, LOOM_TICKET_VERDICT_RUN);
 	ticket_fleet_clear(&fleet);
 }
@@ -315,14 +315,14 @@
 		    ticket_fleet_run_until_drained(&fleet, node));
 		out = begin(node, &ticket);
 		CU_ASSERT_EQUAL_FATAL(out.code, LOOM_TICKET_MOVED);
-		next = &fleet.nodes[out.heir_host_id - 1];
+		next = &fleet.nodes[out.successor_host_id - 1];
 		ticket_fleet_kill(node);
 		ticket_fleet_start(node);
 		node = next;
 	}
 	CU_ASSERT_EQUAL(begin(node, &ticket).verdict, LOOM_TICKET_VERDICT_RUN);
 	fleet.now_us += 3601 * LOOM_US_PER_S;
-	loom_tickets_part.tick(node->tickets, fleet.now_us);
+	loom_tickets_ops.tick(node->tickets, fleet.now_us);
 	CU_ASSERT_EQUAL(begin(node, &late).code, LOOM_TICKET_LOST);
 	ticket_fleet_clear(&fleet);
 }
@@ -472,7 +472,7 @@
 	CU_ASSERT_TRUE_FATAL(ticket_fleet_run_until_drained(&fleet, source));
 	out = begin(source, &ticket);
 	CU_ASSERT_EQUAL_FATAL(out.code, LOOM_TICKET_MOVED);
-	successor = &fleet.nodes[out.heir_host_id - 1];
+	successor = &fleet.nodes[out.successor_host_id - 1];
 	finish(successor, begin(successor, &ticket).run, 200);
 	for (i = 0; i < 50; i++)
 		ticket_fleet_step(&fleet);
@@ -481,7 +481,7 @@
 	loom_answer_release(out.answer);
 	CU_ASSERT_TRUE(fleet.messages->len > 0);
 	fleet.now_us += 3601 * LOOM_US_PER_S;
-	loom_tickets_part.tick(successor->tickets, fleet.now_us);
+	loom_tickets_ops.tick(successor->tickets, fleet.now_us);
 	CU_ASSERT_EQUAL(begin(successor, &ticket).code, LOOM_TICKET_LOST);
 	ticket_fleet_step(&fleet);
 	CU_ASSERT_EQUAL(begin(successor, &ticket).code, LOOM_TICKET_LOST);
--- a/tests/decide/test_outcome.c
+++ b/tests/decide/test_outcome.c
@@ -185,7 +185,7 @@
 
 	refusal.final = true;
 	refusal.retry_after_ms = 250;
-	refusal.heir_host_id = UINT64_C(0xfedcba9876543210);
+	refusal.successor_host_id = UINT64_C(0xfedcba9876543210);
 	strcpy(refusal.trace_id, "0af7651916cd43dd8448eb211c80319c");
 	strcpy(refusal.ticket, "abc_-");
 	strcpy(refusal.detail, "a \"quote\"\nand a line");
@@ -195,7 +195,7 @@
 	CU_ASSERT_EQUAL(copy.outcome, refusal.outcome);
 	CU_ASSERT_EQUAL(copy.final, refusal.final);
 	CU_ASSERT_EQUAL(copy.retry_after_ms, refusal.retry_after_ms);
-	CU_ASSERT_EQUAL(copy.heir_host_id, refusal.heir_host_id);
+	CU_ASSERT_EQUAL(copy.successor_host_id, refusal.successor_host_id);
 	CU_ASSERT_STRING_EQUAL(copy.trace_id, refusal.trace_id);
 	CU_ASSERT_STRING_EQUAL(copy.ticket, refusal.ticket);
 	CU_ASSERT_STRING_EQUAL(copy.detail, refusal.detail);
--- a/tests/decide/test_ticket_book.c
+++ b/tests/decide/test_ticket_store.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-#include "decide/ticket_book.h"
+#include "decide/ticket_store.h"
 #include "support/test.h"
 
 #define INCARNATION 3
@@ -82,14 +82,14 @@
 	CU_ASSERT_EQUAL(
 	    ticket_window_get(&window, 10), TICKET_STATE_NOT_ISSUED);
 	CU_ASSERT_EQUAL(ticket_window_bytes(&window), 3);
-	ticket_window_issue(&window, TICKET_WINDOW - 9);
+	ticket_window_issue(&window, TICKET_WINDOW_SIZE - 9);
 	/*
 	 * Number 0 is below the window; number 4096 uses its bits and is
 	 * unused.
 	 */
 	CU_ASSERT_EQUAL(ticket_window_get(&window, 0), TICKET_STATE_EXPIRED);
 	ticket_window_set(&window, 0, TICKET_STATE_RAN);
-	state = ticket_window_get(&window, TICKET_WINDOW);
+	state = ticket_window_get(&window, TICKET_WINDOW_SIZE);
 	CU_ASSERT_EQUAL(state, TICKET_STATE_UNUSED);
 	CU_ASSERT_EQUAL(ticket_window_get(&window, 1), TICKET_STATE_USED);
 	CU_ASSERT_EQUAL(ticket_window_bytes(&window), TICKET_WINDOW_BYTES);
@@ -230,10 +230,11 @@
 	struct ticket_store *store = ticket_store_new(&small_limits);
 
 	CU_ASSERT_EQUAL(begin(store, 0, &order, false).code, LOOM_TICKET_LOST);
-	issue(store, TICKET_WINDOW + 1);
+	issue(store, TICKET_WINDOW_SIZE + 1);
 	CU_ASSERT_EQUAL(
 	    begin(store, 0, &order, false).code, LOOM_TICKET_EXPIRED);
-	CU_ASSERT_EQUAL(begin(store, TICKET_WINDOW + 1, &order, false).code,
+	CU_ASSERT_EQUAL(
+	    begin(store, TICKET_WINDOW_SIZE + 1, &order, false).code,
 	    LOOM_TICKET_INVALID);
 	CU_ASSERT_EQUAL(begin(store, 1, &order, true).code, LOOM_TICKET_MOVING);
 	ticket_store_free(store);
@@ -251,8 +252,8 @@
 		uint32_t waits; /* until the caller gets the refusal */
 	} cases[] = {
 		{ 0, 0 },
-		{ LOOM_TICKET_MOVING_ASK_US, 0 },
-		{ 3 * LOOM_TICKET_MOVING_ASK_US, 2 },
+		{ LOOM_TICKET_MOVING_POLL_US, 0 },
+		{ 3 * LOOM_TICKET_MOVING_POLL_US, 2 },
 		{ 10 * LOOM_US_PER_S, 20 },
 		{ 3600 * LOOM_US_PER_S, 20 },
 	};
@@ -262,8 +263,8 @@
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
 		left_us = cases[i].remaining_us;
-		for (waits = 0; loom_ticket_may_wait(waits, left_us); waits++)
-			left_us -= LOOM_TICKET_MOVING_ASK_US;
+		for (waits = 0; loom_ticket_may_poll(waits, left_us); waits++)
+			left_us -= LOOM_TICKET_MOVING_POLL_US;
 		TEST_CHECK(waits == cases[i].waits, "case %zu: %u", i, waits);
 	}
 }
--- a/tests/faults/test_once.c
+++ b/tests/faults/test_once.c
@@ -429,7 +429,7 @@
 		g_array_append_val(list, host);
 	}
 	hosts = loom_hosts_build(list);
-	loom_ticket_heirs(hosts, service_id,
+	loom_ticket_successors(hosts, service_id,
 	    loom_name_id(testbed.hosts[order->executor].name), &heir, 1);
 	for (i = PAYMENTS; i < HOSTS; i++) {
 		if (loom_name_id(testbed.hosts[i].name) == heir)
--- a/tests/inner/test_codec.c
+++ b/tests/inner/test_codec.c
@@ -292,7 +292,7 @@
 		{ 2, 12, true },
 	};
 	struct loom_repeats *replay_window = loom_repeats_new(NULL);
-	struct loom_from from = { .host_id = 5 };
+	struct loom_message_source from = { .host_id = 5 };
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(steps); i++) {
@@ -312,7 +312,7 @@
 test_replay_bounded(void)
 {
 	struct loom_repeats *replay_window = loom_repeats_new(NULL);
-	struct loom_from from = { .host_id = 5 };
+	struct loom_message_source from = { .host_id = 5 };
 	bool refused = false;
 	uint64_t i;
 
--- a/tests/inner/test_handover_codec.c
+++ b/tests/inner/test_handover_codec.c
@@ -11,9 +11,9 @@
 
 static const uint8_t key[LOOM_SEAL_KEY_SIZE] = { 9, 9 };
 static const struct handover_pair pair = {
-	.leaver_host_id = 1,
-	.leaver_incarnation = 2,
-	.heir_incarnation = 3,
+	.source_host_id = 1,
+	.source_incarnation = 2,
+	.successor_incarnation = 3,
 };
 
 static void
@@ -115,7 +115,7 @@
 	handover_state_begin(&packer);
 	handover_issuer_pack(&packer, &issuer);
 	handover_window_pack(&packer, 2, 3, &window);
-	handover_kept_pack(&packer, &run);
+	handover_answer_pack(&packer, &run);
 	handover_state_end(&packer);
 	loom_answer_release(run.answer);
 	CU_ASSERT_TRUE(loom_pack_ok(&packer));
@@ -128,7 +128,7 @@
 	const struct handover_reader reader = {
 		.issuer = count_issuer,
 		.window = count_window,
-		.kept = count_answer,
+		.answer = count_answer,
 		.arg = counts,
 	};
 
@@ -192,14 +192,14 @@
 test_mutated(void)
 {
 	struct loom_random random = test_random_new(3);
-	static struct handover_heir heir;
+	static struct handover_successor heir;
 	uint8_t state[1024], message[HANDOVER_MESSAGE_MAX], *copy;
 	size_t len = pack_sample(state, sizeof(state)), heir_len;
 	unsigned i, partial_reads = 0;
 	struct item_counts counts;
 
 	heir.count = 3;
-	heir_len = handover_heir_pack(&heir, message);
+	heir_len = handover_successor_pack(&heir, message);
 	for (i = 0; i < 20000; i++) {
 		copy = g_memdup2(state, len);
 		copy[loom_random_below(&random, len)] =
@@ -210,7 +210,7 @@
 		copy = g_memdup2(message, heir_len);
 		copy[loom_random_below(&random, heir_len)] =
 		    (uint8_t)random.next(random.arg);
-		handover_heir_unpack(copy, heir_len, &heir);
+		handover_successor_unpack(copy, heir_len, &heir);
 		CU_ASSERT_TRUE(heir.count <= HANDOVER_INCARNATIONS_MAX);
 		g_free(copy);
 	}
--- a/tests/support/fleet.c
+++ b/tests/support/fleet.c
@@ -25,7 +25,7 @@
 	unsigned daemon;
 	unsigned sender;
 	uint64_t tick;
-	struct loom_from from;
+	struct loom_message_source from;
 	uint8_t type;
 	uint8_t *payload; /* owned */
 	size_t len;
--- a/tests/support/spread_fleet.c
+++ b/tests/support/spread_fleet.c
@@ -29,7 +29,7 @@
 	struct spread_fleet_node *to;
 	uint64_t incarnation; /* of to: its ticks end with it */
 	bool tick;
-	struct loom_from from;
+	struct loom_message_source from;
 	uint8_t type;
 	size_t len;
 	uint8_t payload[];
--- a/tests/support/ticket_fleet.c
+++ b/tests/support/ticket_fleet.c
@@ -11,7 +11,7 @@
 
 struct ticket_fleet_message {
 	uint64_t due_us;
-	struct loom_from from;
+	struct loom_message_source from;
 	uint64_t to;
 	uint8_t type;
 	GBytes *payload; /* owned */
@@ -131,7 +131,7 @@
 	node->self.incarnation = random->next(random->arg);
 	node->tickets = loom_tickets_new(&config);
 	node->paused = false;
-	loom_tickets_part.hosts_changed(
+	loom_tickets_ops.hosts_changed(
 	    node->tickets, node->fleet->hosts, node->fleet->now_us);
 }
 
@@ -145,7 +145,7 @@
 void
 ticket_fleet_drain(struct ticket_fleet_node *node)
 {
-	loom_tickets_part.drain(node->tickets, node->fleet->now_us);
+	loom_tickets_ops.drain(node->tickets, node->fleet->now_us);
 }
 
 static void
@@ -156,7 +156,7 @@
 	const void *data = g_bytes_get_data(message->payload, &len);
 
 	if (node->tickets != NULL)
-		loom_tickets_part.message(node->tickets, &message->from,
+		loom_tickets_ops.message(node->tickets, &message->from,
 		    message->type, data, len, fleet->now_us);
 }
 
@@ -188,12 +188,12 @@
 
 	fleet->now_us += FLEET_STEP_US;
 	deliver_due(fleet);
-	if (fleet->now_us % loom_tickets_part.tick_us >= FLEET_STEP_US)
+	if (fleet->now_us % loom_tickets_ops.tick_us >= FLEET_STEP_US)
 		return;
 	for (i = 0; i < FLEET_NODES; i++) {
 		node = &fleet->nodes[i];
 		if (node->tickets != NULL && !node->paused)
-			loom_tickets_part.tick(node->tickets, fleet->now_us);
+			loom_tickets_ops.tick(node->tickets, fleet->now_us);
 	}
 }
 
