--- a/include/loom/peer_server.h
+++ b/include/loom/peer_server.h
@@ -19,8 +19,8 @@
     struct tevent_context *, struct loom_sockets *,
     const struct loom_server_options *, GError **error);
 
-/* Like loom_server_drain() and loom_server_hold_off(). */
+/* Like loom_server_drain() and loom_server_drop_new_connections(). */
 void loom_peer_server_drain(struct loom_peer_server *);
-void loom_peer_server_hold_off(struct loom_peer_server *);
+void loom_peer_server_drop_new_connections(struct loom_peer_server *);
 
 #endif
--- a/include/loom/server.h
+++ b/include/loom/server.h
@@ -34,12 +34,12 @@
 
 struct loom_exchange_ops {
 	/* The headers were received; no byte of the body was read yet.  The
-	 * handler responds or asks for the body with loom_exchange_take_body(),
-	 * now or later. */
+	 * handler responds or asks for the body with
+	 * loom_exchange_resume_body(), now or later. */
 	void (*request)(void *arg, struct loom_exchange *);
 	/* Part of the body was received.  Returns how many bytes were consumed;
 	 * if fewer than len, the callback is not called again until the next
-	 * loom_exchange_take_body(). */
+	 * loom_exchange_resume_body(). */
 	size_t (*body)(struct loom_exchange *, const uint8_t *data, size_t len);
 	/* The body is complete; not called for a request without a body. */
 	void (*body_end)(struct loom_exchange *);
@@ -47,7 +47,7 @@
 	void (*drained)(struct loom_exchange *);
 	/* The caller disconnected before its response was complete. end is
 	 * called next. */
-	void (*gone)(struct loom_exchange *);
+	void (*disconnected)(struct loom_exchange *);
 	/* The exchange is finished and is freed after this call. */
 	void (*end)(struct loom_exchange *);
 };
@@ -57,7 +57,7 @@
 	const struct loom_tls_pair *tls; /* borrowed; NULL for plain HTTP */
 	uint32_t connections_max;
 	/* Omits the Date header, for responses that nobody caches. */
-	bool leaves_out_date;
+	bool suppress_date;
 	/* A connection on which no byte moves for this long is closed. */
 	uint32_t idle_timeout_s;
 	const struct loom_exchange_ops *ops;
@@ -65,7 +65,7 @@
 };
 
 /* Parses "ip:port".  Fails with LOOM_LISTEN. */
-bool loom_server_address(
+bool loom_server_parse_address(
     const char *text, struct sockaddr_in *address, GError **error);
 
 /* Opens a non-blocking listening socket on "ip:port"; port 0 selects a free
@@ -89,7 +89,7 @@
  * served.  Until the listening socket is closed an attempt gets no reply, and
  * after that it is refused.
  */
-void loom_server_hold_off(struct loom_server *);
+void loom_server_drop_new_connections(struct loom_server *);
 
 /* The request.  Strings are borrowed from the exchange. */
 const char *loom_exchange_method(const struct loom_exchange *);
@@ -111,14 +111,14 @@
 void *loom_exchange_user(const struct loom_exchange *);
 
 /* Starts or resumes the reading of the body. */
-void loom_exchange_take_body(struct loom_exchange *);
+void loom_exchange_resume_body(struct loom_exchange *);
 
 /*
  * Responds with a complete body, which is copied.  If the request body was not
  * read completely, the connection is closed after the response.  Only the first
  * response takes effect.
  */
-void loom_exchange_answer(struct loom_exchange *, uint16_t status,
+void loom_exchange_respond(struct loom_exchange *, uint16_t status,
     const struct loom_header *headers, size_t nheaders, const void *body,
     size_t len);
 
@@ -139,6 +139,6 @@
 void loom_exchange_abort(struct loom_exchange *);
 
 /* Whether a response was started. */
-bool loom_exchange_answered(const struct loom_exchange *);
+bool loom_exchange_responded(const struct loom_exchange *);
 
 #endif
--- a/src/daemon/call.c
+++ b/src/daemon/call.c
@@ -224,7 +224,7 @@
 	    call->body_length <= CALL_BUFFER_MAX) {
 		call->body_buffered = true;
 		call->body.keep = true;
-		loom_exchange_take_body(call->exchange);
+		loom_exchange_resume_body(call->exchange);
 	} else {
 		dispatch_call(call);
 	}
--- a/src/daemon/call_ticket.c
+++ b/src/daemon/call_ticket.c
@@ -56,7 +56,7 @@
 	headers_add_hop(call, &list);
 	call->span.status = answer->status;
 	loom_counter_add(call->worker->daemon->counters.answered, 1);
-	loom_exchange_answer(call->exchange, answer->status,
+	loom_exchange_respond(call->exchange, answer->status,
 	    header_list_items(&list), list.headers->len, answer->body,
 	    answer->body_bytes);
 	header_list_clear(&list);
--- a/src/daemon/drain.c
+++ b/src/daemon/drain.c
@@ -3,8 +3,9 @@
  *
  * New calls are refused at once, and those in progress complete normally. The
  * listening sockets stay open until then. Before they are closed, the kernel
- * is kept from completing further connections (loom_server_hold_off), because
- * closing a socket resets those that wait to be accepted.
+ * is kept from completing further connections
+ * (loom_server_drop_new_connections), because closing a socket resets those
+ * that wait to be accepted.
  */
 
 #include "daemon/call.h"
--- a/src/daemon/internal.c
+++ b/src/daemon/internal.c
@@ -20,7 +20,7 @@
 {
 	const struct loom_header header = { "Content-Type", type };
 
-	loom_exchange_answer(
+	loom_exchange_respond(
 	    call->exchange, status, &header, 1, text, strlen(text));
 }
 
--- a/src/daemon/issue.c
+++ b/src/daemon/issue.c
@@ -168,7 +168,7 @@
 	header_list_add(&headers, "Content-Type", "application/json");
 	headers_add_hop(call, &headers);
 	call->span.status = 200;
-	loom_exchange_answer(call->exchange, 200, header_list_items(&headers),
+	loom_exchange_respond(call->exchange, 200, header_list_items(&headers),
 	    headers.headers->len, text, strlen(text));
 	header_list_clear(&headers);
 	json_object_put(object);
--- a/src/daemon/refuse.c
+++ b/src/daemon/refuse.c
@@ -78,7 +78,7 @@
 	json = loom_refusal_json(&refusal);
 	header_list_init(&list);
 	add_refusal_headers(call, &refusal, &list);
-	loom_exchange_answer(call->exchange,
+	loom_exchange_respond(call->exchange,
 	    call->worker->daemon->dialect->status(&refusal),
 	    header_list_items(&list), list.headers->len, json, strlen(json));
 	header_list_clear(&list);
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -65,7 +65,7 @@
 	}
 	if (!call->body_ended && call->exchange != NULL &&
 	    loom_buffer_length(&call->body) < BODY_HIGH_WATER_BYTES / 2)
-		loom_exchange_take_body(call->exchange);
+		loom_exchange_resume_body(call->exchange);
 	return len;
 }
 
@@ -149,7 +149,7 @@
 		    loom_fetch_length(call->fetch));
 		loom_exchange_finish(call->exchange);
 	} else {
-		loom_exchange_answer(call->exchange, call->span.status,
+		loom_exchange_respond(call->exchange, call->span.status,
 		    header_list_items(&list), list.headers->len,
 		    loom_buffer_peek(&call->answer),
 		    loom_buffer_length(&call->answer));
--- a/src/daemon/run.c
+++ b/src/daemon/run.c
@@ -366,7 +366,7 @@
 	init_self(daemon);
 	if (!init_secrets(daemon, error))
 		goto error;
-	if (!loom_server_address(
+	if (!loom_server_parse_address(
 		settings->upstream, &daemon->upstream_address, error))
 		goto error;
 	daemon->ev = tevent_context_init(daemon);
--- a/src/daemon/upstream.c
+++ b/src/daemon/upstream.c
@@ -545,7 +545,7 @@
 		executor_refuse_code(call, LOOM_LATE, 0);
 	} else if (!has_body_prefix(call)) {
 		call->awaits_body_prefix = true;
-		loom_exchange_take_body(call->exchange);
+		loom_exchange_resume_body(call->exchange);
 	} else {
 		call->awaits_body_prefix = false;
 		enter_quarantine(call);
--- a/src/daemon/worker.c
+++ b/src/daemon/worker.c
@@ -79,7 +79,7 @@
 	.body = on_body,
 	.body_end = on_body_end,
 	.drained = on_drained,
-	.gone = on_gone,
+	.disconnected = on_gone,
 	.end = on_end,
 };
 
@@ -88,7 +88,7 @@
 	.body = on_body,
 	.body_end = on_body_end,
 	.drained = on_drained,
-	.gone = on_gone,
+	.disconnected = on_gone,
 	.end = on_end,
 };
 
@@ -97,7 +97,7 @@
 	.body = on_body,
 	.body_end = on_body_end,
 	.drained = on_drained,
-	.gone = on_gone,
+	.disconnected = on_gone,
 	.end = on_end,
 };
 
@@ -133,7 +133,7 @@
 	if (worker->peer_server == NULL || args->listeners.ready_fd < 0)
 		return worker->peer_server != NULL;
 	options.listen_fd = args->listeners.ready_fd;
-	options.leaves_out_date = true;
+	options.suppress_date = true;
 	options.ops = &ready_ops;
 	worker->ready_server = loom_server_new(
 	    worker, worker->ev, worker->hangup, &options, error);
@@ -224,8 +224,8 @@
 {
 	struct worker *worker = arg;
 
-	loom_server_hold_off(worker->caller_server);
-	loom_peer_server_hold_off(worker->peer_server);
+	loom_server_drop_new_connections(worker->caller_server);
+	loom_peer_server_drop_new_connections(worker->peer_server);
 }
 
 void
--- a/src/http/client_answer.c
+++ b/src/http/client_answer.c
@@ -34,7 +34,7 @@
 
 	/* trailers are ignored */
 	if (!connection->fetch->headers_complete)
-		http_head_name(&connection->head, at, len);
+		http_head_append_name(&connection->head, at, len);
 	return 0;
 }
 
@@ -44,7 +44,7 @@
 	struct client_connection *connection = connection_of(parser);
 
 	if (!connection->fetch->headers_complete)
-		http_head_value(&connection->head, at, len);
+		http_head_append_value(&connection->head, at, len);
 	return 0;
 }
 
@@ -101,7 +101,7 @@
 		return -1;
 	if (parser->status_code < STATUS_FINAL_MIN)
 		return 0;
-	if (!http_head_end(&connection->head) ||
+	if (!http_head_complete(&connection->head) ||
 	    has_unsupported_coding(&connection->head))
 		return -1;
 	fetch->status = (uint16_t)parser->status_code;
--- a/src/http/client_pool.c
+++ b/src/http/client_pool.c
@@ -30,7 +30,7 @@
 	struct sockaddr_in to;
 	struct in_addr from = { .s_addr = INADDR_ANY };
 
-	if (!loom_server_address(address, &to, NULL))
+	if (!loom_server_parse_address(address, &to, NULL))
 		return false;
 	if (source != NULL && inet_pton(AF_INET, source, &from) != 1)
 		return false;
--- a/src/http/exchange.c
+++ b/src/http/exchange.c
@@ -82,13 +82,13 @@
 }
 
 void
-loom_exchange_take_body(struct loom_exchange *x)
+loom_exchange_resume_body(struct loom_exchange *x)
 {
 	x->vtable->resume_body(x);
 }
 
 void
-loom_exchange_answer(struct loom_exchange *x, uint16_t status,
+loom_exchange_respond(struct loom_exchange *x, uint16_t status,
     const struct loom_header *headers, size_t nheaders, const void *body,
     size_t len)
 {
@@ -121,7 +121,7 @@
 }
 
 bool
-loom_exchange_answered(const struct loom_exchange *x)
+loom_exchange_responded(const struct loom_exchange *x)
 {
 	return x->vtable->responded(x);
 }
--- a/src/http/head.c
+++ b/src/http/head.c
@@ -60,7 +60,7 @@
 }
 
 void
-http_head_name(struct http_head *head, const char *at, size_t len)
+http_head_append_name(struct http_head *head, const char *at, size_t len)
 {
 	if (!is_in_name(head))
 		begin_string(head);
@@ -68,7 +68,7 @@
 }
 
 void
-http_head_value(struct http_head *head, const char *at, size_t len)
+http_head_append_value(struct http_head *head, const char *at, size_t len)
 {
 	if (is_in_name(head))
 		begin_string(head);
@@ -76,7 +76,7 @@
 }
 
 bool
-http_head_end(struct http_head *head)
+http_head_complete(struct http_head *head)
 {
 	const size_t *offsets = (size_t *)(void *)head->offsets->data;
 	char *text = head->text->str;
--- a/src/http/listen.c
+++ b/src/http/listen.c
@@ -42,7 +42,7 @@
 }
 
 bool
-loom_server_address(
+loom_server_parse_address(
     const char *text, struct sockaddr_in *address, GError **error)
 {
 	if (parse_address(text, address))
@@ -57,7 +57,7 @@
 	struct sockaddr_in address;
 	int fd = -1, on = 1;
 
-	if (!loom_server_address(text, &address, error))
+	if (!loom_server_parse_address(text, &address, error))
 		return -1;
 	fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	if (fd < 0)
--- a/src/http/mhd_exchange.c
+++ b/src/http/mhd_exchange.c
@@ -71,7 +71,7 @@
 notify_disconnect(struct mhd_exchange *x)
 {
 	x->disconnected = true;
-	x->server->ops->gone(&x->base);
+	x->server->ops->disconnected(&x->base);
 	resume(x);
 }
 
@@ -168,8 +168,8 @@
 		    ? MHD_NO
 		    : MHD_YES;
 	}
-	/* The callback may call loom_exchange_take_body() itself, when the data
-	 * that it consumed was passed on immediately and there is room for
+	/* The callback may call loom_exchange_resume_body() itself, when the
+	 * data that it consumed was passed on immediately and there is room for
 	 * more. */
 	do {
 		x->body_wanted = false;
@@ -231,7 +231,7 @@
 		if (!completed_ok && !x->disconnected && !x->aborted &&
 		    !x->responded_early) {
 			x->disconnected = true;
-			x->server->ops->gone(&x->base);
+			x->server->ops->disconnected(&x->base);
 		}
 		x->server->ops->end(&x->base);
 	}
--- a/src/http/peer_connection.c
+++ b/src/http/peer_connection.c
@@ -40,12 +40,12 @@
 static void
 end_exchange(struct peer_connection *connection)
 {
-	struct peer_exchange *x = connection->x;
+	struct peer_exchange *x = connection->exchange;
 
 	if (x == NULL)
 		return;
 	connection->server->ops->end(&x->base);
-	connection->x = NULL;
+	connection->exchange = NULL;
 	talloc_free(x);
 }
 
@@ -70,11 +70,11 @@
 static void
 disconnect(struct peer_connection *connection)
 {
-	struct peer_exchange *x = connection->x;
+	struct peer_exchange *x = connection->exchange;
 
 	if (x != NULL && !x->disconnected && !x->aborted) {
 		x->disconnected = true;
-		connection->server->ops->gone(&x->base);
+		connection->server->ops->disconnected(&x->base);
 	}
 	close_connection(connection);
 }
@@ -136,7 +136,7 @@
 static bool
 is_response_sent(const struct peer_connection *connection)
 {
-	const struct peer_exchange *x = connection->x;
+	const struct peer_exchange *x = connection->exchange;
 
 	return x != NULL && x->finished &&
 	    loom_buffer_length(&connection->out) == 0;
@@ -153,7 +153,7 @@
 				   "Connection: close\r\n\r\n";
 
 	loom_counter_add(connection->server->malformed_requests, 1);
-	if (connection->x != NULL) {
+	if (connection->exchange != NULL) {
 		disconnect(connection);
 		return;
 	}
@@ -166,7 +166,7 @@
 static bool
 parse(struct peer_connection *connection, const uint8_t *data, size_t len)
 {
-	if (peer_request_parse(connection, data, len) == PEER_PARSING_ON)
+	if (peer_request_parse(connection, data, len) == PEER_PARSE_OK)
 		return true;
 	reject_malformed_request(connection);
 	return false;
@@ -180,7 +180,7 @@
 	struct loom_buffer pending = connection->in;
 	bool ok;
 
-	if (!peer_request_may_go_on(connection) ||
+	if (!peer_request_can_parse(connection) ||
 	    (loom_buffer_length(&pending) == 0 &&
 		loom_buffer_length(&connection->pending_body) == 0))
 		return false;
@@ -200,7 +200,7 @@
 	bool closes_connection;
 
 	for (;;) {
-		x = connection->x;
+		x = connection->exchange;
 		if (x != NULL && x->aborted) {
 			peer_connection_abort(connection);
 			return;
@@ -262,7 +262,7 @@
 		return;
 	}
 	if (loom_buffer_length(&connection->in) == 0 &&
-	    peer_request_may_go_on(connection)) {
+	    peer_request_can_parse(connection)) {
 		if (!parse(connection, data, len))
 			return;
 	} else if (!loom_buffer_append(
@@ -292,7 +292,7 @@
 	struct peer_exchange *x;
 
 	peer_connection_flush(connection);
-	x = connection->x;
+	x = connection->exchange;
 	if (x != NULL && x->above_high_water &&
 	    loom_buffer_length(&connection->out) < EXCHANGE_LOW_WATER_BYTES) {
 		x->above_high_water = false;
@@ -317,8 +317,8 @@
 		disconnect(connection);
 		return;
 	}
-	if ((events & EPOLLRDHUP) != 0 && connection->x != NULL &&
-	    connection->x->body_ended) {
+	if ((events & EPOLLRDHUP) != 0 && connection->exchange != NULL &&
+	    connection->exchange->body_ended) {
 		disconnect(connection);
 		return;
 	}
@@ -344,7 +344,7 @@
 		close_connection(connection);
 		return;
 	}
-	if (connection->x != NULL && connection->x->body_ended &&
+	if (connection->exchange != NULL && connection->exchange->body_ended &&
 	    loom_buffer_length(&connection->out) == 0)
 		connection->last_activity_us = now_us;
 	if (now_us - connection->last_activity_us >= server->idle_us)
--- a/src/http/peer_request.c
+++ b/src/http/peer_request.c
@@ -53,8 +53,8 @@
 	struct peer_connection *connection = connection_of(parser);
 
 	/* trailers, which follow the body, are ignored */
-	if (connection->x == NULL)
-		http_head_name(&connection->head, at, len);
+	if (connection->exchange == NULL)
+		http_head_append_name(&connection->head, at, len);
 	return is_too_long(connection);
 }
 
@@ -63,8 +63,8 @@
 {
 	struct peer_connection *connection = connection_of(parser);
 
-	if (connection->x == NULL)
-		http_head_value(&connection->head, at, len);
+	if (connection->exchange == NULL)
+		http_head_append_value(&connection->head, at, len);
 	return is_too_long(connection);
 }
 
@@ -90,7 +90,7 @@
 	struct peer_connection *connection = connection_of(parser);
 	struct peer_exchange *x;
 
-	if (parser->http_major != 1 || !http_head_end(&connection->head))
+	if (parser->http_major != 1 || !http_head_complete(&connection->head))
 		return -1;
 	connection->received_request = true;
 	x = talloc_zero(connection, struct peer_exchange);
@@ -106,7 +106,7 @@
 		    parser->http_major == 1 && parser->http_minor == 0,
 		.closes_connection = http_should_keep_alive(parser) == 0,
 	};
-	connection->x = x;
+	connection->exchange = x;
 	connection->server->ops->request(connection->server->arg, &x->base);
 	if (x->has_body && !x->body_wanted)
 		http_parser_pause(parser, 1);
@@ -122,7 +122,7 @@
 deliver_body(
     struct peer_connection *connection, const uint8_t *data, size_t len)
 {
-	struct peer_exchange *x = connection->x;
+	struct peer_exchange *x = connection->exchange;
 	size_t taken = 0;
 
 	do {
@@ -139,7 +139,7 @@
 on_body(http_parser *parser, const char *at, size_t len)
 {
 	struct peer_connection *connection = connection_of(parser);
-	struct peer_exchange *x = connection->x;
+	struct peer_exchange *x = connection->exchange;
 	size_t taken;
 
 	/* after the response the body is read and discarded */
@@ -159,7 +159,7 @@
 on_message_complete(http_parser *parser)
 {
 	struct peer_connection *connection = connection_of(parser);
-	struct peer_exchange *x = connection->x;
+	struct peer_exchange *x = connection->exchange;
 
 	x->body_ended = true;
 	if (x->has_body && !x->responded && !x->aborted)
@@ -188,7 +188,7 @@
 
 	if (loom_buffer_length(pending_body) == 0)
 		return true;
-	if (connection->x->responded) {
+	if (connection->exchange->responded) {
 		loom_buffer_clear(pending_body);
 		return true;
 	}
@@ -199,9 +199,9 @@
 }
 
 bool
-peer_request_may_go_on(const struct peer_connection *connection)
+peer_request_can_parse(const struct peer_connection *connection)
 {
-	const struct peer_exchange *x = connection->x;
+	const struct peer_exchange *x = connection->exchange;
 
 	if (x == NULL)
 		return true;
@@ -209,7 +209,7 @@
 	    (x->body_wanted || x->responded);
 }
 
-enum peer_parsing
+enum peer_parse_result
 peer_request_parse(
     struct peer_connection *connection, const uint8_t *data, size_t len)
 {
@@ -217,19 +217,19 @@
 	size_t used;
 
 	connection->parsing = true;
-	if (connection->x != NULL && !deliver_pending_body(connection)) {
+	if (connection->exchange != NULL && !deliver_pending_body(connection)) {
 		connection->parsing = false;
 		return loom_buffer_append(
 			   &connection->in, connection, data, len)
-		    ? PEER_PARSING_ON
-		    : PEER_PARSING_BROKEN;
+		    ? PEER_PARSE_OK
+		    : PEER_PARSE_ERROR;
 	}
 	if (HTTP_PARSER_ERRNO(parser) == HPE_PAUSED)
 		http_parser_pause(parser, 0);
 	/* An empty input tells http_parser that the connection has ended. */
 	if (len == 0) {
 		connection->parsing = false;
-		return PEER_PARSING_ON;
+		return PEER_PARSE_OK;
 	}
 	used = http_parser_execute(
 	    parser, &peer_request_settings, (const char *)data, len);
@@ -237,9 +237,9 @@
 	if (HTTP_PARSER_ERRNO(parser) == HPE_PAUSED)
 		return loom_buffer_append(
 			   &connection->in, connection, data + used, len - used)
-		    ? PEER_PARSING_ON
-		    : PEER_PARSING_BROKEN;
+		    ? PEER_PARSE_OK
+		    : PEER_PARSE_ERROR;
 	return HTTP_PARSER_ERRNO(parser) == HPE_OK && !parser->upgrade
-	    ? PEER_PARSING_ON
-	    : PEER_PARSING_BROKEN;
+	    ? PEER_PARSE_OK
+	    : PEER_PARSE_ERROR;
 }
--- a/src/http/peer_server.c
+++ b/src/http/peer_server.c
@@ -105,7 +105,7 @@
 }
 
 void
-loom_peer_server_hold_off(struct loom_peer_server *server)
+loom_peer_server_drop_new_connections(struct loom_peer_server *server)
 {
 	listen_drop_new_connections(server->listener.fd);
 }
--- a/src/http/peer_server.h
+++ b/src/http/peer_server.h
@@ -37,7 +37,7 @@
 	struct watched_socket socket; /* the first member */
 	struct loom_peer_server *server; /* borrowed */
 	GList server_link;
-	struct peer_exchange *x; /* owned; NULL between two requests */
+	struct peer_exchange *exchange; /* owned; NULL between two requests */
 	struct tevent_immediate *advance_immediate; /* owned */
 	struct timed timer; /* idle timeout, or the end of lingering */
 	uint64_t last_activity_us; /* when a byte was last received or sent */
@@ -93,18 +93,18 @@
 
 extern const http_parser_settings peer_request_settings;
 
-enum peer_parsing {
-	PEER_PARSING_ON, /* all data was consumed, or the rest was stored in
+enum peer_parse_result {
+	PEER_PARSE_OK, /* all data was consumed, or the rest was stored in
 			    connection->in */
-	PEER_PARSING_BROKEN, /* not a valid request, or out of memory */
+	PEER_PARSE_ERROR, /* not a valid request, or out of memory */
 };
 
 /* Parses received data, after any body data that is still to be delivered. */
-enum peer_parsing peer_request_parse(
+enum peer_parse_result peer_request_parse(
     struct peer_connection *, const uint8_t *data, size_t len);
 
 /* Whether the parser can continue with the buffered data. */
-bool peer_request_may_go_on(const struct peer_connection *);
+bool peer_request_can_parse(const struct peer_connection *);
 
 /* peer_exchange.c */
 
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -189,7 +189,7 @@
 
 	if (fd < 0)
 		return NULL;
-	if (o->leaves_out_date)
+	if (o->suppress_date)
 		flags |= MHD_USE_SUPPRESS_DATE_NO_CLOCK;
 	if (has_tls) {
 		flags |= MHD_USE_TLS;
@@ -253,7 +253,7 @@
 }
 
 void
-loom_server_hold_off(struct loom_server *server)
+loom_server_drop_new_connections(struct loom_server *server)
 {
 	const union MHD_DaemonInfo *info;
 
--- a/tests/http/test_mutations.c
+++ b/tests/http/test_mutations.c
@@ -188,7 +188,7 @@
 	struct loom_peer_server server = { .ops = &exchange_ops };
 	struct peer_connection *connection =
 	    talloc_zero(NULL, struct peer_connection);
-	enum peer_parsing parsing = PEER_PARSING_ON;
+	enum peer_parse_result parsing = PEER_PARSE_OK;
 	size_t at, len;
 
 	connection->server = &server;
@@ -196,15 +196,15 @@
 	http_head_init(&connection->head);
 	http_parser_init(&connection->parser, HTTP_REQUEST);
 	connection->parser.data = connection;
-	for (at = 0; at < message->len && parsing == PEER_PARSING_ON &&
-	     peer_request_may_go_on(connection);
+	for (at = 0; at < message->len && parsing == PEER_PARSE_OK &&
+	     peer_request_can_parse(connection);
 	     at += len) {
 		len = piece_length(message, at, rand);
 		parsing = peer_request_parse(
 		    connection, (const uint8_t *)message->bytes + at, len);
 	}
 	g_string_append_printf(record, "|%d %d", parsing,
-	    connection->x != NULL && connection->x->body_ended);
+	    connection->exchange != NULL && connection->exchange->body_ended);
 	http_head_free(&connection->head);
 	g_string_free(connection->target, TRUE);
 	talloc_free(connection);
--- a/tests/http/test_peer_server.c
+++ b/tests/http/test_peer_server.c
@@ -89,7 +89,7 @@
 		else
 			loom_exchange_finish(x);
 	} else {
-		loom_exchange_answer(x, 200, headers, 1, text, strlen(text));
+		loom_exchange_respond(x, 200, headers, 1, text, strlen(text));
 	}
 	g_free(text);
 }
@@ -107,9 +107,9 @@
 	loom_exchange_set_user(x, request);
 	test_server->requests++;
 	if (request->action == ACTION_REJECT_EARLY)
-		loom_exchange_answer(x, 413, NULL, 0, "long", 4);
+		loom_exchange_respond(x, 413, NULL, 0, "long", 4);
 	else if (loom_exchange_body_length(x) != 0)
-		loom_exchange_take_body(x);
+		loom_exchange_resume_body(x);
 	else if (request->action != ACTION_NEVER_RESPOND)
 		respond(request);
 }
@@ -124,7 +124,7 @@
 	(void)timer;
 	(void)now;
 	request->timer = NULL;
-	loom_exchange_take_body(request->x);
+	loom_exchange_resume_body(request->x);
 }
 
 static size_t
@@ -135,7 +135,7 @@
 	if (request->action == ACTION_RESUME_FROM_CALLBACK) {
 		/* ask for more from inside the callback */
 		len = MIN(len, 1);
-		loom_exchange_take_body(x);
+		loom_exchange_resume_body(x);
 	}
 	if (request->action == ACTION_READ_SLOWLY) {
 		len = MIN(len, 1);
@@ -184,7 +184,7 @@
 	.body = on_body,
 	.body_end = on_body_end,
 	.drained = on_drained,
-	.gone = on_gone,
+	.disconnected = on_gone,
 	.end = on_end,
 };
 
--- a/tests/support/leg.c
+++ b/tests/support/leg.c
@@ -257,7 +257,7 @@
 static void
 send_response(struct server *server, struct loom_exchange *x)
 {
-	loom_exchange_answer(x, 200, headers, G_N_ELEMENTS(headers),
+	loom_exchange_respond(x, 200, headers, G_N_ELEMENTS(headers),
 	    server->body, server->load->body_bytes);
 }
 
@@ -268,7 +268,7 @@
 	if (loom_exchange_body_length(x) == 0)
 		send_response(arg, x);
 	else
-		loom_exchange_take_body(x);
+		loom_exchange_resume_body(x);
 }
 
 static size_t
@@ -304,7 +304,7 @@
 	.body = on_body,
 	.body_end = on_body_end,
 	.drained = ignore_event,
-	.gone = ignore_event,
+	.disconnected = ignore_event,
 	.end = on_end,
 };
 
@@ -434,7 +434,7 @@
 	struct server server = { .load = load };
 	struct loom_server_options options = {
 		.connections_max = 100,
-		.leaves_out_date = true,
+		.suppress_date = true,
 		.idle_timeout_s = 30,
 		.ops = &server_ops,
 		.arg = &server,
