--- a/src/daemon/call.h
+++ b/src/daemon/call.h
@@ -144,7 +144,7 @@
 	/* quarantine poll or pending crash check */
 	struct tevent_timer *upstream_timer;
 	bool awaits_crash_check; /* the connection broke; crash check pending */
-	struct loom_fetch_end broken_leg_end; /* result of that leg */
+	struct loom_fetch_outcome broken_leg_end; /* result of that leg */
 
 	/* tickets requested; 0 if not a request for tickets */
 	uint32_t issue_count;
--- a/src/daemon/probe.c
+++ b/src/daemon/probe.c
@@ -37,13 +37,13 @@
 }
 
 static void
-on_probe_done(void *arg, const struct loom_fetch_end *end)
+on_probe_done(void *arg, const struct loom_fetch_outcome *end)
 {
 	struct probe *probe = arg;
 
 	enum loom_probe_result probe_end = LOOM_PROBE_NO_ANSWER;
 
-	if (end->answered)
+	if (end->headers_received)
 		probe_end = probe->serving ? LOOM_PROBE_SERVING
 					   : LOOM_PROBE_NOT_SERVING;
 	loom_balance_note_probe(
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -33,7 +33,7 @@
 		return len;
 	}
 	if (call->fetch != NULL)
-		loom_fetch_more_body(call->fetch);
+		loom_fetch_resume_body(call->fetch);
 	else
 		upstream_body_progress(call);
 	return len;
@@ -46,7 +46,7 @@
 	if (call->body_buffered)
 		call_body_complete(call);
 	else if (call->fetch != NULL)
-		loom_fetch_more_body(call->fetch);
+		loom_fetch_resume_body(call->fetch);
 	else
 		upstream_body_progress(call);
 }
@@ -86,7 +86,7 @@
 	collect_headers(call, &list);
 	loom_exchange_stream(call->exchange, loom_fetch_status(call->fetch),
 	    header_list_items(&list), list.headers->len,
-	    loom_fetch_length(call->fetch));
+	    loom_fetch_content_length(call->fetch));
 	header_list_clear(&list);
 	loom_exchange_push(call->exchange, loom_buffer_peek(&call->answer),
 	    loom_buffer_length(&call->answer));
@@ -146,7 +146,7 @@
 	if (is_head(call)) {
 		loom_exchange_stream(call->exchange, call->span.status,
 		    header_list_items(&list), list.headers->len,
-		    loom_fetch_length(call->fetch));
+		    loom_fetch_content_length(call->fetch));
 		loom_exchange_finish(call->exchange);
 	} else {
 		loom_exchange_respond(call->exchange, call->span.status,
--- a/src/daemon/target.c
+++ b/src/daemon/target.c
@@ -123,12 +123,12 @@
 /* Refuses the call, or retries it, after its leg failed without a refusal
  * from the peer. */
 static void
-refuse_failed_leg(struct call *call, const struct loom_fetch_end *end)
+refuse_failed_leg(struct call *call, const struct loom_fetch_outcome *end)
 {
 	static const enum loom_failure failures[] = {
-		[LOOM_FETCH_WHOLE] = LOOM_FAILURE_CUT,
-		[LOOM_FETCH_CONNECT] = LOOM_FAILURE_CONNECT,
-		[LOOM_FETCH_CUT] = LOOM_FAILURE_CUT,
+		[LOOM_FETCH_COMPLETE] = LOOM_FAILURE_CUT,
+		[LOOM_FETCH_CONNECT_FAILED] = LOOM_FAILURE_CONNECT,
+		[LOOM_FETCH_INTERRUPTED] = LOOM_FAILURE_CUT,
 		[LOOM_FETCH_TIMEOUT] = LOOM_FAILURE_DEADLINE,
 	};
 	struct loom_failure_facts facts = {
@@ -140,22 +140,22 @@
 	};
 	struct loom_refusal refusal;
 
-	if (facts.failure == LOOM_FAILURE_CUT && end->answered)
+	if (facts.failure == LOOM_FAILURE_CUT && end->headers_received)
 		facts.failure = LOOM_FAILURE_ANSWER_CUT;
 	refusal_of_failure(&facts, end->reason, &refusal);
 	target_refused(call, &refusal);
 }
 
 static void
-leg_done(void *arg, const struct loom_fetch_end *end)
+leg_done(void *arg, const struct loom_fetch_outcome *end)
 {
 	struct call *call = arg;
 	struct loom_refusal refusal;
 	bool refused;
 
-	refused = end->result == LOOM_FETCH_WHOLE &&
+	refused = end->result == LOOM_FETCH_COMPLETE &&
 	    loom_fetch_header(call->fetch, HEADER_CODE) != NULL;
-	if (end->result == LOOM_FETCH_WHOLE && !refused) {
+	if (end->result == LOOM_FETCH_COMPLETE && !refused) {
 		record_leg_result(call, LOOM_TARGET_OK);
 		call->target_id = 0;
 		relay_answer_complete(call);
@@ -193,7 +193,7 @@
 		.method = loom_exchange_method(call->exchange),
 		.has_body = call->body_length != 0,
 		.body_length = call->body_length,
-		.expect = !call->body_buffered,
+		.expect_continue = !call->body_buffered,
 		.ops = &leg_ops,
 		.arg = call,
 	};
--- a/src/daemon/upstream.c
+++ b/src/daemon/upstream.c
@@ -142,7 +142,7 @@
 
 static void
 refuse_failed_leg(
-    struct call *call, const struct loom_fetch_end *end, bool crashed)
+    struct call *call, const struct loom_fetch_outcome *end, bool crashed)
 {
 	struct loom_failure_facts facts = {
 		.leg = LOOM_LEG_UPSTREAM,
@@ -153,13 +153,13 @@
 	};
 	struct loom_refusal refusal;
 
-	if (end->result == LOOM_FETCH_CONNECT)
+	if (end->result == LOOM_FETCH_CONNECT_FAILED)
 		facts.failure = LOOM_FAILURE_CONNECT;
 	else if (end->result == LOOM_FETCH_TIMEOUT)
 		facts.failure = LOOM_FAILURE_DEADLINE;
 	else if (crashed)
 		facts.failure = LOOM_FAILURE_CRASH;
-	else if (end->answered)
+	else if (end->headers_received)
 		facts.failure = LOOM_FAILURE_ANSWER_CUT;
 	refusal_of_failure(&facts, end->reason, &refusal);
 	executor_refuse(call, &refusal);
@@ -188,7 +188,8 @@
 }
 
 static void
-leg_broken(struct call *call, const struct loom_fetch_end *end, bool crashed)
+leg_broken(
+    struct call *call, const struct loom_fetch_outcome *end, bool crashed)
 {
 	if (crashed)
 		report_crash(call, end->sent);
@@ -247,7 +248,7 @@
  * host.
  */
 static bool
-defer_crash_check(struct call *call, const struct loom_fetch_end *end)
+defer_crash_check(struct call *call, const struct loom_fetch_outcome *end)
 {
 	call->upstream_timer = tevent_add_timer(call->worker->ev, call,
 	    tevent_timeval_current_ofs(0, CRASH_CHECK_DELAY_US), on_crash_check,
@@ -262,22 +263,22 @@
 }
 
 static void
-leg_done(void *arg, const struct loom_fetch_end *end)
+leg_done(void *arg, const struct loom_fetch_outcome *end)
 {
 	struct call *call = arg;
 	bool upstream_gone;
 
 	call->span.leg_us += loom_now_us() - call->leg_us;
 	call_ref(call);
-	upstream_gone = end->result != LOOM_FETCH_WHOLE &&
+	upstream_gone = end->result != LOOM_FETCH_COMPLETE &&
 	    end->result != LOOM_FETCH_TIMEOUT &&
 	    refuses_connections(call->worker->daemon);
-	if (end->result == LOOM_FETCH_WHOLE &&
+	if (end->result == LOOM_FETCH_COMPLETE &&
 	    call->answer_kind == LOOM_ANSWER_NOT_RUN) {
 		leg_shed(call);
-	} else if (end->result == LOOM_FETCH_WHOLE) {
+	} else if (end->result == LOOM_FETCH_COMPLETE) {
 		leg_completed(call);
-	} else if (end->result == LOOM_FETCH_CUT && !upstream_gone &&
+	} else if (end->result == LOOM_FETCH_INTERRUPTED && !upstream_gone &&
 	    call->worker->daemon->witnesses != NULL &&
 	    defer_crash_check(call, end)) {
 		call_unref(call);
@@ -432,7 +433,7 @@
 	request.headers = header_list_items(&list);
 	request.nheaders = list.headers->len;
 	request.timeout_us = call_remaining_us(call, call->leg_us);
-	request.idle_ms = call->worker->daemon->settings.upstream_idle_ms;
+	request.idle_max_ms = call->worker->daemon->settings.upstream_idle_ms;
 	call->answer_kind = LOOM_ANSWER_RAN;
 	if (key_still_granted(call))
 		call->fetch = loom_fetch_start(call->worker->fetcher, &request);
--- a/src/daemon/worker.c
+++ b/src/daemon/worker.c
@@ -52,7 +52,7 @@
 	struct call *call = loom_exchange_user(x);
 
 	if (call->fetch != NULL)
-		loom_fetch_resume(call->fetch);
+		loom_fetch_resume_response(call->fetch);
 }
 
 static void
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -63,7 +63,7 @@
 	const struct loom_fetch_ops *ops;
 	void *arg;
 	struct tevent_immediate *immediate; /* owned; created on first use */
-	struct timed timer;
+	struct sockets_timer timer;
 	struct loom_buffer send_buffer; /* not yet written to the socket */
 	uint64_t deadline_us;
 	uint32_t idle_max_ms; /* use no connection idle for longer */
@@ -72,12 +72,12 @@
 	bool is_head;
 	bool chunked; /* the request body */
 	bool body_complete; /* the whole request was buffered */
-	bool body_paused; /* until loom_fetch_more_body() */
+	bool body_paused; /* until loom_fetch_resume_body() */
 	bool awaiting_continue; /* body is held until 100 Continue */
 	bool headers_complete;
 	bool response_complete;
 	bool sent; /* the socket accepted a byte of the request */
-	bool response_paused; /* until loom_fetch_resume() */
+	bool response_paused; /* until loom_fetch_resume_response() */
 	bool send_failed; /* nothing more is sent */
 	bool in_callback; /* defers loom_fetch_cancel() */
 	bool cancelled;
--- a/src/http/client_connection.c
+++ b/src/http/client_connection.c
@@ -81,7 +81,7 @@
 	}
 	connection->fetcher = fetcher;
 	connection->socket.sockets = fetcher->sockets;
-	connection->socket.ready = on_ready;
+	connection->socket.on_ready = on_ready;
 	http_head_init(&connection->head);
 	connection->socket.fd =
 	    socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -223,11 +223,12 @@
 static void
 receive(struct client_connection *connection)
 {
-	uint8_t *buf = sockets_block(connection->socket.sockets);
+	uint8_t *buf = sockets_read_buffer(connection->socket.sockets);
 	ssize_t nread;
 
 	do {
-		nread = recv(connection->socket.fd, buf, SOCKETS_BLOCK, 0);
+		nread = recv(
+		    connection->socket.fd, buf, SOCKETS_READ_BUFFER_SIZE, 0);
 		if (nread < 0 && errno == EAGAIN)
 			return;
 		if (nread < 0) {
@@ -236,7 +237,8 @@
 		}
 		if (!parse_received(connection, buf, (size_t)nread))
 			return;
-	} while (nread == SOCKETS_BLOCK && !connection->fetch->response_paused);
+	} while (nread == SOCKETS_READ_BUFFER_SIZE &&
+	    !connection->fetch->response_paused);
 	/* the body can be sent if a 100 Continue was received */
 	client_connection_send(connection);
 }
--- a/src/http/client_request.c
+++ b/src/http/client_request.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #include "http/client.h"
-#include "http/text.h"
+#include "http/serialize.h"
 
 /* Maximum that is read from the owner's body in one call. */
 #define BODY_READ_SIZE (16 * 1024)
@@ -14,13 +14,13 @@
 static bool
 append(struct loom_fetch *fetch, const char *text)
 {
-	return http_put(&fetch->send_buffer, fetch, text);
+	return http_append_text(&fetch->send_buffer, fetch, text);
 }
 
 static bool
 append_header(struct loom_fetch *fetch, const char *name, const char *value)
 {
-	return http_put_header(&fetch->send_buffer, fetch, name, value);
+	return http_append_header(&fetch->send_buffer, fetch, name, value);
 }
 
 static bool
@@ -59,12 +59,13 @@
 {
 	if (!req->has_body)
 		return !requires_content_length(req->method) ||
-		    http_put_length(&fetch->send_buffer, fetch, 0);
-	if (req->expect && !append_header(fetch, "Expect", "100-continue"))
+		    http_append_content_length(&fetch->send_buffer, fetch, 0);
+	if (req->expect_continue &&
+	    !append_header(fetch, "Expect", "100-continue"))
 		return false;
 	if (fetch->chunked)
 		return append_header(fetch, "Transfer-Encoding", "chunked");
-	return http_put_length(
+	return http_append_content_length(
 	    &fetch->send_buffer, fetch, (uint64_t)req->body_length);
 }
 
@@ -75,7 +76,7 @@
 	fetch->is_head = strcmp(req->method, "HEAD") == 0;
 	fetch->chunked = req->has_body && req->body_length < 0;
 	fetch->body_complete = !req->has_body;
-	fetch->awaiting_continue = req->has_body && req->expect;
+	fetch->awaiting_continue = req->has_body && req->expect_continue;
 	return append(fetch, req->method) && append(fetch, " ") &&
 	    append(fetch, req->target) && append(fetch, " HTTP/1.1\r\n") &&
 	    append_headers(fetch, req) && append_framing(fetch, req) &&
@@ -97,10 +98,10 @@
 	fetch->in_callback = false;
 	fetch->body_paused = len == 0 && !end;
 	fetch->body_complete = end;
-	if (!http_put_piece(
+	if (!http_append_body(
 		&fetch->send_buffer, fetch, buf, len, fetch->chunked) ||
 	    (end && fetch->chunked &&
-		!http_put_last_chunk(&fetch->send_buffer, fetch))) {
+		!http_append_last_chunk(&fetch->send_buffer, fetch))) {
 		fetch->send_failed = true;
 		return false;
 	}
--- a/src/http/client_answer.c
+++ b/src/http/client_response.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #include "http/client.h"
-#include "http/text.h"
+#include "http/serialize.h"
 
 #define STATUS_MIN 100
 #define STATUS_FINAL_MIN 200
--- a/src/http/fetch.c
+++ b/src/http/fetch.c
@@ -22,12 +22,12 @@
 static int
 fetch_destructor(struct loom_fetch *fetch)
 {
-	sockets_clear_time(fetch->fetcher->sockets, &fetch->timer);
+	sockets_clear_timer(fetch->fetcher->sockets, &fetch->timer);
 	return 0;
 }
 
 static struct loom_fetch *
-fetch_of(struct timed *timer)
+fetch_of(struct sockets_timer *timer)
 {
 	return (struct loom_fetch *)(void *)((char *)timer -
 	    offsetof(struct loom_fetch, timer));
@@ -51,10 +51,10 @@
 finish(
     struct loom_fetch *fetch, enum loom_fetch_result result, const char *reason)
 {
-	const struct loom_fetch_end outcome = {
+	const struct loom_fetch_outcome outcome = {
 		.result = result,
 		.sent = fetch->sent,
-		.answered = fetch->headers_complete,
+		.headers_received = fetch->headers_complete,
 		.reason = reason,
 	};
 
@@ -68,7 +68,7 @@
 void
 client_fetch_complete(struct loom_fetch *fetch)
 {
-	finish(fetch, LOOM_FETCH_WHOLE, "");
+	finish(fetch, LOOM_FETCH_COMPLETE, "");
 }
 
 static void
@@ -82,8 +82,9 @@
 client_fetch_fail(struct loom_fetch *fetch, const char *reason)
 {
 	mark_not_reusable(fetch);
-	finish(
-	    fetch, fetch->sent ? LOOM_FETCH_CUT : LOOM_FETCH_CONNECT, reason);
+	finish(fetch,
+	    fetch->sent ? LOOM_FETCH_INTERRUPTED : LOOM_FETCH_CONNECT_FAILED,
+	    reason);
 }
 
 void
@@ -104,7 +105,7 @@
  * error long before its deadline, and no other host would be tried.
  */
 static void
-on_timer(struct timed *timer)
+on_timer(struct sockets_timer *timer)
 {
 	struct loom_fetch *fetch = fetch_of(timer);
 	const uint64_t now_us = loom_now_us();
@@ -113,7 +114,7 @@
 		mark_not_reusable(fetch);
 		finish(fetch, LOOM_FETCH_TIMEOUT, "its time is up");
 	} else if (fetch->connection != NULL && fetch->connection->connected) {
-		sockets_set_time(
+		sockets_set_timer(
 		    fetch->fetcher->sockets, timer, fetch->deadline_us);
 	} else {
 		client_fetch_fail(fetch, "no connection in time");
@@ -189,8 +190,8 @@
 	timer_us = fetch->deadline_us;
 	if (fetch->connection == NULL || !fetch->connection->connected)
 		timer_us = MIN(timer_us, now_us + CONNECT_TIMEOUT_US);
-	fetch->timer.expired = on_timer;
-	sockets_set_time(fetch->fetcher->sockets, &fetch->timer, timer_us);
+	fetch->timer.on_expired = on_timer;
+	sockets_set_timer(fetch->fetcher->sockets, &fetch->timer, timer_us);
 }
 
 struct loom_fetch *
@@ -205,7 +206,7 @@
 	fetch->fetcher = fetcher;
 	fetch->ops = req->ops;
 	fetch->arg = req->arg;
-	fetch->idle_max_ms = req->idle_ms;
+	fetch->idle_max_ms = req->idle_max_ms;
 	talloc_set_destructor(fetch, fetch_destructor);
 	if (!client_request_begin(fetch, req))
 		goto error;
@@ -241,7 +242,7 @@
  * reported how much it accepted.
  */
 void
-loom_fetch_more_body(struct loom_fetch *fetch)
+loom_fetch_resume_body(struct loom_fetch *fetch)
 {
 	if (!fetch->body_paused || fetch->connection == NULL)
 		return;
@@ -251,7 +252,7 @@
 }
 
 void
-loom_fetch_resume(struct loom_fetch *fetch)
+loom_fetch_resume_response(struct loom_fetch *fetch)
 {
 	if (!fetch->response_paused)
 		return;
@@ -300,7 +301,7 @@
 }
 
 int64_t
-loom_fetch_length(const struct loom_fetch *fetch)
+loom_fetch_content_length(const struct loom_fetch *fetch)
 {
 	const char *length = loom_fetch_header(fetch, "Content-Length");
 
--- a/src/http/peer_connection.c
+++ b/src/http/peer_connection.c
@@ -29,7 +29,7 @@
 static int
 connection_destructor(struct peer_connection *connection)
 {
-	sockets_clear_time(connection->socket.sockets, &connection->timer);
+	sockets_clear_timer(connection->socket.sockets, &connection->timer);
 	if (connection->socket.fd >= 0)
 		close(connection->socket.fd);
 	http_head_free(&connection->head);
@@ -59,7 +59,7 @@
 	end_exchange(connection);
 	if (!connection->received_request)
 		loom_counter_add(server->unused_connections, 1);
-	sockets_clear_time(connection->socket.sockets, &connection->timer);
+	sockets_clear_timer(connection->socket.sockets, &connection->timer);
 	g_queue_unlink(&server->connections, &connection->server_link);
 	sockets_watch(&server->listener, EPOLLIN);
 	sockets_close(&connection->socket);
@@ -129,7 +129,7 @@
 		return;
 	}
 	connection->lingering = true;
-	sockets_set_time(connection->socket.sockets, &connection->timer,
+	sockets_set_timer(connection->socket.sockets, &connection->timer,
 	    loom_now_us() + EXCHANGE_LINGER_US);
 }
 
@@ -230,10 +230,10 @@
 
 	(void)ev;
 	(void)advance_immediate;
-	sockets_begin_turn(sockets);
+	sockets_begin_dispatch(sockets);
 	if (connection->socket.fd >= 0)
 		advance(connection);
-	sockets_end_turn(sockets);
+	sockets_end_dispatch(sockets);
 }
 
 void
@@ -276,10 +276,10 @@
 static void
 receive(struct peer_connection *connection)
 {
-	uint8_t *block = sockets_block(connection->socket.sockets);
+	uint8_t *block = sockets_read_buffer(connection->socket.sockets);
 	ssize_t got;
 
-	got = recv(connection->socket.fd, block, SOCKETS_BLOCK, 0);
+	got = recv(connection->socket.fd, block, SOCKETS_READ_BUFFER_SIZE, 0);
 	if (got > 0)
 		on_data(connection, block, (size_t)got);
 	else if (got == 0 || errno != EAGAIN)
@@ -332,10 +332,10 @@
 /* Idle timeout, or the end of lingering.  A connection whose request is still
  * being processed is not idle. */
 static void
-expired(struct timed *timed)
+expired(struct sockets_timer *sockets_timer)
 {
 	struct peer_connection *connection =
-	    (struct peer_connection *)(void *)((char *)timed -
+	    (struct peer_connection *)(void *)((char *)sockets_timer -
 		offsetof(struct peer_connection, timer));
 	const struct loom_peer_server *server = connection->server;
 	const uint64_t now_us = loom_now_us();
@@ -350,7 +350,7 @@
 	if (now_us - connection->last_activity_us >= server->idle_us)
 		disconnect(connection);
 	else
-		sockets_set_time(connection->socket.sockets, timed,
+		sockets_set_timer(connection->socket.sockets, sockets_timer,
 		    connection->last_activity_us + server->idle_us);
 }
 
@@ -368,10 +368,10 @@
 	connection->socket = (struct watched_socket){
 		.sockets = server->listener.sockets,
 		.fd = fd,
-		.ready = ready,
+		.on_ready = ready,
 	};
 	connection->server = server;
-	connection->timer.expired = expired;
+	connection->timer.on_expired = expired;
 	connection->last_activity_us = loom_now_us();
 	http_head_init(&connection->head);
 	connection->target = g_string_new(NULL);
@@ -387,6 +387,6 @@
 	}
 	connection->server_link.data = connection;
 	g_queue_push_head_link(&server->connections, &connection->server_link);
-	sockets_set_time(connection->socket.sockets, &connection->timer,
+	sockets_set_timer(connection->socket.sockets, &connection->timer,
 	    connection->last_activity_us + server->idle_us);
 }
--- a/src/http/peer_exchange.c
+++ b/src/http/peer_exchange.c
@@ -6,7 +6,7 @@
  */
 
 #include "http/peer_server.h"
-#include "http/text.h"
+#include "http/serialize.h"
 
 static struct peer_exchange *
 peer_exchange_of(struct loom_exchange *base)
@@ -58,14 +58,14 @@
 static bool
 put(struct peer_connection *connection, const char *text)
 {
-	return http_put(&connection->out, connection, text);
+	return http_append_text(&connection->out, connection, text);
 }
 
 static bool
 put_header(
     struct peer_connection *connection, const char *name, const char *value)
 {
-	return http_put_header(&connection->out, connection, name, value);
+	return http_append_header(&connection->out, connection, name, value);
 }
 
 static void
@@ -108,7 +108,7 @@
 	if (http_status_has_no_body(status))
 		return true;
 	if (length >= 0)
-		return http_put_length(
+		return http_append_content_length(
 		    &x->connection->out, x->connection, (uint64_t)length);
 	if (x->is_http_1_0) {
 		x->closes_connection = true;
@@ -178,7 +178,7 @@
 	x->responded = true;
 	if (!put_head(x, status, headers, nheaders, (int64_t)len) ||
 	    (has_body &&
-		!http_put_piece(
+		!http_append_body(
 		    &x->connection->out, x->connection, body, len, false))) {
 		peer_abort(base);
 		return;
@@ -209,7 +209,7 @@
 
 	if (x->disconnected || x->aborted || x->is_head_request || len == 0)
 		return true;
-	if (!http_put_piece(
+	if (!http_append_body(
 		&x->connection->out, x->connection, data, len, x->chunked)) {
 		peer_abort(base);
 		return true;
@@ -228,7 +228,7 @@
 	if (x->disconnected || x->aborted || x->finished)
 		return;
 	if (x->chunked && !x->is_head_request &&
-	    !http_put_last_chunk(&x->connection->out, x->connection)) {
+	    !http_append_last_chunk(&x->connection->out, x->connection)) {
 		peer_abort(base);
 		return;
 	}
--- a/src/http/peer_server.c
+++ b/src/http/peer_server.c
@@ -71,7 +71,7 @@
 	*server = (struct loom_peer_server){
 		.listener = { .sockets = sockets,
 		    .fd = fcntl(options->listen_fd, F_DUPFD_CLOEXEC, 0),
-		    .ready = ready },
+		    .on_ready = ready },
 		.ev = ev,
 		.ops = options->ops,
 		.arg = options->arg,
--- a/src/http/peer_server.h
+++ b/src/http/peer_server.h
@@ -39,7 +39,7 @@
 	GList server_link;
 	struct peer_exchange *exchange; /* owned; NULL between two requests */
 	struct tevent_immediate *advance_immediate; /* owned */
-	struct timed timer; /* idle timeout, or the end of lingering */
+	struct sockets_timer timer; /* idle timeout, or the end of lingering */
 	uint64_t last_activity_us; /* when a byte was last received or sent */
 	http_parser parser;
 	struct http_head head; /* of the request */
--- a/src/http/sockets.c
+++ b/src/http/sockets.c
@@ -26,7 +26,7 @@
 	struct deadlines deadlines;
 	struct tevent_timer *timer; /* owned: expires at timer_us; or NULL */
 	uint64_t timer_us;
-	uint8_t read_buffer[SOCKETS_BLOCK];
+	uint8_t read_buffer[SOCKETS_READ_BUFFER_SIZE];
 };
 
 static bool
@@ -77,13 +77,13 @@
 }
 
 void
-sockets_begin_turn(struct loom_sockets *sockets)
+sockets_begin_dispatch(struct loom_sockets *sockets)
 {
 	sockets->dispatching = true;
 }
 
 void
-sockets_end_turn(struct loom_sockets *sockets)
+sockets_end_dispatch(struct loom_sockets *sockets)
 {
 	struct watched_socket *socket;
 
@@ -94,11 +94,11 @@
 	}
 }
 
-static struct timed *
+static struct sockets_timer *
 timer_of_deadline(struct deadline *deadline)
 {
-	return (struct timed *)(void *)((char *)deadline -
-	    offsetof(struct timed, deadline));
+	return (struct sockets_timer *)(void *)((char *)deadline -
+	    offsetof(struct sockets_timer, deadline));
 }
 
 static void arm_timer(struct loom_sockets *);
@@ -112,7 +112,7 @@
 	while ((first = deadlines_first(&sockets->deadlines)) != NULL &&
 	    first->at_us <= now_us) {
 		deadlines_remove(&sockets->deadlines, first);
-		timer_of_deadline(first)->expired(timer_of_deadline(first));
+		timer_of_deadline(first)->on_expired(timer_of_deadline(first));
 	}
 	arm_timer(sockets);
 }
@@ -127,9 +127,9 @@
 	(void)timer;
 	(void)now;
 	sockets->timer = NULL; /* tevent frees it after this call */
-	sockets_begin_turn(sockets);
+	sockets_begin_dispatch(sockets);
 	run_expired(sockets);
-	sockets_end_turn(sockets);
+	sockets_end_dispatch(sockets);
 }
 
 /*
@@ -158,8 +158,8 @@
 }
 
 void
-sockets_set_time(
-    struct loom_sockets *sockets, struct timed *timer, uint64_t at_us)
+sockets_set_timer(
+    struct loom_sockets *sockets, struct sockets_timer *timer, uint64_t at_us)
 {
 	deadlines_remove(&sockets->deadlines, &timer->deadline);
 	deadlines_add(&sockets->deadlines, &timer->deadline, at_us);
@@ -167,13 +167,13 @@
 }
 
 void
-sockets_clear_time(struct loom_sockets *sockets, struct timed *timer)
+sockets_clear_timer(struct loom_sockets *sockets, struct sockets_timer *timer)
 {
 	deadlines_remove(&sockets->deadlines, &timer->deadline);
 }
 
 uint8_t *
-sockets_block(struct loom_sockets *sockets)
+sockets_read_buffer(struct loom_sockets *sockets)
 {
 	return sockets->read_buffer;
 }
@@ -195,14 +195,14 @@
 	(void)fde;
 	(void)flags;
 	n = epoll_wait(sockets->epoll_fd, events, EVENTS_MAX, 0);
-	sockets_begin_turn(sockets);
+	sockets_begin_dispatch(sockets);
 	for (i = 0; i < n; i++) {
 		socket = events[i].data.ptr;
 		if (socket->fd >= 0)
-			socket->ready(socket, events[i].events);
+			socket->on_ready(socket, events[i].events);
 	}
 	run_expired(sockets);
-	sockets_end_turn(sockets);
+	sockets_end_dispatch(sockets);
 }
 
 static int
--- a/src/http/sockets.h
+++ b/src/http/sockets.h
@@ -13,7 +13,7 @@
 #include "loom/sockets.h"
 
 /* Size of the read buffer. */
-#define SOCKETS_BLOCK (32 * 1024)
+#define SOCKETS_READ_BUFFER_SIZE (32 * 1024)
 
 /*
  * A socket in the epoll set.  It is the first member of its owner, which is
@@ -23,14 +23,14 @@
 	struct loom_sockets *sockets; /* borrowed */
 	int fd; /* owned; -1 when closed */
 	uint32_t events; /* set with epoll_ctl(); 0: not in the epoll set */
-	void (*ready)(struct watched_socket *, uint32_t events);
+	void (*on_ready)(struct watched_socket *, uint32_t events);
 	struct watched_socket *next_closed;
 };
 
 /* A one-shot timer; embedded in its owner. */
-struct timed {
+struct sockets_timer {
 	struct deadline deadline;
-	void (*expired)(struct timed *);
+	void (*on_expired)(struct sockets_timer *);
 };
 
 /*
@@ -51,14 +51,16 @@
  * events are dispatched, and around other code that works on an owner and may
  * close its socket.
  */
-void sockets_begin_turn(struct loom_sockets *);
-void sockets_end_turn(struct loom_sockets *);
+void sockets_begin_dispatch(struct loom_sockets *);
+void sockets_end_dispatch(struct loom_sockets *);
 
 /* Call timer->expired at at_us, unless the timer is set again or cleared. */
-void sockets_set_time(struct loom_sockets *, struct timed *, uint64_t at_us);
-void sockets_clear_time(struct loom_sockets *, struct timed *);
+void sockets_set_timer(
+    struct loom_sockets *, struct sockets_timer *, uint64_t at_us);
+void sockets_clear_timer(struct loom_sockets *, struct sockets_timer *);
 
-/* Read buffer of SOCKETS_BLOCK bytes, shared by all sockets of the thread. */
-uint8_t *sockets_block(struct loom_sockets *);
+/* Read buffer of SOCKETS_READ_BUFFER_SIZE bytes, shared by all sockets of the
+ * thread. */
+uint8_t *sockets_read_buffer(struct loom_sockets *);
 
 #endif
--- a/src/load/request.c
+++ b/src/load/request.c
@@ -233,7 +233,7 @@
 }
 
 static void
-on_fetch_done(void *arg, const struct loom_fetch_end *end)
+on_fetch_done(void *arg, const struct loom_fetch_outcome *end)
 {
 	struct request *request = arg;
 	struct load_attempt attempt = {
@@ -241,7 +241,7 @@
 		.sent = end->sent,
 	};
 
-	if (end->result == LOOM_FETCH_WHOLE) {
+	if (end->result == LOOM_FETCH_COMPLETE) {
 		if (request->is_problem &&
 		    loom_refusal_parse(request->body->str, request->body->len,
 			&attempt.refusal))
--- a/tests/http/test_client.c
+++ b/tests/http/test_client.c
@@ -259,7 +259,7 @@
 	char extra_header[32]; /* value of the X-Extra header */
 	GString *data;
 	bool done;
-	struct loom_fetch_end end;
+	struct loom_fetch_outcome end;
 	uint16_t status;
 };
 
@@ -305,7 +305,7 @@
 }
 
 static void
-on_done(void *arg, const struct loom_fetch_end *end)
+on_done(void *arg, const struct loom_fetch_outcome *end)
 {
 	struct request_state *state = arg;
 
@@ -365,7 +365,7 @@
 
 	start_request(client, &request, &state);
 	finish_request(client, &state);
-	TEST_CHECK(state.end.result == LOOM_FETCH_WHOLE, "next request: %s",
+	TEST_CHECK(state.end.result == LOOM_FETCH_COMPLETE, "next request: %s",
 	    state.end.reason);
 	request_state_clear(&state);
 	return atomic_load(&client->server.last_connection) == 0;
@@ -384,94 +384,94 @@
 	bool reused;
 } response_cases[] = {
 	{ "length", "GET", OK "Content-Length: 5\r\n\r\nhello", ENDING_OPEN,
-	    LOOM_FETCH_WHOLE, 200, "hello", true },
+	    LOOM_FETCH_COMPLETE, 200, "hello", true },
 	{ "length 0", "GET", OK "Content-Length: 0\r\n\r\n", ENDING_OPEN,
-	    LOOM_FETCH_WHOLE, 200, "", true },
+	    LOOM_FETCH_COMPLETE, 200, "", true },
 	{ "chunks", "GET",
 	    OK "Transfer-Encoding: chunked\r\n\r\n"
 	       "3\r\nhel\r\n2;x=y\r\nlo\r\n0\r\n\r\n",
-	    ENDING_OPEN, LOOM_FETCH_WHOLE, 200, "hello", true },
+	    ENDING_OPEN, LOOM_FETCH_COMPLETE, 200, "hello", true },
 	{ "trailers", "GET",
 	    OK "Transfer-Encoding: chunked\r\n\r\n"
 	       "5\r\nhello\r\n0\r\nX-Extra: late\r\n\r\n",
-	    ENDING_OPEN, LOOM_FETCH_WHOLE, 200, "hello", true },
+	    ENDING_OPEN, LOOM_FETCH_COMPLETE, 200, "hello", true },
 	{ "cut chunks", "GET",
 	    OK "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", ENDING_CLOSE,
-	    LOOM_FETCH_CUT, 200, "hello", false },
+	    LOOM_FETCH_INTERRUPTED, 200, "hello", false },
 	{ "body until close", "GET", OK "\r\nhello", ENDING_CLOSE,
-	    LOOM_FETCH_WHOLE, 200, "hello", false },
-	{ "body until reset", "GET", OK "\r\n", ENDING_RESET, LOOM_FETCH_CUT,
-	    200, "", false },
+	    LOOM_FETCH_COMPLETE, 200, "hello", false },
+	{ "body until reset", "GET", OK "\r\n", ENDING_RESET,
+	    LOOM_FETCH_INTERRUPTED, 200, "", false },
 	{ "cut", "GET", OK "Content-Length: 10\r\n\r\nhello", ENDING_CLOSE,
-	    LOOM_FETCH_CUT, 200, "hello", false },
-	{ "cut headers", "GET", OK "Content-Le", ENDING_CLOSE, LOOM_FETCH_CUT,
-	    0, "", false },
-	{ "no response", "GET", "", ENDING_CLOSE, LOOM_FETCH_CUT, 0, "",
+	    LOOM_FETCH_INTERRUPTED, 200, "hello", false },
+	{ "cut headers", "GET", OK "Content-Le", ENDING_CLOSE,
+	    LOOM_FETCH_INTERRUPTED, 0, "", false },
+	{ "no response", "GET", "", ENDING_CLOSE, LOOM_FETCH_INTERRUPTED, 0, "",
 	    false },
 	{ "no content", "GET", "HTTP/1.1 204 None\r\n\r\n", ENDING_OPEN,
-	    LOOM_FETCH_WHOLE, 204, "", true },
+	    LOOM_FETCH_COMPLETE, 204, "", true },
 	{ "no content with a length", "GET",
 	    "HTTP/1.1 204 None\r\nContent-Length: 9\r\n\r\n", ENDING_OPEN,
-	    LOOM_FETCH_WHOLE, 204, "", true },
+	    LOOM_FETCH_COMPLETE, 204, "", true },
 	{ "not modified", "GET",
 	    "HTTP/1.1 304 Same\r\nContent-Length: 9\r\n\r\n", ENDING_OPEN,
-	    LOOM_FETCH_WHOLE, 304, "", true },
+	    LOOM_FETCH_COMPLETE, 304, "", true },
 	{ "head", "HEAD", OK "Content-Length: 9\r\n\r\n", ENDING_OPEN,
-	    LOOM_FETCH_WHOLE, 200, "", true },
+	    LOOM_FETCH_COMPLETE, 200, "", true },
 	{ "100 continue", "GET",
 	    "HTTP/1.1 100 Continue\r\n\r\n" OK "Content-Length: 2\r\n\r\nok",
-	    ENDING_OPEN, LOOM_FETCH_WHOLE, 200, "ok", true },
+	    ENDING_OPEN, LOOM_FETCH_COMPLETE, 200, "ok", true },
 	{ "early hints", "GET",
 	    "HTTP/1.1 103 Hints\r\nX-Extra: hint\r\n\r\n" OK
 	    "Content-Length: 2\r\n\r\nok",
-	    ENDING_OPEN, LOOM_FETCH_WHOLE, 200, "ok", true },
+	    ENDING_OPEN, LOOM_FETCH_COMPLETE, 200, "ok", true },
 	{ "connection: close", "GET",
 	    OK "Connection: close\r\nContent-Length: 2\r\n\r\nok", ENDING_OPEN,
-	    LOOM_FETCH_WHOLE, 200, "ok", false },
+	    LOOM_FETCH_COMPLETE, 200, "ok", false },
 	{ "keep-alive timeout of 0", "GET",
 	    OK "Keep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok",
-	    ENDING_OPEN, LOOM_FETCH_WHOLE, 200, "ok", false },
+	    ENDING_OPEN, LOOM_FETCH_COMPLETE, 200, "ok", false },
 	{ "keep-alive timeout", "GET",
 	    OK "Keep-Alive: max=9, timeout=60\r\nContent-Length: 2\r\n\r\nok",
-	    ENDING_OPEN, LOOM_FETCH_WHOLE, 200, "ok", true },
+	    ENDING_OPEN, LOOM_FETCH_COMPLETE, 200, "ok", true },
 	{ "HTTP/1.0", "GET", "HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok",
-	    ENDING_OPEN, LOOM_FETCH_WHOLE, 200, "ok", false },
+	    ENDING_OPEN, LOOM_FETCH_COMPLETE, 200, "ok", false },
 	{ "switching protocols", "GET",
 	    "HTTP/1.1 101 Other\r\nConnection: upgrade\r\n"
 	    "Upgrade: other\r\n\r\n",
-	    ENDING_OPEN, LOOM_FETCH_CUT, 0, "", false },
+	    ENDING_OPEN, LOOM_FETCH_INTERRUPTED, 0, "", false },
 	/* Guards against an invalid status being taken for an informational
 	 * one: the client would wait for the final response until its deadline.
 	 */
 	{ "status 000", "GET", "HTTP/1.1 000 None\r\n\r\n", ENDING_OPEN,
-	    LOOM_FETCH_CUT, 0, "", false },
+	    LOOM_FETCH_INTERRUPTED, 0, "", false },
 	/* Guards against a body that is passed on still encoded: the client
 	 * never requests a transfer coding other than chunked. */
 	{ "gzip and chunked", "GET",
 	    OK "Transfer-Encoding: gzip, chunked\r\n\r\n"
 	       "5\r\nhello\r\n0\r\n\r\n",
-	    ENDING_OPEN, LOOM_FETCH_CUT, 0, "", false },
+	    ENDING_OPEN, LOOM_FETCH_INTERRUPTED, 0, "", false },
 	{ "gzip until close", "GET", OK "Transfer-Encoding: gzip\r\n\r\nhello",
-	    ENDING_CLOSE, LOOM_FETCH_CUT, 0, "", false },
+	    ENDING_CLOSE, LOOM_FETCH_INTERRUPTED, 0, "", false },
 	{ "chunked in upper case", "GET",
 	    OK "Transfer-Encoding: CHUNKED\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
-	    ENDING_OPEN, LOOM_FETCH_WHOLE, 200, "hello", true },
+	    ENDING_OPEN, LOOM_FETCH_COMPLETE, 200, "hello", true },
 	{ "HTTP/2", "GET", "HTTP/2.0 200 OK\r\nContent-Length: 2\r\n\r\nok",
-	    ENDING_OPEN, LOOM_FETCH_CUT, 0, "", false },
+	    ENDING_OPEN, LOOM_FETCH_INTERRUPTED, 0, "", false },
 	{ "space after a header name", "GET", OK "Content-Length : 2\r\n\r\nok",
-	    ENDING_OPEN, LOOM_FETCH_CUT, 0, "", false },
+	    ENDING_OPEN, LOOM_FETCH_INTERRUPTED, 0, "", false },
 	{ "garbage", "GET", "\x16\x03\x01 and so on\r\n\r\n", ENDING_OPEN,
-	    LOOM_FETCH_CUT, 0, "", false },
+	    LOOM_FETCH_INTERRUPTED, 0, "", false },
 	{ "two Content-Lengths", "GET",
 	    OK "Content-Length: 2\r\nContent-Length: 5\r\n\r\nhello",
-	    ENDING_OPEN, LOOM_FETCH_CUT, 0, "", false },
+	    ENDING_OPEN, LOOM_FETCH_INTERRUPTED, 0, "", false },
 	{ "Content-Length and chunked", "GET",
 	    OK "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n"
 	       "5\r\nhello\r\n0\r\n\r\n",
-	    ENDING_OPEN, LOOM_FETCH_CUT, 0, "", false },
+	    ENDING_OPEN, LOOM_FETCH_INTERRUPTED, 0, "", false },
 	{ "non-numeric Content-Length", "GET",
-	    OK "Content-Length: five\r\n\r\nhello", ENDING_OPEN, LOOM_FETCH_CUT,
-	    0, "", false },
+	    OK "Content-Length: five\r\n\r\nhello", ENDING_OPEN,
+	    LOOM_FETCH_INTERRUPTED, 0, "", false },
 };
 
 static void
@@ -497,7 +497,7 @@
 	/* a reset may discard headers that were sent before it */
 	TEST_CHECK(c->ending == ENDING_RESET ||
 		(state.status == c->status &&
-		    state.end.answered == (c->status != 0)),
+		    state.end.headers_received == (c->status != 0)),
 	    "%s: status %u", c->name, state.status);
 	TEST_CHECK(strcmp(state.data->str, c->data) == 0, "%s: got '%s'",
 	    c->name, state.data->str);
@@ -616,7 +616,7 @@
 		request.body_length = c->length;
 		start_request(&client, &request, &state);
 		finish_request(&client, &state);
-		TEST_CHECK(state.end.result == LOOM_FETCH_WHOLE, "%s: %s",
+		TEST_CHECK(state.end.result == LOOM_FETCH_COMPLETE, "%s: %s",
 		    c->name, state.end.reason);
 		TEST_CHECK(strcmp(client.server.request, c->text) == 0,
 		    "%s: the server got '%s'", c->name, client.server.request);
@@ -674,10 +674,10 @@
 		request.method = "POST";
 		request.has_body = true;
 		request.body_length = cases[i].stalls ? 1000 : 5;
-		request.expect = cases[i].expect_continue;
+		request.expect_continue = cases[i].expect_continue;
 		start_request(&client, &request, &state);
 		finish_request(&client, &state);
-		TEST_CHECK(state.end.result == LOOM_FETCH_WHOLE &&
+		TEST_CHECK(state.end.result == LOOM_FETCH_COMPLETE &&
 			state.status == cases[i].status,
 		    "%s: result %d, status %u", cases[i].name, state.end.result,
 		    state.status);
@@ -692,9 +692,9 @@
 }
 
 /*
- * Guards against an upload that stalled forever.  loom_fetch_more_body() called
- * read_body immediately, while the owner was still accepting a part of the
- * body, and the buffer space that this freed was lost.
+ * Guards against an upload that stalled forever.  loom_fetch_resume_body()
+ * called read_body immediately, while the owner was still accepting a part of
+ * the body, and the buffer space that this freed was lost.
  */
 static void
 test_more_body(void)
@@ -719,10 +719,10 @@
 	reads = state.body_reads;
 	state.body = "lo";
 	state.body_stalls = false;
-	loom_fetch_more_body(state.fetch);
+	loom_fetch_resume_body(state.fetch);
 	TEST_CHECK(state.body_reads == reads, "body read immediately");
 	finish_request(&client, &state);
-	CU_ASSERT_EQUAL(state.end.result, LOOM_FETCH_WHOLE);
+	CU_ASSERT_EQUAL(state.end.result, LOOM_FETCH_COMPLETE);
 	CU_ASSERT_TRUE(
 	    g_str_has_suffix(client.server.request, "\r\n\r\nhello"));
 	request_state_clear(&state);
@@ -745,14 +745,14 @@
 	finish_request(&client, &state);
 	CU_ASSERT_EQUAL(state.end.result, LOOM_FETCH_TIMEOUT);
 	CU_ASSERT_TRUE(state.end.sent);
-	CU_ASSERT_FALSE(state.end.answered);
+	CU_ASSERT_FALSE(state.end.headers_received);
 	request_state_clear(&state);
 	client_stop(&client);
 }
 
 /*
  * A cancelled fetch does not call done.  A rejected one ends with
- * LOOM_FETCH_CUT. Both close the connection, so that it is not reused.
+ * LOOM_FETCH_INTERRUPTED. Both close the connection, so that it is not reused.
  */
 static void
 test_cancelled(void)
@@ -796,8 +796,8 @@
 		TEST_CHECK(
 		    state.done == cases[i].reject, "%s: done", cases[i].name);
 		if (cases[i].reject)
-			TEST_CHECK(state.end.result == LOOM_FETCH_CUT &&
-				state.end.answered,
+			TEST_CHECK(state.end.result == LOOM_FETCH_INTERRUPTED &&
+				state.end.headers_received,
 			    "%s: result %d", cases[i].name, state.end.result);
 		TEST_CHECK(!reuses_first_connection(&client),
 		    "%s: connection reused", cases[i].name);
@@ -859,9 +859,9 @@
 	TEST_CHECK(state.data->len <= BUFFERED_MAX, "%zu bytes while paused",
 	    (size_t)state.data->len);
 	state.pause = false;
-	loom_fetch_resume(state.fetch);
+	loom_fetch_resume_response(state.fetch);
 	finish_request(&client, &state);
-	CU_ASSERT_EQUAL(state.end.result, LOOM_FETCH_WHOLE);
+	CU_ASSERT_EQUAL(state.end.result, LOOM_FETCH_COMPLETE);
 	CU_ASSERT_EQUAL(state.data->len, FILLER);
 	request_state_clear(&state);
 	client_stop(&client);
@@ -891,7 +891,7 @@
 		}
 		for (i = 0; i < REQUESTS; i++) {
 			finish_request(&client, &state[i]);
-			TEST_CHECK(state[i].end.result == LOOM_FETCH_WHOLE &&
+			TEST_CHECK(state[i].end.result == LOOM_FETCH_COMPLETE &&
 				strcmp(state[i].data->str, "ok") == 0,
 			    "round %u, request %u: %s", round, i,
 			    state[i].end.reason);
--- a/tests/http/test_fetch.c
+++ b/tests/http/test_fetch.c
@@ -121,7 +121,7 @@
 
 struct fetch_outcome {
 	bool done;
-	struct loom_fetch_end end;
+	struct loom_fetch_outcome end;
 	uint16_t status;
 };
 
@@ -143,7 +143,7 @@
 }
 
 static void
-on_done(void *arg, const struct loom_fetch_end *end)
+on_done(void *arg, const struct loom_fetch_outcome *end)
 {
 	struct fetch_outcome *outcome = arg;
 
@@ -181,8 +181,8 @@
 /*
  * The second request is sent on a reused connection.  The upstream reads it,
  * may process it, and closes the connection before the response is complete.
- * The request must end with LOOM_FETCH_CUT and sent set: sent again on a new
- * connection, it could be processed twice.
+ * The request must end with LOOM_FETCH_INTERRUPTED and sent set: sent again on
+ * a new connection, it could be processed twice.
  */
 static void
 test_no_resend(void)
@@ -194,11 +194,11 @@
 		bool headers_received;
 	} cases[] = {
 		{ "answered", { ACTION_RESPOND, ACTION_RESPOND },
-		    LOOM_FETCH_WHOLE, true },
+		    LOOM_FETCH_COMPLETE, true },
 		{ "closed without a response", { ACTION_RESPOND, ACTION_CLOSE },
-		    LOOM_FETCH_CUT, false },
+		    LOOM_FETCH_INTERRUPTED, false },
 		{ "truncated response", { ACTION_RESPOND, ACTION_TRUNCATE },
-		    LOOM_FETCH_CUT, true },
+		    LOOM_FETCH_INTERRUPTED, true },
 	};
 	struct loom_fetcher *fetcher;
 	struct tevent_context *ev;
@@ -214,15 +214,16 @@
 		ev = tevent_context_init(NULL);
 		fetcher = loom_fetcher_new(ev, ev, loom_sockets_new(ev, ev));
 		fetch(fetcher, ev, server.port, &outcome);
-		TEST_CHECK(outcome.end.result == LOOM_FETCH_WHOLE,
+		TEST_CHECK(outcome.end.result == LOOM_FETCH_COMPLETE,
 		    "%s: first request", cases[i].name);
 		fetch(fetcher, ev, server.port, &outcome);
 		TEST_CHECK(outcome.end.result == cases[i].second &&
 			outcome.end.sent &&
-			outcome.end.answered == cases[i].headers_received,
+			outcome.end.headers_received ==
+			    cases[i].headers_received,
 		    "%s: %d sent %d answered %d: %s", cases[i].name,
-		    outcome.end.result, outcome.end.sent, outcome.end.answered,
-		    outcome.end.reason);
+		    outcome.end.result, outcome.end.sent,
+		    outcome.end.headers_received, outcome.end.reason);
 		TEST_CHECK(atomic_load(&server.requests) == 2,
 		    "%s: the upstream got %u requests", cases[i].name,
 		    atomic_load(&server.requests));
@@ -249,7 +250,7 @@
 	ev = tevent_context_init(NULL);
 	fetcher = loom_fetcher_new(ev, ev, loom_sockets_new(ev, ev));
 	fetch(fetcher, ev, port, &outcome);
-	CU_ASSERT_EQUAL(outcome.end.result, LOOM_FETCH_CONNECT);
+	CU_ASSERT_EQUAL(outcome.end.result, LOOM_FETCH_CONNECT_FAILED);
 	CU_ASSERT_FALSE(outcome.end.sent);
 	TALLOC_FREE(fetcher);
 	talloc_free(ev);
@@ -301,8 +302,8 @@
 	ev = tevent_context_init(NULL);
 	fetcher = loom_fetcher_new(ev, ev, loom_sockets_new(ev, ev));
 	fetch(fetcher, ev, port, &outcome);
-	TEST_CHECK(
-	    outcome.end.result == LOOM_FETCH_CONNECT && !outcome.end.sent,
+	TEST_CHECK(outcome.end.result == LOOM_FETCH_CONNECT_FAILED &&
+		!outcome.end.sent,
 	    "%d sent %d: %s", outcome.end.result, outcome.end.sent,
 	    outcome.end.reason);
 	TALLOC_FREE(fetcher);
@@ -350,7 +351,7 @@
 	loom_fetch_cancel(hanging);
 	for (i = 0; i < 2; i++) {
 		fetch(fetcher, ev, server.port, &outcome);
-		TEST_CHECK(outcome.end.result == LOOM_FETCH_WHOLE,
+		TEST_CHECK(outcome.end.result == LOOM_FETCH_COMPLETE,
 		    "request %u: %d, %s", i, outcome.end.result,
 		    outcome.end.reason);
 	}
--- a/tests/support/leg.c
+++ b/tests/support/leg.c
@@ -188,13 +188,13 @@
 }
 
 static void
-request_done(void *arg, const struct loom_fetch_end *end)
+request_done(void *arg, const struct loom_fetch_outcome *end)
 {
 	struct client_request *request = arg;
 	struct client *client = request->client;
 
 	client->ended++;
-	client->failed += end->result != LOOM_FETCH_WHOLE;
+	client->failed += end->result != LOOM_FETCH_COMPLETE;
 	if (client->started < client->target)
 		start_request(request);
 }
