--- a/programs/loom-load.c
+++ b/programs/loom-load.c
@@ -42,7 +42,7 @@
 
 	if (!load_run(settings, results, &error) ||
 	    (ledgers->count > 0 &&
-		!load_results_check(results, ledgers->filename,
+		!load_results_check_ledgers(results, ledgers->filename,
 		    (uint32_t)ledgers->count, &error))) {
 		fprintf(
 		    stderr, "loom-load: %d: %s\n", error->code, error->message);
@@ -66,7 +66,8 @@
 	struct load_settings settings;
 	int status = EXIT_FAILURE;
 
-	if (!loom_settings_load(file, load_fields, &settings, &problems)) {
+	if (!loom_settings_load(
+		file, load_settings_fields, &settings, &problems)) {
 		loom_problems_print(problems);
 		return EXIT_FAILURE;
 	}
@@ -74,7 +75,7 @@
 		status = run_load(&settings, ledgers, json);
 	else
 		loom_problems_print(problems);
-	loom_fields_free(load_fields, &settings);
+	loom_fields_free(load_settings_fields, &settings);
 	return status;
 }
 
--- a/src/daemon/call.c
+++ b/src/daemon/call.c
@@ -62,7 +62,7 @@
 emit_call_span(const struct call *call)
 {
 	const struct loom_team *team = call_team(call);
-	struct span_facts facts = {
+	struct span_details facts = {
 		.name = call->route != NULL ? call->route->name : "-",
 		.team = "",
 		.kind = call->origin == CALL_ORIGIN_PEER ? SPAN_EXECUTOR
--- a/src/daemon/headers.c
+++ b/src/daemon/headers.c
@@ -159,7 +159,8 @@
 bool
 headers_are_traced(const struct call *call)
 {
-	return call->span.came || tracer_is_on(call->worker->daemon->tracer);
+	return call->span.has_remote_parent ||
+	    tracer_is_on(call->worker->daemon->tracer);
 }
 
 void
--- a/src/load/request.c
+++ b/src/load/request.c
@@ -9,7 +9,7 @@
 #include <string.h>
 
 #include "load/request.h"
-#include "load/step.h"
+#include "load/retry.h"
 #include "loom/clock.h"
 
 /* The timeout of an attempt is this much later than the deadline, because the
--- a/src/load/results.c
+++ b/src/load/results.c
@@ -175,8 +175,8 @@
 }
 
 bool
-load_results_check(struct load_results *results, const char *const *files,
-    uint32_t nfiles, GError **error)
+load_results_check_ledgers(struct load_results *results,
+    const char *const *files, uint32_t nfiles, GError **error)
 {
 	struct load_ledger *ledger = load_ledger_new();
 	GPtrArray *once = NULL;
--- a/src/load/results.h
+++ b/src/load/results.h
@@ -10,10 +10,10 @@
 #include <json-c/json.h>
 #include <stdio.h>
 
-#include "load/bucket.h"
 #include "load/latency.h"
 #include "load/ledger.h"
 #include "load/settings.h"
+#include "load/token_bucket.h"
 #include "loom/outcome.h"
 
 /* Counts of one team or one importance. */
@@ -91,7 +91,7 @@
     uint64_t took_us);
 
 /* Checks the claims against ledgers; fails with LOOM_FILE_UNREADABLE. */
-bool load_results_check(struct load_results *, const char *const *files,
+bool load_results_check_ledgers(struct load_results *, const char *const *files,
     uint32_t nfiles, GError **error);
 
 /*
--- a/src/load/step.c
+++ b/src/load/retry.c
@@ -2,7 +2,7 @@
  * Decides whether and how a caller retries, by the outcome of the attempt.
  */
 
-#include "load/step.h"
+#include "load/retry.h"
 
 /* Delay of a polite caller without Retry-After, and of an impatient caller. */
 #define POLITE_WAIT_US UINT64_C(100000)
--- a/src/load/step.h
+++ b/src/load/retry.h
@@ -1,5 +1,5 @@
-#ifndef LOOM_LOAD_STEP_H
-#define LOOM_LOAD_STEP_H
+#ifndef LOOM_LOAD_RETRY_H
+#define LOOM_LOAD_RETRY_H
 
 /*
  * Decides what a caller does after an attempt, by the rules of docs/CALLERS.md
--- a/src/load/run.h
+++ b/src/load/run.h
@@ -9,9 +9,9 @@
 #include "load/results.h"
 
 /*
- * Checks what load_fields cannot express: there is an entry, each team has a
- * route with a weight, and each surge names a team and ends after it begins.
- * Appends to problems.
+ * Checks what load_settings_fields cannot express: there is an entry, each team
+ * has a route with a weight, and each surge names a team and ends after it
+ * begins. Appends to problems.
  */
 bool load_settings_check(const struct load_settings *, const char *file,
     struct loom_problem **problems);
--- a/src/load/settings.c
+++ b/src/load/settings.c
@@ -90,7 +90,7 @@
 	{ .name = NULL },
 };
 
-const struct loom_field load_fields[] = {
+const struct loom_field load_settings_fields[] = {
 	NUMBER(struct load_settings, seed, 0, UINT32_MAX, 1),
 	NUMBER(struct load_settings, duration_ms, 1, MS_PER_DAY, 10000),
 	NUMBER(struct load_settings, requests, 0, 1e9, 0),
--- a/src/load/settings.h
+++ b/src/load/settings.h
@@ -62,7 +62,7 @@
 	char **once; /* "METHOD PATH" of inner calls that need a ticket */
 };
 
-extern const struct loom_field load_fields[];
+extern const struct loom_field load_settings_fields[];
 
 /* The name of an importance as in the manifest; borrowed, static. */
 const char *load_importance_name(uint32_t importance);
--- a/src/load/bucket.c
+++ b/src/load/token_bucket.c
@@ -1,4 +1,4 @@
-#include "load/bucket.h"
+#include "load/token_bucket.h"
 
 #define US_PER_S 1e6
 
--- a/src/load/bucket.h
+++ b/src/load/token_bucket.h
@@ -1,5 +1,5 @@
-#ifndef LOOM_LOAD_BUCKET_H
-#define LOOM_LOAD_BUCKET_H
+#ifndef LOOM_LOAD_TOKEN_BUCKET_H
+#define LOOM_LOAD_TOKEN_BUCKET_H
 
 /*
  * Token bucket that serves as the reference for a team's granted rate.  It is
--- a/src/trace/export.c
+++ b/src/trace/export.c
@@ -87,7 +87,7 @@
 }
 
 static struct json_object *
-build_attributes(const struct span *span, const struct span_facts *facts,
+build_attributes(const struct span *span, const struct span_details *facts,
     const struct loom_self *self)
 {
 	static const char *const kinds[SPAN_KINDS] = {
@@ -115,7 +115,7 @@
 }
 
 struct json_object *
-span_json(const struct span *span, const struct span_facts *facts,
+span_json(const struct span *span, const struct span_details *facts,
     const struct loom_self *self)
 {
 	struct json_object *object = json_object_new_object();
@@ -165,7 +165,7 @@
 
 void
 tracer_emit(struct tracer *tracer, const struct span *span,
-    const struct span_facts *facts)
+    const struct span_details *facts)
 {
 	if (tracer->to_log)
 		write_to_log(span_json(span, facts, tracer->self));
--- a/src/trace/export.h
+++ b/src/trace/export.h
@@ -26,7 +26,7 @@
 };
 
 /* Data exported with a span but not stored in it; strings are borrowed. */
-struct span_facts {
+struct span_details {
 	const char *name; /* of the route; "-" when none matched */
 	const char *team; /* "" when unknown */
 	enum span_kind kind;
@@ -46,10 +46,10 @@
 
 /* Logs one span or queues it for the collector.  Thread-safe. */
 void tracer_emit(
-    struct tracer *, const struct span *, const struct span_facts *);
+    struct tracer *, const struct span *, const struct span_details *);
 
 /* Encodes one span as OTLP JSON; owned by the caller. */
 struct json_object *span_json(
-    const struct span *, const struct span_facts *, const struct loom_self *);
+    const struct span *, const struct span_details *, const struct loom_self *);
 
 #endif
--- a/src/trace/span.c
+++ b/src/trace/span.c
@@ -49,9 +49,9 @@
 span_begin(struct span *span, const char *traceparent, uint64_t now_us)
 {
 	memset(span, 0, sizeof(*span));
-	span->came =
+	span->has_remote_parent =
 	    traceparent != NULL && parse_traceparent(span, traceparent);
-	if (!span->came) {
+	if (!span->has_remote_parent) {
 		memset(span->parent_id, 0, sizeof(span->parent_id));
 		loom_random_bytes(span->trace_id, sizeof(span->trace_id));
 	}
--- a/src/trace/span.h
+++ b/src/trace/span.h
@@ -21,7 +21,7 @@
 	uint8_t trace_id[SPAN_TRACE_ID_SIZE];
 	uint8_t span_id[SPAN_ID_SIZE];
 	uint8_t parent_id[SPAN_ID_SIZE]; /* zeros for a root span */
-	bool came; /* the trace was started by the caller */
+	bool has_remote_parent; /* the trace was started by the caller */
 	uint64_t start_wall_ns;
 	uint64_t start_us;
 	uint64_t queue_us; /* time spent waiting for admission */
--- a/tests/load/test_load.c
+++ b/tests/load/test_load.c
@@ -6,12 +6,12 @@
 #include <string.h>
 
 #include "load/arrivals.h"
-#include "load/bucket.h"
 #include "load/latency.h"
 #include "load/ledger.h"
 #include "load/results.h"
+#include "load/retry.h"
 #include "load/run.h"
-#include "load/step.h"
+#include "load/token_bucket.h"
 #include "support/test.h"
 
 #define US_PER_S 1000000
@@ -355,8 +355,8 @@
 	char *text = g_strdup_printf(settings_text, team, until_ms);
 	bool ok;
 
-	ok = loom_settings_parse(
-		 text, strlen(text), "test", load_fields, out, &problems) &&
+	ok = loom_settings_parse(text, strlen(text), "test",
+		 load_settings_fields, out, &problems) &&
 	    load_settings_check(out, "test", &problems);
 	loom_problems_free(problems);
 	g_free(text);
@@ -382,7 +382,7 @@
 		TEST_CHECK(read_settings(cases[i].team, cases[i].until_ms,
 			       &settings) == cases[i].ok,
 		    "case %u", i);
-		loom_fields_free(load_fields, &settings);
+		loom_fields_free(load_settings_fields, &settings);
 	}
 }
 
@@ -403,11 +403,11 @@
 	if (end != NULL) {
 		start += strlen(fence);
 		ok = loom_settings_parse(start, (size_t)(end - start),
-		    "docs/LOAD.md", load_fields, &settings, &problems);
+		    "docs/LOAD.md", load_settings_fields, &settings, &problems);
 	}
 	if (ok) {
 		ok = load_settings_check(&settings, "docs/LOAD.md", &problems);
-		loom_fields_free(load_fields, &settings);
+		loom_fields_free(load_settings_fields, &settings);
 	}
 	text = loom_problems_text(problems);
 	TEST_CHECK(ok, "%s", text);
@@ -472,7 +472,7 @@
 		    "case %u: %d", i, (int)load_results_recovery_ms(results));
 		load_results_free(results);
 	}
-	loom_fields_free(load_fields, &settings);
+	loom_fields_free(load_settings_fields, &settings);
 }
 
 /* A refusal because of the team's rate is wrongful if the reference bucket had
@@ -498,7 +498,7 @@
 	TEST_CHECK(results->teams[0].within == 2, "within");
 	TEST_CHECK(results->teams[0].wrongful == 1, "wrongful");
 	load_results_free(results);
-	loom_fields_free(load_fields, &settings);
+	loom_fields_free(load_settings_fields, &settings);
 }
 
 static const struct test_case tests[] = {
--- a/tests/trace/test_tree.c
+++ b/tests/trace/test_tree.c
@@ -198,7 +198,7 @@
 		{ 0, LOOM_OVERLOAD, LOOM_OUTCOME_NOT_RUN,
 		    "code 2101 not-run\n" },
 	};
-	const struct span_facts facts = { .name = "order.create",
+	const struct span_details facts = { .name = "order.create",
 		.team = "crew",
 		.kind = SPAN_EXECUTOR,
 		.end_us = 5250 };
