--- a/include/loom/platform.h
+++ b/include/loom/platform.h
@@ -36,24 +36,24 @@
 /* Callbacks to the owner. Each may be NULL; none may free the reader. */
 struct loom_platform_events {
 	/* A value changed, or was read for the first time. */
-	void (*value)(void *arg, const struct loom_platform_value *);
+	void (*on_value)(void *arg, const struct loom_platform_value *);
 	/*
 	 * A reading is complete and all its values were delivered. sent_us is
 	 * the start of its first call.
 	 */
-	void (*answered)(void *arg, uint64_t sent_us);
+	void (*on_reading_complete)(void *arg, uint64_t sent_us);
 	/* A call failed. error is borrowed. */
-	void (*failed)(void *arg, const GError *error);
+	void (*on_failure)(void *arg, const GError *error);
 };
 
 /* A call, built by the source. */
-struct loom_platform_call {
+struct loom_platform_request {
 	char *path; /* path and query; owned, freed with g_free() */
 	uint32_t wait_ms; /* the platform may hold the response this long */
 };
 
 /* A response, passed to the source for parsing. */
-struct loom_platform_answer {
+struct loom_platform_response {
 	unsigned status; /* HTTP status */
 	const char *text; /* borrowed */
 	size_t len; /* bytes at text */
@@ -63,13 +63,13 @@
 };
 
 /* Tells the reader how to continue after a response. */
-enum loom_platform_next {
+enum loom_platform_read_result {
 	LOOM_PLATFORM_FAILED, /* malformed or error response; error is set */
 	LOOM_PLATFORM_MORE, /* partial result; make the next call at once */
-	LOOM_PLATFORM_WHOLE, /* complete result; the reading is done */
+	LOOM_PLATFORM_COMPLETE, /* complete result; the reading is done */
 };
 
-typedef void (*loom_platform_take)(
+typedef void (*loom_platform_value_fn)(
     void *arg, const struct loom_platform_value *);
 
 /*
@@ -88,15 +88,16 @@
 	 * options.source_arg, borrowed. NULL when out of memory.
 	 */
 	void *(*open)(TALLOC_CTX *mem_ctx, const char *prefix, void *arg);
-	/* Builds the next call, which may wait up to wait_ms for a change. */
-	void (*call)(
-	    void *state, uint32_t wait_ms, struct loom_platform_call *);
+	/* Builds the next build_call, which may wait up to wait_ms for a
+	 * change. */
+	void (*build_call)(
+	    void *state, uint32_t wait_ms, struct loom_platform_request *);
 	/*
 	 * Parses a response and calls take for each changed value, only after
 	 * the response as a whole was validated.
 	 */
-	enum loom_platform_next (*answer)(void *state,
-	    const struct loom_platform_answer *, loom_platform_take take,
+	enum loom_platform_read_result (*handle_response)(void *state,
+	    const struct loom_platform_response *, loom_platform_value_fn take,
 	    void *arg, GError **error);
 };
 
@@ -119,7 +120,8 @@
 /*
  * Creates a reader owned by mem_ctx, or returns NULL when out of memory. The
  * multi handle, events and arg are borrowed and must outlive it. It makes no
- * call until loom_platform_fetch() or loom_platform_watch() is called.
+ * call until loom_platform_reader_fetch() or
+ * loom_platform_reader_set_watching() is called.
  */
 struct loom_platform_reader *loom_platform_reader_new(TALLOC_CTX *mem_ctx,
     struct tevent_context *, struct loom_multi *,
@@ -130,14 +132,14 @@
  * Reads once without waiting for a change. Does nothing if a call is running or
  * scheduled. A failed fetch is not retried.
  */
-void loom_platform_fetch(struct loom_platform_reader *);
+void loom_platform_reader_fetch(struct loom_platform_reader *);
 
 /*
  * Starts or stops watching the prefix. The first call reads without waiting for
  * a change. Failed calls are retried after a backoff. Stopping cancels a
  * running call.
  */
-void loom_platform_watch(struct loom_platform_reader *, bool on);
+void loom_platform_reader_set_watching(struct loom_platform_reader *, bool on);
 
 /*
  * Parses a response of the product's own platform API. Calls value for each
@@ -145,7 +147,7 @@
  * platform's revision in *revision. Returns false with LOOM_PLATFORM_ANSWER if
  * the response is malformed.
  */
-bool loom_platform_answer(const char *text, size_t len, const char *prefix,
+bool loom_platform_response(const char *text, size_t len, const char *prefix,
     void (*value)(void *arg, const struct loom_platform_value *), void *arg,
     uint64_t *revision, GError **error);
 
--- a/src/control/spread_config.c
+++ b/src/control/spread_config.c
@@ -204,7 +204,8 @@
 	unsigned i;
 
 	for (i = 0; i < config->nreaders; i++)
-		loom_platform_watch(config->readers[i].reader, on);
+		loom_platform_reader_set_watching(
+		    config->readers[i].reader, on);
 }
 
 static void
@@ -214,7 +215,7 @@
 	unsigned i;
 
 	for (i = 0; i < config->nreaders; i++)
-		loom_platform_fetch(config->readers[i].reader);
+		loom_platform_reader_fetch(config->readers[i].reader);
 }
 
 static const struct loom_spread_ops spread_ops = {
@@ -246,8 +247,8 @@
 }
 
 static const struct loom_platform_events reader_events = {
-	.value = on_value,
-	.answered = on_answered,
+	.on_value = on_value,
+	.on_reading_complete = on_answered,
 };
 
 static bool
--- a/src/platform/reader.c
+++ b/src/platform/reader.c
@@ -105,15 +105,15 @@
 {
 	struct loom_platform_reader *reader = arg;
 
-	if (reader->events->value != NULL)
-		reader->events->value(reader->arg, value);
+	if (reader->events->on_value != NULL)
+		reader->events->on_value(reader->arg, value);
 }
 
-static enum loom_platform_next
+static enum loom_platform_read_result
 handle_response(
     struct loom_platform_reader *reader, CURLcode result, GError **error)
 {
-	struct loom_platform_answer response = {
+	struct loom_platform_response response = {
 		.text = reader->body->str,
 		.len = reader->body->len,
 		.failures = reader->failures,
@@ -128,7 +128,7 @@
 	curl_easy_getinfo(reader->easy, CURLINFO_RESPONSE_CODE, &status);
 	response.status = (unsigned)status;
 	loom_counter_add(reader->bytes, (int64_t)response.len);
-	return reader->options.source->answer(
+	return reader->options.source->handle_response(
 	    reader->state, &response, deliver_value, reader, error);
 }
 
@@ -161,7 +161,7 @@
 on_transfer_done(void *arg, CURL *easy, CURLcode result)
 {
 	struct loom_platform_reader *reader = arg;
-	enum loom_platform_next next;
+	enum loom_platform_read_result next;
 	GError *error = NULL;
 
 	(void)easy;
@@ -171,14 +171,14 @@
 		send_call(reader);
 		return;
 	}
-	if (next == LOOM_PLATFORM_WHOLE) {
+	if (next == LOOM_PLATFORM_COMPLETE) {
 		if (reader->failures > 0)
 			write_event(reader, "regained", NULL);
 		reader->failures = 0;
 		if (reader->watching)
 			schedule_reading(reader);
-		if (reader->events->answered != NULL)
-			reader->events->answered(
+		if (reader->events->on_reading_complete != NULL)
+			reader->events->on_reading_complete(
 			    reader->arg, reader->reading_started_us);
 		return;
 	}
@@ -189,8 +189,8 @@
 	    "%s: %s", prefix_label(reader), error->message);
 	if (reader->watching)
 		schedule_reading(reader);
-	if (reader->events->failed != NULL)
-		reader->events->failed(reader->arg, error);
+	if (reader->events->on_failure != NULL)
+		reader->events->on_failure(reader->arg, error);
 	g_error_free(error);
 }
 
@@ -209,14 +209,14 @@
 static void
 send_call(struct loom_platform_reader *reader)
 {
-	struct loom_platform_call call = { .path = NULL };
+	struct loom_platform_request call = { .path = NULL };
 	uint32_t wait_ms = 0;
 	char *url;
 
 	if (reader->watching)
 		wait_ms =
 		    loom_poll_wait_ms(&reader->options.pace, reader->failures);
-	reader->options.source->call(reader->state, wait_ms, &call);
+	reader->options.source->build_call(reader->state, wait_ms, &call);
 	url = g_strconcat(reader->options.url, call.path, NULL);
 	g_free(call.path);
 	curl_easy_setopt(reader->easy, CURLOPT_URL, url);
@@ -235,20 +235,20 @@
 }
 
 void
-loom_platform_fetch(struct loom_platform_reader *reader)
+loom_platform_reader_fetch(struct loom_platform_reader *reader)
 {
 	if (!reader->in_flight && reader->call_timer == NULL)
 		start_reading(reader);
 }
 
 void
-loom_platform_watch(struct loom_platform_reader *reader, bool on)
+loom_platform_reader_set_watching(struct loom_platform_reader *reader, bool on)
 {
 	if (reader->watching == on)
 		return;
 	reader->watching = on;
 	if (on) {
-		loom_platform_fetch(reader);
+		loom_platform_reader_fetch(reader);
 		return;
 	}
 	TALLOC_FREE(reader->call_timer);
--- a/src/platform/answer.c
+++ b/src/platform/values.c
@@ -77,7 +77,7 @@
 }
 
 bool
-loom_platform_answer(const char *text, size_t len, const char *prefix,
+loom_platform_response(const char *text, size_t len, const char *prefix,
     void (*value)(void *arg, const struct loom_platform_value *), void *arg,
     uint64_t *revision, GError **error)
 {
@@ -140,7 +140,8 @@
  * response at once even when no value exists under the prefix.
  */
 static void
-values_build_call(void *arg, uint32_t wait_ms, struct loom_platform_call *call)
+values_build_call(
+    void *arg, uint32_t wait_ms, struct loom_platform_request *call)
 {
 	struct values_state *state = arg;
 	char *prefix = curl_easy_escape(NULL, state->prefix, 0);
@@ -152,9 +153,9 @@
 	curl_free(prefix);
 }
 
-static enum loom_platform_next
-values_handle_response(void *arg, const struct loom_platform_answer *response,
-    loom_platform_take deliver, void *deliver_arg, GError **error)
+static enum loom_platform_read_result
+values_handle_response(void *arg, const struct loom_platform_response *response,
+    loom_platform_value_fn deliver, void *deliver_arg, GError **error)
 {
 	struct values_state *state = arg;
 	uint64_t revision;
@@ -164,8 +165,8 @@
 		    error, LOOM_PLATFORM_STATUS, "status %u", response->status);
 		return LOOM_PLATFORM_FAILED;
 	}
-	if (!loom_platform_answer(response->text, response->len, state->prefix,
-		deliver, deliver_arg, &revision, error))
+	if (!loom_platform_response(response->text, response->len,
+		state->prefix, deliver, deliver_arg, &revision, error))
 		return LOOM_PLATFORM_FAILED;
 	/*
 	 * The revision decreases when the platform serves a stale copy or was
@@ -177,11 +178,11 @@
 		loom_counter_add(state->revision_decreases, 1);
 	state->last_revision = revision;
 	state->has_response = true;
-	return LOOM_PLATFORM_WHOLE;
+	return LOOM_PLATFORM_COMPLETE;
 }
 
 const struct loom_platform_source loom_platform_values = {
 	.open = values_open,
-	.call = values_build_call,
-	.answer = values_handle_response,
+	.build_call = values_build_call,
+	.handle_response = values_handle_response,
 };
--- a/tests/adapter/test_adapter.c
+++ b/tests/adapter/test_adapter.c
@@ -254,7 +254,7 @@
 	} items[3];
 	bool has_more;
 	unsigned current;
-	enum loom_platform_next next;
+	enum loom_platform_read_result next;
 	const char *next_call; /* substring of the next call's path */
 	const char *service; /* whose host list is checked; or NULL */
 	const char *hosts_contain; /* substring of that list */
@@ -270,25 +270,25 @@
 	    true, 10, LOOM_PLATFORM_MORE, "/kv-range?prefix=&after=servers/i-1",
 	    NULL, NULL },
 	{ "last page", 200, "items", NULL, { { "servers/i-2", S1_SECOND, 4 } },
-	    false, 12, LOOM_PLATFORM_WHOLE, "/kv-watch?prefix=&after=10&", "s1",
-	    "\"i-2\"" },
+	    false, 12, LOOM_PLATFORM_COMPLETE, "/kv-watch?prefix=&after=10&",
+	    "s1", "\"i-2\"" },
 	{ "no changes", 200, "events", NULL, { { NULL, NULL, 0 } }, false, 12,
-	    LOOM_PLATFORM_WHOLE, "after=12&", "s1", "\"i-1\"" },
+	    LOOM_PLATFORM_COMPLETE, "after=12&", "s1", "\"i-1\"" },
 	{ "an upstream drains", 200, "events", NULL,
 	    { { "servers/i-1", S1_DRAINING, 13 } }, false, 13,
-	    LOOM_PLATFORM_WHOLE, "after=13&", "s1", "\"leaving\"" },
+	    LOOM_PLATFORM_COMPLETE, "after=13&", "s1", "\"leaving\"" },
 	{ "its IP is reassigned to another service", 200, "events", NULL,
 	    { { "servers/i-9", S2_REUSES_IP, 14 } }, false, 14,
-	    LOOM_PLATFORM_WHOLE, "after=14&", "s2", "s2/10.0.0.1" },
+	    LOOM_PLATFORM_COMPLETE, "after=14&", "s2", "s2/10.0.0.1" },
 	{ "the previous service loses the IP", 200, "events", NULL,
-	    { { NULL, NULL, 0 } }, false, 14, LOOM_PLATFORM_WHOLE, "after=14&",
-	    "s1", "[{\"name\":\"s1/10.0.0.2\"" },
+	    { { NULL, NULL, 0 } }, false, 14, LOOM_PLATFORM_COMPLETE,
+	    "after=14&", "s1", "[{\"name\":\"s1/10.0.0.2\"" },
 	{ "a malformed entry", 200, "events", NULL,
-	    { { "servers/odd", "\x01", 15 } }, false, 15, LOOM_PLATFORM_WHOLE,
-	    "after=15&", "s1", "i-2" },
+	    { { "servers/odd", "\x01", 15 } }, false, 15,
+	    LOOM_PLATFORM_COMPLETE, "after=15&", "s1", "i-2" },
 	{ "a configuration among the events", 200, "events", NULL,
 	    { { "op/config", valid_config, 15 }, { "op/other", "x", 15 } },
-	    false, 15, LOOM_PLATFORM_WHOLE, "after=15&", "s1", "i-2" },
+	    false, 15, LOOM_PLATFORM_COMPLETE, "after=15&", "s1", "i-2" },
 	{ "the revision decreases", 200, "events", NULL, { { NULL, NULL, 0 } },
 	    false, 4, LOOM_PLATFORM_FAILED, "after=15&", "s1", "i-2" },
 	{ "unavailable", 503, NULL, "", { { NULL, NULL, 0 } }, false, 0,
@@ -301,9 +301,9 @@
 	    false, 0, LOOM_PLATFORM_MORE, "/kv-range?prefix=", "s1", "i-2" },
 	{ "an upstream is missing in the new scan", 200, "items", NULL,
 	    { { "servers/i-9", S2_REUSES_IP, 14 } }, false, 30,
-	    LOOM_PLATFORM_WHOLE, "after=30&", "s1", "[]" },
+	    LOOM_PLATFORM_COMPLETE, "after=30&", "s1", "[]" },
 	{ "gone", 200, "events", NULL, { { "servers/i-9", NULL, 31 } }, false,
-	    31, LOOM_PLATFORM_WHOLE, "after=31&", "s2", "[]" },
+	    31, LOOM_PLATFORM_COMPLETE, "after=31&", "s2", "[]" },
 };
 
 static char *
@@ -346,9 +346,9 @@
 		    g_str_hash, g_str_equal, g_free, g_free),
 	};
 	void *state = adapter_source.open(NULL, "", &fleet);
-	struct loom_platform_answer response;
-	struct loom_platform_call call;
-	enum loom_platform_next next;
+	struct loom_platform_response response;
+	struct loom_platform_request call;
+	enum loom_platform_read_result next;
 	GError *error;
 	const char *hosts;
 	char *text, *name;
@@ -356,21 +356,21 @@
 
 	for (i = 0; i < G_N_ELEMENTS(steps); i++) {
 		text = build_response(&steps[i]);
-		response = (struct loom_platform_answer){
+		response = (struct loom_platform_response){
 			.status = steps[i].status,
 			.text = text,
 			.len = strlen(text),
 		};
 		error = NULL;
-		next = adapter_source.answer(
+		next = adapter_source.handle_response(
 		    state, &response, on_value, &published, &error);
 		TEST_CHECK(
 		    next == steps[i].next, "%s: %d", steps[i].name, (int)next);
 		TEST_CHECK((error != NULL) == (next == LOOM_PLATFORM_FAILED),
 		    "%s", steps[i].name);
 		g_clear_error(&error);
-		call = (struct loom_platform_call){ .path = NULL };
-		adapter_source.call(state, 500, &call);
+		call = (struct loom_platform_request){ .path = NULL };
+		adapter_source.build_call(state, 500, &call);
 		TEST_CHECK(strstr(call.path, steps[i].next_call) != NULL,
 		    "%s: %s", steps[i].name, call.path);
 		g_free(call.path);
--- a/tests/platform/test_reader.c
+++ b/tests/platform/test_reader.c
@@ -53,9 +53,9 @@
 }
 
 static const struct loom_platform_events events = {
-	.value = on_value,
-	.answered = on_reading_complete,
-	.failed = on_failed,
+	.on_value = on_value,
+	.on_reading_complete = on_reading_complete,
+	.on_failure = on_failed,
 };
 
 static void
@@ -120,7 +120,7 @@
 	setup(&f);
 	put(&f, "one");
 	call(&f, "PUT", "/test/values/other", "outside the prefix");
-	loom_platform_fetch(f.reader);
+	loom_platform_reader_fetch(f.reader);
 	WAIT(&f, f.responses == 1);
 	CU_ASSERT_EQUAL(f.values, 1);
 	CU_ASSERT_STRING_EQUAL(f.text, "one");
@@ -133,7 +133,7 @@
 	struct fixture f;
 
 	setup(&f);
-	loom_platform_watch(f.reader, true);
+	loom_platform_reader_set_watching(f.reader, true);
 	WAIT(&f, f.responses == 1);
 	CU_ASSERT_EQUAL(f.values, 0);
 	put(&f, "one");
@@ -166,7 +166,7 @@
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
 		setup(&f);
 		put(&f, "one");
-		loom_platform_watch(f.reader, true);
+		loom_platform_reader_set_watching(f.reader, true);
 		WAIT(&f, f.values == 1);
 		call(&f, "POST", cases[i].path, "");
 		WAIT(&f, f.failures >= 2);
@@ -193,7 +193,7 @@
 
 	setup_with_timing(&f, wait_ms, 100);
 	put(&f, "before");
-	loom_platform_watch(f.reader, true);
+	loom_platform_reader_set_watching(f.reader, true);
 	WAIT(&f, strcmp(f.text, "before") == 0);
 	call(&f, "POST", "/test/fault?mode=down", "");
 	WAIT(&f, f.failures > 0);
@@ -218,7 +218,7 @@
 
 	setup(&f);
 	put(&f, "one");
-	loom_platform_watch(f.reader, true);
+	loom_platform_reader_set_watching(f.reader, true);
 	WAIT(&f, f.values == 1);
 	call(&f, "POST", "/test/fault?mode=stale", "");
 	put(&f, "two");
@@ -247,7 +247,7 @@
 	call(&f, "POST", "/test/fault?mode=stale", "");
 	call(&f, "PUT", "/test/values/manifest/b", "later");
 	call(&f, "PUT", "/test/values/manifest/b", "later");
-	loom_platform_watch(f.reader, true);
+	loom_platform_reader_set_watching(f.reader, true);
 	WAIT(&f, f.values == 1);
 	call(&f, "POST", "/test/fault?mode=none", "");
 	WAIT(&f, f.values == 2 && f.revision == 3);
@@ -274,7 +274,7 @@
 	uint64_t revision;
 
 	setup(&f);
-	loom_platform_watch(f.reader, true);
+	loom_platform_reader_set_watching(f.reader, true);
 	put(&f, "v2 by one");
 	put(&f, "v2 by two");
 	WAIT(&f, strcmp(f.text, "v2 by two") == 0);
@@ -292,9 +292,9 @@
 	char *calls;
 
 	setup(&f);
-	loom_platform_watch(f.reader, true);
+	loom_platform_reader_set_watching(f.reader, true);
 	WAIT(&f, f.responses == 1);
-	loom_platform_watch(f.reader, false);
+	loom_platform_reader_set_watching(f.reader, false);
 	put(&f, "one");
 	CU_ASSERT_EQUAL(tevent_loop_wait(f.ev), 0); /* no event is left */
 	CU_ASSERT_EQUAL(f.values, 0);
@@ -353,8 +353,9 @@
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
 		values = 0;
 		error = NULL;
-		ok = loom_platform_answer(cases[i].text, strlen(cases[i].text),
-		    "m/", count_value, &values, &revision, &error);
+		ok =
+		    loom_platform_response(cases[i].text, strlen(cases[i].text),
+			"m/", count_value, &values, &revision, &error);
 		TEST_CHECK(ok == cases[i].ok, "%s", cases[i].text);
 		TEST_CHECK(values == cases[i].values, "%s", cases[i].text);
 		TEST_CHECK(ok || error->code == LOOM_PLATFORM_ANSWER, "%s",
