--- a/include/loom/buffer.h
+++ b/include/loom/buffer.h
@@ -16,7 +16,7 @@
 	size_t start; /* first byte not yet consumed */
 	size_t end;
 	size_t capacity;
-	bool keep; /* keeps consumed bytes for loom_buffer_rewind() */
+	bool keep_consumed; /* keeps consumed bytes for loom_buffer_rewind() */
 };
 
 /*
--- a/include/loom/fields.h
+++ b/include/loom/fields.h
@@ -51,7 +51,7 @@
 	 * offset of a bool that is set to whether the field is present in the
 	 * text; 0 if not needed
 	 */
-	size_t seen_offset;
+	size_t present_offset;
 	/* numbers: inclusive bounds; unbounded if both are 0 */
 	double min;
 	double max;
--- a/include/loom/result.h
+++ b/include/loom/result.h
@@ -58,9 +58,9 @@
 /*
  * Sets *error, unless error is NULL or already set, to a code and a formatted
  * message.  Always returns false, so that a failing function can end with
- * "return loom_fail(...)".
+ * "return loom_set_error(...)".
  */
-bool loom_fail(GError **error, enum loom_result, const char *fmt, ...)
+bool loom_set_error(GError **error, enum loom_result, const char *fmt, ...)
     G_GNUC_PRINTF(3, 4);
 
 #endif
--- a/programs/loom-manifest.c
+++ b/programs/loom-manifest.c
@@ -78,7 +78,7 @@
 
 	if (g_file_get_contents(file, text, len, &cause))
 		return true;
-	loom_fail(&error, LOOM_FILE_UNREADABLE, "%s", cause->message);
+	loom_set_error(&error, LOOM_FILE_UNREADABLE, "%s", cause->message);
 	g_error_free(cause);
 	print_error(file, error);
 	return false;
--- a/src/base/buffer.c
+++ b/src/base/buffer.c
@@ -20,7 +20,7 @@
 static void
 compact(struct loom_buffer *buffer)
 {
-	if (buffer->keep || buffer->start == 0 ||
+	if (buffer->keep_consumed || buffer->start == 0 ||
 	    buffer->start < buffer->capacity / 2)
 		return;
 	memmove(buffer->data, buffer->data + buffer->start,
@@ -77,7 +77,7 @@
 loom_buffer_consume(struct loom_buffer *buffer, size_t len)
 {
 	buffer->start += len;
-	if (buffer->start == buffer->end && !buffer->keep)
+	if (buffer->start == buffer->end && !buffer->keep_consumed)
 		buffer->start = buffer->end = 0;
 }
 
--- a/src/base/fields.c
+++ b/src/base/fields.c
@@ -84,8 +84,8 @@
 
 	for (field = fields; field->name != NULL; field++) {
 		set_default(field, member_of(field, out));
-		if (field->seen_offset != 0)
-			*(bool *)((char *)out + field->seen_offset) = false;
+		if (field->present_offset != 0)
+			*(bool *)((char *)out + field->present_offset) = false;
 	}
 }
 
@@ -162,8 +162,8 @@
 		if (field == NULL) {
 			report_unknown(context, fields, name);
 		} else {
-			if (field->seen_offset != 0)
-				*(bool *)((char *)out + field->seen_offset) =
+			if (field->present_offset != 0)
+				*(bool *)((char *)out + field->present_offset) =
 				    true;
 			field_read(context, field,
 			    json_object_iter_peek_value(&iter),
--- a/src/base/json.c
+++ b/src/base/json.c
@@ -85,13 +85,14 @@
 	gsize len;
 
 	if (!g_file_get_contents(file, &text, &len, &cause)) {
-		loom_fail(error, LOOM_FILE_UNREADABLE, "%s", cause->message);
+		loom_set_error(
+		    error, LOOM_FILE_UNREADABLE, "%s", cause->message);
 		g_error_free(cause);
 		return NULL;
 	}
 	object = loom_json_parse(text, len, &line, &message);
 	if (object == NULL)
-		loom_fail(
+		loom_set_error(
 		    error, LOOM_JSON_SYNTAX, "%s:%u: %s", file, line, message);
 	g_free(text);
 	return object;
--- a/src/base/result.c
+++ b/src/base/result.c
@@ -62,7 +62,7 @@
 }
 
 bool
-loom_fail(GError **error, enum loom_result code, const char *fmt, ...)
+loom_set_error(GError **error, enum loom_result code, const char *fmt, ...)
 {
 	va_list ap;
 
--- a/src/control/control_thread.c
+++ b/src/control/control_thread.c
@@ -253,7 +253,7 @@
 	struct loom_control *control = talloc_zero(NULL, struct loom_control);
 
 	if (control == NULL) {
-		loom_fail(error, LOOM_NO_MEMORY, "control thread");
+		loom_set_error(error, LOOM_NO_MEMORY, "control thread");
 		return NULL;
 	}
 	control->self = options->inner.self;
@@ -263,7 +263,7 @@
 	if (control->ev != NULL)
 		control->mailbox = loom_mailbox_new(control, control->ev);
 	if (control->resolver == NULL || control->mailbox == NULL) {
-		loom_fail(error, LOOM_NO_MEMORY, "control thread");
+		loom_set_error(error, LOOM_NO_MEMORY, "control thread");
 		goto error;
 	}
 	control->inner = loom_inner_new(
--- a/src/control/spread_config.c
+++ b/src/control/spread_config.c
@@ -49,7 +49,7 @@
 	char *text = loom_problems_text(problems);
 
 	loom_problems_free(problems);
-	loom_fail(error, LOOM_MANIFEST_SYNTAX, "%s: %s", name, text);
+	loom_set_error(error, LOOM_MANIFEST_SYNTAX, "%s: %s", name, text);
 	g_free(text);
 	return false;
 }
@@ -80,7 +80,7 @@
 	if (document == NULL)
 		return reject_document(name, problems, error);
 	if (strcmp(loom_document_name(document), own_name) != 0) {
-		loom_fail(error, LOOM_MANIFEST_SIGNATURE,
+		loom_set_error(error, LOOM_MANIFEST_SIGNATURE,
 		    "the document stored as %s is named %s", name,
 		    loom_document_name(document));
 		loom_document_release(document);
--- a/src/daemon/call.c
+++ b/src/daemon/call.c
@@ -223,7 +223,7 @@
 	} else if (call->body_length > 0 &&
 	    call->body_length <= CALL_BUFFER_MAX) {
 		call->body_buffered = true;
-		call->body.keep = true;
+		call->body.keep_consumed = true;
 		loom_exchange_resume_body(call->exchange);
 	} else {
 		dispatch_call(call);
--- a/src/daemon/config.c
+++ b/src/daemon/config.c
@@ -130,7 +130,7 @@
 	return config;
 
 error:
-	loom_fail(error, LOOM_START,
+	loom_set_error(error, LOOM_START,
 	    "distribution of manifest and host lists cannot start");
 	talloc_free(config);
 	return NULL;
--- a/src/daemon/run.c
+++ b/src/daemon/run.c
@@ -373,21 +373,21 @@
 	if (!start_control(daemon, error))
 		goto error;
 	if (daemon->ev == NULL || !create_components(daemon)) {
-		loom_fail(error, LOOM_START, "out of memory");
+		loom_set_error(error, LOOM_START, "out of memory");
 		goto error;
 	}
 	if (settings->crash_witnesses)
 		daemon->witnesses = witnesses_new(
 		    daemon, daemon->ev, &daemon->upstream_address);
 	if (settings->crash_witnesses && daemon->witnesses == NULL) {
-		loom_fail(error, LOOM_START, "out of memory");
+		loom_set_error(error, LOOM_START, "out of memory");
 		goto error;
 	}
 	handle_signals(daemon);
 	daemon->tracer =
 	    tracer_new(daemon, daemon->ev, &daemon->self, settings->trace);
 	if (daemon->tracer == NULL) {
-		loom_fail(error, LOOM_START, "the tracer cannot start");
+		loom_set_error(error, LOOM_START, "the tracer cannot start");
 		goto error;
 	}
 	daemon->config = config_new(daemon, error);
@@ -397,7 +397,8 @@
 	if (!start_workers(daemon, error))
 		goto error;
 	if (!loom_control_start(daemon->control)) {
-		loom_fail(error, LOOM_START, "the control thread cannot start");
+		loom_set_error(
+		    error, LOOM_START, "the control thread cannot start");
 		goto error;
 	}
 	return daemon;
--- a/src/daemon/worker.c
+++ b/src/daemon/worker.c
@@ -196,7 +196,7 @@
 	return worker;
 
 error:
-	loom_fail(error, LOOM_START, "worker %u cannot start", index);
+	loom_set_error(error, LOOM_START, "worker %u cannot start", index);
 	g_hash_table_destroy(worker->services);
 	g_hash_table_destroy(worker->peer_clocks);
 	g_hash_table_destroy(worker->issues);
--- a/src/http/get.c
+++ b/src/http/get.c
@@ -34,10 +34,11 @@
 	if (code == CURLE_OK && status == 200)
 		return g_string_free(body, FALSE);
 	if (code != CURLE_OK)
-		loom_fail(error, LOOM_HTTP_GET, "%s: %s", url,
+		loom_set_error(error, LOOM_HTTP_GET, "%s: %s", url,
 		    curl_easy_strerror(code));
 	else
-		loom_fail(error, LOOM_HTTP_GET, "%s: status %ld", url, status);
+		loom_set_error(
+		    error, LOOM_HTTP_GET, "%s: status %ld", url, status);
 	g_string_free(body, TRUE);
 	return NULL;
 }
--- a/src/http/listen.c
+++ b/src/http/listen.c
@@ -47,7 +47,7 @@
 {
 	if (parse_address(text, address))
 		return true;
-	return loom_fail(
+	return loom_set_error(
 	    error, LOOM_LISTEN, "'%s' is not an ip:port address", text);
 }
 
@@ -70,7 +70,7 @@
 	return fd;
 
 error:
-	loom_fail(error, LOOM_LISTEN, "%s: %s", text, g_strerror(errno));
+	loom_set_error(error, LOOM_LISTEN, "%s: %s", text, g_strerror(errno));
 	if (fd >= 0)
 		close(fd);
 	return -1;
--- a/src/http/peer_server.c
+++ b/src/http/peer_server.c
@@ -92,7 +92,7 @@
 	return server;
 
 error:
-	loom_fail(
+	loom_set_error(
 	    error, LOOM_START, "the HTTP server for peer daemons cannot start");
 	talloc_free(server);
 	return NULL;
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -241,7 +241,7 @@
 	return server;
 
 error:
-	loom_fail(error, LOOM_START, "the HTTP server cannot start");
+	loom_set_error(error, LOOM_START, "the HTTP server cannot start");
 	talloc_free(server);
 	return NULL;
 }
--- a/src/http/tls.c
+++ b/src/http/tls.c
@@ -16,7 +16,7 @@
 
 	if (g_file_get_contents(file, &text, NULL, &cause))
 		return text;
-	loom_fail(error, LOOM_FILE_UNREADABLE, "%s", cause->message);
+	loom_set_error(error, LOOM_FILE_UNREADABLE, "%s", cause->message);
 	g_error_free(cause);
 	return NULL;
 }
@@ -48,7 +48,7 @@
 	}
 	if (status >= 0)
 		return true;
-	return loom_fail(error, LOOM_TLS_PAIR, "%s and %s: %s", key_file,
+	return loom_set_error(error, LOOM_TLS_PAIR, "%s and %s: %s", key_file,
 	    cert_file, gnutls_strerror(status));
 }
 
@@ -60,7 +60,7 @@
 	if (key_file == NULL && cert_file == NULL)
 		return true;
 	if (key_file == NULL || cert_file == NULL)
-		return loom_fail(error, LOOM_SETTING_MISSING,
+		return loom_set_error(error, LOOM_SETTING_MISSING,
 		    "tls_key_file and tls_cert_file must be set together");
 	pair->key = read_pem(key_file, error);
 	if (pair->key == NULL)
--- a/src/inner/keys.c
+++ b/src/inner/keys.c
@@ -38,7 +38,7 @@
 	    sodium_hex2bin(secret, LOOM_FLEET_SECRET_SIZE, hex, strlen(hex),
 		NULL, &len, NULL) != 0 ||
 	    len != LOOM_FLEET_SECRET_SIZE)
-		return loom_fail(error, LOOM_INNER_SECRET,
+		return loom_set_error(error, LOOM_INNER_SECRET,
 		    "the fleet secret must be %d hex digits",
 		    2 * LOOM_FLEET_SECRET_SIZE);
 	return true;
--- a/src/inner/transport.c
+++ b/src/inner/transport.c
@@ -254,7 +254,7 @@
 	if (g_str_has_suffix(endpoint, ":0"))
 		endpoint[strlen(endpoint) - 1] = '*';
 	if (zmq_bind(inner->router, endpoint) != 0)
-		return loom_fail(error, LOOM_INNER_SOCKET, "%s: %s",
+		return loom_set_error(error, LOOM_INNER_SOCKET, "%s: %s",
 		    inner->options.bind, zmq_strerror(zmq_errno()));
 	zmq_getsockopt(inner->router, ZMQ_LAST_ENDPOINT, endpoint, &size);
 	g_strlcpy(inner->address, endpoint + strlen(TCP_PREFIX),
@@ -297,7 +297,7 @@
 {
 	inner->zmq = zmq_ctx_new();
 	if (inner->zmq == NULL)
-		return loom_fail(
+		return loom_set_error(
 		    error, LOOM_INNER_SOCKET, "cannot create a ZeroMQ context");
 	inner->zap = loom_zap_new(inner, inner->ev, inner->zmq, &inner->curve);
 	inner->router = zmq_socket(inner->zmq, ZMQ_ROUTER);
@@ -305,14 +305,14 @@
 	    !set_router_options(inner->router) ||
 	    !loom_curve_server(&inner->curve, inner->router) ||
 	    !open_monitor(inner))
-		return loom_fail(
+		return loom_set_error(
 		    error, LOOM_INNER_SOCKET, "%s", zmq_strerror(zmq_errno()));
 	if (!bind_router(inner, error))
 		return false;
 	inner->router_fde = watch_socket(inner, inner->router, router_ready);
 	inner->monitor_fde = watch_socket(inner, inner->monitor, monitor_ready);
 	if (inner->router_fde == NULL || inner->monitor_fde == NULL)
-		return loom_fail(error, LOOM_INNER_SOCKET,
+		return loom_set_error(error, LOOM_INNER_SOCKET,
 		    "cannot watch the ZeroMQ descriptors");
 	read_monitor(inner);
 	return true;
@@ -403,7 +403,7 @@
 	struct loom_inner *inner = talloc_zero(mem_ctx, struct loom_inner);
 
 	if (inner == NULL) {
-		loom_fail(error, LOOM_NO_MEMORY, "transport");
+		loom_set_error(error, LOOM_NO_MEMORY, "transport");
 		return NULL;
 	}
 	inner->ev = ev;
@@ -417,7 +417,7 @@
 	if (!open_sockets(inner, error))
 		goto error;
 	if (!create_components(inner)) {
-		loom_fail(error, LOOM_NO_MEMORY, "transport");
+		loom_set_error(error, LOOM_NO_MEMORY, "transport");
 		goto error;
 	}
 	schedule_sweep(inner);
--- a/src/load/ledger.c
+++ b/src/load/ledger.c
@@ -115,8 +115,8 @@
 	size_t size = 0;
 
 	if (stream == NULL)
-		return loom_fail(error, LOOM_FILE_UNREADABLE, "%s: %s", file,
-		    g_strerror(errno));
+		return loom_set_error(error, LOOM_FILE_UNREADABLE, "%s: %s",
+		    file, g_strerror(errno));
 	while (getline(&line, &size, stream) >= 0)
 		load_ledger_add_line(ledger, line);
 	free(line);
--- a/src/load/run.c
+++ b/src/load/run.c
@@ -227,7 +227,8 @@
 	if (sockets != NULL)
 		client->fetcher = loom_fetcher_new(client, client->ev, sockets);
 	if (client->fetcher == NULL) {
-		loom_fail(error, LOOM_START, "no event loop or HTTP client");
+		loom_set_error(
+		    error, LOOM_START, "no event loop or HTTP client");
 		goto error;
 	}
 	client->rand = g_rand_new_with_seed(settings->seed);
--- a/src/manifest/explain.c
+++ b/src/manifest/explain.c
@@ -297,9 +297,9 @@
 	const char *nearest = loom_nearest_name(name, declared_names);
 
 	if (nearest == NULL)
-		return loom_fail(
+		return loom_set_error(
 		    error, LOOM_MANIFEST_ABSENT, "no %s \"%s\"", kind, name);
-	return loom_fail(error, LOOM_MANIFEST_ABSENT,
+	return loom_set_error(error, LOOM_MANIFEST_ABSENT,
 	    "no %s \"%s\", did you mean \"%s\"?", kind, name, nearest);
 }
 
--- a/src/manifest/hosts.c
+++ b/src/manifest/hosts.c
@@ -95,7 +95,7 @@
 
 	ok = loom_fields_read(&source, object, list_fields, list, &problems);
 	if (!ok)
-		loom_fail(error, LOOM_HOSTS_MALFORMED, "%s: %s",
+		loom_set_error(error, LOOM_HOSTS_MALFORMED, "%s: %s",
 		    problems->where, problems->message);
 	loom_problems_free(problems);
 	return ok;
@@ -113,7 +113,7 @@
 		host = &g_array_index(hosts, struct loom_host, i);
 		ok = g_hash_table_add(names, host->name);
 		if (!ok)
-			loom_fail(error, LOOM_HOSTS_MALFORMED,
+			loom_set_error(error, LOOM_HOSTS_MALFORMED,
 			    "%s:hosts[%u]: \"%s\" is listed twice", service, i,
 			    host->name);
 	}
@@ -147,12 +147,12 @@
 	bool ok;
 
 	if (len > LOOM_ENVELOPE_BYTES_MAX)
-		return loom_fail(error, LOOM_HOSTS_MALFORMED,
+		return loom_set_error(error, LOOM_HOSTS_MALFORMED,
 		    "hosts of %s: %zu bytes exceed the size limit", service,
 		    len);
 	object = loom_json_parse(text, len, &line, &message);
 	if (object == NULL)
-		return loom_fail(error, LOOM_HOSTS_MALFORMED,
+		return loom_set_error(error, LOOM_HOSTS_MALFORMED,
 		    "hosts of %s:%u: %s", service, line, message);
 	object = wrap_in_object(object);
 	ok = read_list(service, object, &list, error) &&
--- a/src/manifest/sign.c
+++ b/src/manifest/sign.c
@@ -60,7 +60,7 @@
 	ok = loom_fields_read(
 	    &source, object, envelope_fields, envelope, &problems);
 	if (!ok)
-		loom_fail(error, LOOM_ENVELOPE_MALFORMED, "%s: %s",
+		loom_set_error(error, LOOM_ENVELOPE_MALFORMED, "%s: %s",
 		    problems->where, problems->message);
 	loom_problems_free(problems);
 	return ok;
@@ -76,15 +76,15 @@
 	bool ok;
 
 	if (len > LOOM_ENVELOPE_BYTES_MAX) {
-		loom_fail(error, LOOM_ENVELOPE_TOO_LARGE,
+		loom_set_error(error, LOOM_ENVELOPE_TOO_LARGE,
 		    "%zu bytes, at most %d are allowed", len,
 		    LOOM_ENVELOPE_BYTES_MAX);
 		return false;
 	}
 	object = loom_json_parse(text, len, &line, &message);
 	if (object == NULL)
-		return loom_fail(error, LOOM_ENVELOPE_MALFORMED, "line %u: %s",
-		    line, message);
+		return loom_set_error(error, LOOM_ENVELOPE_MALFORMED,
+		    "line %u: %s", line, message);
 	ok = read_fields(object, envelope, error);
 	json_object_put(object);
 	return ok;
@@ -98,14 +98,14 @@
 	size_t i;
 
 	if (!loom_public_key_parse(envelope->signer, signer, NULL))
-		return loom_fail(error, LOOM_ENVELOPE_MALFORMED,
+		return loom_set_error(error, LOOM_ENVELOPE_MALFORMED,
 		    "the signer is not 64 hexadecimal digits");
 	for (i = 0; i < ntrusted; i++) {
 		if (memcmp(trusted[i].bytes, signer->bytes,
 			sizeof(signer->bytes)) == 0)
 			return true;
 	}
-	return loom_fail(error, LOOM_SIGNER_UNKNOWN,
+	return loom_set_error(error, LOOM_SIGNER_UNKNOWN,
 	    "signed by %s, which is not trusted here", envelope->signer);
 }
 
@@ -121,11 +121,11 @@
 		strlen(envelope->signature), NULL, &signature_len, NULL,
 		BASE64) != 0 ||
 	    signature_len != sizeof(signature))
-		return loom_fail(error, LOOM_ENVELOPE_MALFORMED,
+		return loom_set_error(error, LOOM_ENVELOPE_MALFORMED,
 		    "the signature is not 64 bytes in base64");
 	if (crypto_sign_verify_detached(
 		signature, payload, len, signer->bytes) != 0)
-		return loom_fail(error, LOOM_MANIFEST_SIGNATURE,
+		return loom_set_error(error, LOOM_MANIFEST_SIGNATURE,
 		    "the signature of %s does not match the payload",
 		    envelope->signer);
 	return true;
@@ -140,7 +140,7 @@
 
 	if (sodium_base642bin(payload, capacity, envelope->payload, text_len,
 		NULL, len, NULL, BASE64) != 0) {
-		loom_fail(error, LOOM_ENVELOPE_MALFORMED,
+		loom_set_error(error, LOOM_ENVELOPE_MALFORMED,
 		    "the payload is not base64");
 		g_free(payload);
 		return NULL;
@@ -205,7 +205,7 @@
 	char *signer_text, *signature_text, *payload_text, *text;
 
 	if (len > LOOM_DOCUMENT_BYTES_MAX) {
-		loom_fail(error, LOOM_ENVELOPE_TOO_LARGE,
+		loom_set_error(error, LOOM_ENVELOPE_TOO_LARGE,
 		    "%zu bytes, at most %d can be signed", len,
 		    LOOM_DOCUMENT_BYTES_MAX);
 		return NULL;
--- a/src/manifest/sign_key.c
+++ b/src/manifest/sign_key.c
@@ -33,13 +33,14 @@
 	bool ok;
 
 	if (!g_file_get_contents(file, &text, &text_len, &cause)) {
-		loom_fail(error, LOOM_FILE_UNREADABLE, "%s", cause->message);
+		loom_set_error(
+		    error, LOOM_FILE_UNREADABLE, "%s", cause->message);
 		g_error_free(cause);
 		return false;
 	}
 	ok = parse_hex(g_strstrip(text), bytes, len);
 	if (!ok)
-		loom_fail(error, LOOM_SIGNING_KEY,
+		loom_set_error(error, LOOM_SIGNING_KEY,
 		    "%s: %zu hexadecimal digits expected", file, 2 * len);
 	sodium_memzero(text, text_len);
 	g_free(text);
@@ -60,7 +61,7 @@
 {
 	if (parse_hex(hex, key->bytes, sizeof(key->bytes)))
 		return true;
-	return loom_fail(error, LOOM_SIGNING_KEY,
+	return loom_set_error(error, LOOM_SIGNING_KEY,
 	    "a public key has %zu hexadecimal digits", 2 * sizeof(key->bytes));
 }
 
@@ -93,7 +94,7 @@
 	sodium_memzero(seed, sizeof(seed));
 	sodium_memzero(&derived, sizeof(derived));
 	if (!ok)
-		return loom_fail(error, LOOM_SIGNING_KEY,
+		return loom_set_error(error, LOOM_SIGNING_KEY,
 		    "%s: the seed and the public key do not match", file);
 	return true;
 }
@@ -107,11 +108,11 @@
 
 	fd = open(file, O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, mode);
 	if (fd < 0)
-		return loom_fail(error, LOOM_FILE_UNREADABLE, "%s: %s", file,
-		    g_strerror(errno));
+		return loom_set_error(error, LOOM_FILE_UNREADABLE, "%s: %s",
+		    file, g_strerror(errno));
 	written = write(fd, text, len);
 	if (close(fd) != 0 || written != (ssize_t)len)
-		return loom_fail(
+		return loom_set_error(
 		    error, LOOM_FILE_UNREADABLE, "%s: cannot be written", file);
 	return true;
 }
--- a/src/platform/reader.c
+++ b/src/platform/reader.c
@@ -91,12 +91,12 @@
     const struct loom_platform_reader *reader, CURLcode result, GError **error)
 {
 	if (reader->oversized)
-		return loom_fail(error, LOOM_PLATFORM_OVERSIZED,
+		return loom_set_error(error, LOOM_PLATFORM_OVERSIZED,
 		    "response exceeds %u bytes", RESPONSE_MAX_BYTES);
 	if (result == CURLE_PARTIAL_FILE)
-		return loom_fail(
+		return loom_set_error(
 		    error, LOOM_PLATFORM_CUT, "%s", curl_easy_strerror(result));
-	return loom_fail(
+	return loom_set_error(
 	    error, LOOM_PLATFORM_DOWN, "%s", curl_easy_strerror(result));
 }
 
--- a/src/platform/values.c
+++ b/src/platform/values.c
@@ -69,7 +69,7 @@
 	for (i = 0; i < n; i++) {
 		if (!parse_value(
 			json_object_array_get_idx(list, i), prefix, &value))
-			return loom_fail(error, LOOM_PLATFORM_ANSWER,
+			return loom_set_error(error, LOOM_PLATFORM_ANSWER,
 			    "values[%zu] is malformed", i);
 		g_array_append_val(values, value);
 	}
@@ -90,7 +90,7 @@
 
 	response = loom_json_parse(text, len, &line, &message);
 	if (response == NULL) {
-		loom_fail(
+		loom_set_error(
 		    error, LOOM_PLATFORM_ANSWER, "line %u: %s", line, message);
 		return false;
 	}
@@ -98,7 +98,7 @@
 	    !get_revision(response, revision) ||
 	    !json_object_object_get_ex(response, "values", &list) ||
 	    !json_object_is_type(list, json_type_array)) {
-		loom_fail(error, LOOM_PLATFORM_ANSWER,
+		loom_set_error(error, LOOM_PLATFORM_ANSWER,
 		    "\"revision\" or \"values\" is missing or has the wrong type");
 		goto done;
 	}
@@ -161,7 +161,7 @@
 	uint64_t revision;
 
 	if (response->status != 200) {
-		loom_fail(
+		loom_set_error(
 		    error, LOOM_PLATFORM_STATUS, "status %u", response->status);
 		return LOOM_PLATFORM_FAILED;
 	}
--- a/tests/base/test_buffer.c
+++ b/tests/base/test_buffer.c
@@ -42,7 +42,7 @@
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
 		memset(&buffer, 0, sizeof(buffer));
-		buffer.keep = cases[i].rewind;
+		buffer.keep_consumed = cases[i].rewind;
 		mem = talloc_new(NULL);
 		in = out = 0;
 		for (j = 0; j < cases[i].pieces; j++) {
--- a/tests/support/spread_fleet.c
+++ b/tests/support/spread_fleet.c
@@ -181,7 +181,7 @@
 	(void)object;
 	memcpy(head, text, MIN(len, sizeof(head) - 1));
 	if (sscanf(head, "%llu ", &number) != 1)
-		return loom_fail(error, LOOM_MANIFEST_SIGNATURE, "forged");
+		return loom_set_error(error, LOOM_MANIFEST_SIGNATURE, "forged");
 	version->number = number;
 	crypto_generichash(version->digest, sizeof(version->digest),
 	    (const unsigned char *)text, len, NULL, 0);
