--- a/include/loom/manifest.h
+++ b/include/loom/manifest.h
@@ -64,7 +64,7 @@
 	uint32_t burst; /* calls */
 	bool unlimited; /* rate_per_s and burst do not apply */
 	/* if set, takes precedence over the route's importance for requests of
-	 * this team, see loom_importance_join() */
+	 * this team, see loom_importance_combine() */
 	bool has_importance;
 	enum loom_importance importance;
 };
@@ -220,8 +220,9 @@
  * since the upstream receives the same bytes.  host may include a port; NULL
  * for none.
  */
-const struct loom_route *loom_manifest_route_at(const struct loom_manifest *,
-    const char *host, const char *method, const char *path);
+const struct loom_route *loom_manifest_route_for_host(
+    const struct loom_manifest *, const char *host, const char *method,
+    const char *path);
 
 const struct loom_route *loom_manifest_route_by_name(
     const struct loom_manifest *, const char *name);
@@ -240,7 +241,7 @@
  * Requests of a critical team are critical, those of a high team are one level
  * below their route, and those of all other teams are low.
  */
-enum loom_importance loom_importance_join(
+enum loom_importance loom_importance_combine(
     enum loom_importance team, enum loom_importance route);
 
 /* Returns "critical", "high", "normal" or "low". */
--- a/include/loom/sign.h
+++ b/include/loom/sign.h
@@ -39,17 +39,17 @@
  * its length and digest its SHA-256.  Errors: LOOM_ENVELOPE_TOO_LARGE,
  * LOOM_ENVELOPE_MALFORMED, LOOM_SIGNER_UNKNOWN, LOOM_MANIFEST_SIGNATURE.
  */
-bool loom_envelope_open(const char *text, size_t text_len,
+bool loom_envelope_verify(const char *text, size_t text_len,
     const struct loom_public_key *trusted, size_t ntrusted, char **payload,
     size_t *len, uint8_t digest[LOOM_DIGEST_SIZE], GError **error);
 
 /* Signs a document.  Returns the envelope (owned, g_free), or NULL with
  * LOOM_ENVELOPE_TOO_LARGE. */
-char *loom_envelope_seal(const struct loom_secret_key *, const char *payload,
+char *loom_envelope_sign(const struct loom_secret_key *, const char *payload,
     size_t len, GError **error);
 
 /* Generates a key pair from the kernel's random number generator. */
-void loom_key_pair(struct loom_public_key *, struct loom_secret_key *);
+void loom_key_pair_generate(struct loom_public_key *, struct loom_secret_key *);
 
 /* Parses 64 hex digits.  Error: LOOM_SIGNING_KEY. */
 bool loom_public_key_parse(
--- a/programs/loom-manifest.c
+++ b/programs/loom-manifest.c
@@ -125,7 +125,7 @@
 		return loom_problems_print(problems);
 	}
 	loom_document_release(document);
-	envelope = loom_envelope_seal(&key, text, len, &error);
+	envelope = loom_envelope_sign(&key, text, len, &error);
 	sodium_memzero(&key, sizeof(key));
 	g_free(text);
 	if (envelope == NULL)
@@ -150,7 +150,7 @@
 		return print_error(key_file, error);
 	if (!read_file(file, &text, &len))
 		return EXIT_FAILURE;
-	ok = loom_envelope_open(
+	ok = loom_envelope_verify(
 	    text, len, &key, 1, &payload, &payload_len, digest, &error);
 	g_free(text);
 	if (!ok)
@@ -169,7 +169,7 @@
 	GError *error = NULL;
 	bool ok;
 
-	loom_key_pair(&public_key, &secret);
+	loom_key_pair_generate(&public_key, &secret);
 	ok = loom_key_pair_write(prefix, &public_key, &secret, &error);
 	sodium_memzero(&secret, sizeof(secret));
 	if (!ok)
--- a/src/control/spread_config.c
+++ b/src/control/spread_config.c
@@ -70,7 +70,7 @@
 		payload_len = len;
 		crypto_hash_sha256(
 		    version->digest, (const unsigned char *)text, len);
-	} else if (!loom_envelope_open(text, len, config->trusted,
+	} else if (!loom_envelope_verify(text, len, config->trusted,
 		       config->ntrusted, &payload, &payload_len,
 		       version->digest, error)) {
 		return false;
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -53,7 +53,7 @@
 static const struct loom_route *
 match_route(const struct call *call)
 {
-	return loom_manifest_route_at(call->manifest,
+	return loom_manifest_route_for_host(call->manifest,
 	    loom_exchange_header(call->exchange, "Host"),
 	    loom_exchange_method(call->exchange),
 	    loom_exchange_target(call->exchange));
@@ -129,7 +129,7 @@
 	}
 	open_retry_budget(call, &context->root);
 	context->importance = team != NULL && team->has_importance
-	    ? loom_importance_join(team->importance, call->route->importance)
+	    ? loom_importance_combine(team->importance, call->route->importance)
 	    : call->route->importance;
 	context->hops = 0;
 	context->home_host_id = self->host_id;
--- a/src/manifest/document_fields.c
+++ b/src/manifest/document_fields.c
@@ -46,7 +46,7 @@
  * teams it is LOOM_LOW.
  */
 enum loom_importance
-loom_importance_join(enum loom_importance team, enum loom_importance route)
+loom_importance_combine(enum loom_importance team, enum loom_importance route)
 {
 	unsigned level;
 
@@ -115,7 +115,7 @@
 		if (!is_path_character(path[i]))
 			return LOOM_MANIFEST_PATH;
 	}
-	if (!manifest_path_is_plain(path, len))
+	if (!manifest_path_is_normalized(path, len))
 		return LOOM_MANIFEST_PATH;
 	return LOOM_OK;
 }
@@ -207,11 +207,11 @@
 };
 
 static const struct loom_field part_fields[] = {
-	NAME_FIELD("service", part_entry, service),
+	NAME_FIELD("service", split_entry, service),
 	{ .name = "weight",
 	    .type = LOOM_FIELD_U32,
 	    .required = true,
-	    .offset = offsetof(struct part_entry, weight),
+	    .offset = offsetof(struct split_entry, weight),
 	    .max = WEIGHT_MAX },
 	{ .name = NULL },
 };
@@ -237,7 +237,7 @@
 	{ .name = "split",
 	    .type = LOOM_FIELD_LIST,
 	    .offset = offsetof(struct route_entry, parts),
-	    .size = sizeof(struct part_entry),
+	    .size = sizeof(struct split_entry),
 	    .fields = part_fields },
 	{ .name = "timeout_ms",
 	    .type = LOOM_FIELD_U32,
--- a/src/manifest/internal.h
+++ b/src/manifest/internal.h
@@ -45,7 +45,7 @@
 	char load_path[LOOM_NAME_MAX + 1];
 };
 
-struct part_entry {
+struct split_entry {
 	char service[LOOM_NAME_MAX + 1];
 	uint32_t weight;
 };
@@ -65,7 +65,7 @@
 	uint32_t aim_ms;
 	uint32_t max_attempts;
 	bool is_public;
-	GArray *parts; /* of struct part_entry */
+	GArray *parts; /* of struct split_entry */
 	uint64_t max_body_bytes;
 };
 
@@ -94,7 +94,7 @@
 
 /* Returns false for a path that an upstream may interpret as another path
  * (path.c). */
-bool manifest_path_is_plain(const char *path, size_t len);
+bool manifest_path_is_normalized(const char *path, size_t len);
 
 struct loom_manifest_index *manifest_index_new(const struct loom_manifest *);
 void manifest_index_free(struct loom_manifest_index *);
--- a/src/manifest/lookup.c
+++ b/src/manifest/lookup.c
@@ -242,14 +242,14 @@
 		.len = strcspn(path, "?#"),
 	};
 
-	if (!manifest_path_is_plain(path, key.len))
+	if (!manifest_path_is_normalized(path, key.len))
 		return NULL;
 	return find_longest_match(manifest, method, key);
 }
 
 const struct loom_route *
-loom_manifest_route_at(const struct loom_manifest *manifest, const char *host,
-    const char *method, const char *path)
+loom_manifest_route_for_host(const struct loom_manifest *manifest,
+    const char *host, const char *method, const char *path)
 {
 	const struct path_key key = {
 		.host = host,
--- a/src/manifest/path.c
+++ b/src/manifest/path.c
@@ -50,7 +50,7 @@
 }
 
 bool
-manifest_path_is_plain(const char *path, size_t len)
+manifest_path_is_normalized(const char *path, size_t len)
 {
 	const char *cursor = path, *end = path + len;
 	size_t segment_len = 0, dots = 0, consumed;
--- a/src/manifest/resolve.c
+++ b/src/manifest/resolve.c
@@ -73,14 +73,14 @@
 resolve_parts(struct build *build, struct loom_route *route,
     const struct declaration *declaration, const GArray *parts)
 {
-	const struct part_entry *entry;
+	const struct split_entry *entry;
 	uint32_t service_index;
 	guint i;
 
 	if (parts->len > 0)
 		route->parts = g_new(struct loom_route_part, parts->len);
 	for (i = 0; i < parts->len; i++) {
-		entry = &g_array_index(parts, struct part_entry, i);
+		entry = &g_array_index(parts, struct split_entry, i);
 		service_index = resolve_service(
 		    build, declaration, "split", entry->service);
 		if (service_index == NO_INDEX)
--- a/src/manifest/sign.c
+++ b/src/manifest/sign.c
@@ -150,7 +150,7 @@
 }
 
 bool
-loom_envelope_open(const char *text, size_t text_len,
+loom_envelope_verify(const char *text, size_t text_len,
     const struct loom_public_key *trusted, size_t ntrusted, char **payload,
     size_t *len, uint8_t digest[LOOM_DIGEST_SIZE], GError **error)
 {
@@ -196,7 +196,7 @@
 }
 
 char *
-loom_envelope_seal(const struct loom_secret_key *secret, const char *payload,
+loom_envelope_sign(const struct loom_secret_key *secret, const char *payload,
     size_t len, GError **error)
 {
 	const unsigned char *bytes = (const unsigned char *)payload;
--- a/tests/adapter/test_adapter.c
+++ b/tests/adapter/test_adapter.c
@@ -87,7 +87,7 @@
 	TEST_CHECK(
 	    !manifest->fleet.tickets && manifest->fleet.entry_decides, "fleet");
 	for (i = 0; i < G_N_ELEMENTS(routing); i++) {
-		route = loom_manifest_route_at(
+		route = loom_manifest_route_for_host(
 		    manifest, routing[i].host, "PUT", routing[i].path);
 		TEST_CHECK(g_strcmp0(route == NULL ? NULL : route->name,
 			       routing[i].route) == 0,
--- a/tests/manifest/test_sign.c
+++ b/tests/manifest/test_sign.c
@@ -18,8 +18,8 @@
 static void
 make_keys(void)
 {
-	loom_key_pair(&public_keys[0], &secret_keys[0]);
-	loom_key_pair(&public_keys[1], &secret_keys[1]);
+	loom_key_pair_generate(&public_keys[0], &secret_keys[0]);
+	loom_key_pair_generate(&public_keys[1], &secret_keys[1]);
 }
 
 /*
@@ -35,7 +35,7 @@
 	size_t payload_len;
 	char *payload;
 
-	if (loom_envelope_open(text, len, public_keys, ntrusted, &payload,
+	if (loom_envelope_verify(text, len, public_keys, ntrusted, &payload,
 		&payload_len, digest, &error)) {
 		CU_ASSERT_EQUAL(payload_len, strlen(PAYLOAD));
 		CU_ASSERT_STRING_EQUAL(payload, PAYLOAD);
@@ -50,7 +50,7 @@
 static char *
 seal(const struct loom_secret_key *secret)
 {
-	return loom_envelope_seal(secret, PAYLOAD, strlen(PAYLOAD), NULL);
+	return loom_envelope_sign(secret, PAYLOAD, strlen(PAYLOAD), NULL);
 }
 
 static void
@@ -196,10 +196,10 @@
 	char *text;
 
 	make_keys();
-	CU_ASSERT_PTR_NULL(loom_envelope_seal(
+	CU_ASSERT_PTR_NULL(loom_envelope_sign(
 	    &secret_keys[0], payload, LOOM_DOCUMENT_BYTES_MAX + 1, &error));
 	CU_ASSERT_EQUAL(test_take_code(error), LOOM_ENVELOPE_TOO_LARGE);
-	text = loom_envelope_seal(
+	text = loom_envelope_sign(
 	    &secret_keys[0], payload, LOOM_DOCUMENT_BYTES_MAX, NULL);
 	CU_ASSERT(text != NULL && strlen(text) <= LOOM_ENVELOPE_BYTES_MAX);
 	g_free(text);
--- a/tests/support/testbed.c
+++ b/tests/support/testbed.c
@@ -156,7 +156,7 @@
 	GError *error = NULL;
 	char *sealed, *path;
 
-	sealed = loom_envelope_seal(
+	sealed = loom_envelope_sign(
 	    &testbed->secret_key, text, strlen(text), &error);
 	g_assert_no_error(error);
 	path = g_strconcat("/test/values/manifest/", name, NULL);
@@ -383,7 +383,7 @@
 	if (sodium_init() < 0 || testbed->dir == NULL ||
 	    !test_standin_start(&testbed->platform, "platform", NULL))
 		return false;
-	loom_key_pair(&testbed->public_key, &testbed->secret_key);
+	loom_key_pair_generate(&testbed->public_key, &testbed->secret_key);
 	assign_addresses(testbed);
 	if (relayed && !start_relay(testbed))
 		return false;
