--- a/include/loom/explain.h
+++ b/include/loom/explain.h
@@ -38,7 +38,7 @@
  * itself idempotent, as "a -> b -> c".  Returns NULL if the route is
  * repeatable.
  */
-char *loom_manifest_why_not_repeatable(
+char *loom_manifest_non_idempotent_chain(
     const struct loom_manifest *, const struct loom_route *);
 
 /*
--- a/src/manifest/diff.c
+++ b/src/manifest/diff.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #include "loom/explain.h"
-#include "manifest/facts.h"
+#include "manifest/properties.h"
 
 /* Writes each property that differs between two declarations of one name. */
 static void
--- a/src/manifest/explain.c
+++ b/src/manifest/explain.c
@@ -236,8 +236,8 @@
 		    budget);
 		return;
 	}
-	call_chain =
-	    loom_manifest_why_not_repeatable(request->manifest, request->route);
+	call_chain = loom_manifest_non_idempotent_chain(
+	    request->manifest, request->route);
 	g_string_append_printf(text,
 	    "  ticket: needed\n"
 	    "  repeatable: no, not after it may have run; not idempotent "
--- a/src/manifest/why.c
+++ b/src/manifest/non_idempotent_chain.c
@@ -27,7 +27,7 @@
 }
 
 char *
-loom_manifest_why_not_repeatable(
+loom_manifest_non_idempotent_chain(
     const struct loom_manifest *manifest, const struct loom_route *route)
 {
 	uint32_t *predecessors = g_new(uint32_t, manifest->nroutes);
--- a/src/manifest/facts.c
+++ b/src/manifest/properties.c
@@ -3,7 +3,7 @@
  * text, and one table of properties for each kind of declaration.
  */
 
-#include "manifest/facts.h"
+#include "manifest/properties.h"
 #include "loom/explain.h"
 
 static void
@@ -114,7 +114,7 @@
 		return;
 	}
 	call_chain =
-	    loom_manifest_why_not_repeatable(declaration->manifest, route);
+	    loom_manifest_non_idempotent_chain(declaration->manifest, route);
 	g_string_append_printf(text, "no (%s)", call_chain);
 	g_free(call_chain);
 }
--- a/src/manifest/facts.h
+++ b/src/manifest/properties.h
@@ -1,5 +1,5 @@
-#ifndef LOOM_MANIFEST_FACTS_H
-#define LOOM_MANIFEST_FACTS_H
+#ifndef LOOM_MANIFEST_PROPERTIES_H
+#define LOOM_MANIFEST_PROPERTIES_H
 
 /*
  * The properties of each kind of declaration, formatted as text for
