--- a/bench/bench_load.c
+++ b/bench/bench_load.c
@@ -92,7 +92,7 @@
 	sum->worst_team += one->worst_team * part;
 	sum->wrongful += one->wrongful * part;
 	sum->wasted += one->wasted * part;
-	for (i = 0; i < LOOM_IMPORTANCES; i++) {
+	for (i = 0; i < LOOM_IMPORTANCE_COUNT; i++) {
 		sum->served[i] += one->served[i] * part;
 		sum->p99_ms[i] += one->p99_ms[i] * part;
 	}
@@ -136,9 +136,9 @@
 	    pattern, policy, result->goodput, result->recovery_s,
 	    result->recovery_worst_s, result->worst_team, result->wrongful,
 	    result->wasted);
-	for (i = 0; i < LOOM_IMPORTANCES; i++)
+	for (i = 0; i < LOOM_IMPORTANCE_COUNT; i++)
 		printf(" %.3f", result->served[i]);
-	for (i = 0; i < LOOM_IMPORTANCES; i++)
+	for (i = 0; i < LOOM_IMPORTANCE_COUNT; i++)
 		printf(" %5.0f", result->p99_ms[i]);
 	printf("\n");
 	fflush(stdout);
--- a/bench/model.h
+++ b/bench/model.h
@@ -76,8 +76,8 @@
 	double worst_team; /* share of its due, in the window */
 	double wrongful; /* refused attempts of teams within their due */
 	double wasted; /* of all work, on attempts that failed */
-	double served[LOOM_IMPORTANCES]; /* share, in the window */
-	double p99_ms[LOOM_IMPORTANCES]; /* of those served */
+	double served[LOOM_IMPORTANCE_COUNT]; /* share, in the window */
+	double p99_ms[LOOM_IMPORTANCE_COUNT]; /* of those served */
 	double steady_refused; /* refused before the window */
 	uint64_t requests;
 };
--- a/bench/model_callers.c
+++ b/bench/model_callers.c
@@ -14,7 +14,8 @@
 #define STUBBORN_WAIT_US (UINT64_C(10) * LOOM_US_PER_MS)
 
 /* Shares of critical, high, normal, low. */
-static const double importance_share[LOOM_IMPORTANCES] = { 0.1, 0.2, 0.5, 0.2 };
+static const double importance_share[LOOM_IMPORTANCE_COUNT] = { 0.1, 0.2, 0.5,
+	0.2 };
 
 static double
 unit(struct model *model)
@@ -75,7 +76,7 @@
 
 	if (model->pattern->flat)
 		return LOOM_NORMAL;
-	for (i = 0; i + 1 < LOOM_IMPORTANCES; i++) {
+	for (i = 0; i + 1 < LOOM_IMPORTANCE_COUNT; i++) {
 		point -= importance_share[i];
 		if (point < 0)
 			break;
--- a/bench/model_private.h
+++ b/bench/model_private.h
@@ -123,8 +123,8 @@
 };
 
 struct tally {
-	uint64_t offered[MODEL_TEAMS][LOOM_IMPORTANCES];
-	uint64_t served[MODEL_TEAMS][LOOM_IMPORTANCES];
+	uint64_t offered[MODEL_TEAMS][LOOM_IMPORTANCE_COUNT];
+	uint64_t served[MODEL_TEAMS][LOOM_IMPORTANCE_COUNT];
 	uint64_t attempts[MODEL_TEAMS];
 	uint64_t refused[MODEL_TEAMS];
 	uint64_t done_in_window;
@@ -132,7 +132,7 @@
 	uint64_t steady_refused;
 	double work_us;
 	double wasted_us;
-	GArray *latency_ms[LOOM_IMPORTANCES]; /* float */
+	GArray *latency_ms[LOOM_IMPORTANCE_COUNT]; /* float */
 	uint32_t *bin_offered; /* by arrival of the request */
 	uint32_t *bin_served; /* done within one deadline */
 	uint32_t nbins;
--- a/bench/model_report.c
+++ b/bench/model_report.c
@@ -20,7 +20,7 @@
 	tally->nbins = (uint32_t)(model->pattern->end_us / MODEL_BIN_US) + 1;
 	tally->bin_offered = g_new0(uint32_t, tally->nbins);
 	tally->bin_served = g_new0(uint32_t, tally->nbins);
-	for (i = 0; i < LOOM_IMPORTANCES; i++)
+	for (i = 0; i < LOOM_IMPORTANCE_COUNT; i++)
 		tally->latency_ms[i] = g_array_new(FALSE, FALSE, sizeof(float));
 }
 
@@ -31,7 +31,7 @@
 
 	g_free(model->tally.bin_offered);
 	g_free(model->tally.bin_served);
-	for (i = 0; i < LOOM_IMPORTANCES; i++)
+	for (i = 0; i < LOOM_IMPORTANCE_COUNT; i++)
 		g_array_free(model->tally.latency_ms[i], TRUE);
 }
 
@@ -109,12 +109,12 @@
 	uint64_t attempts = 0, refused = 0;
 	int i, j;
 
-	for (j = 0; j < LOOM_IMPORTANCES; j++)
+	for (j = 0; j < LOOM_IMPORTANCE_COUNT; j++)
 		share_out(model, j, &capacity, due);
 	result->worst_team = 1.0;
 	for (i = 0; i < MODEL_TEAMS; i++) {
 		offered = served = 0;
-		for (j = 0; j < LOOM_IMPORTANCES; j++) {
+		for (j = 0; j < LOOM_IMPORTANCE_COUNT; j++) {
 			offered += (double)tally->offered[i][j];
 			served += (double)tally->served[i][j];
 		}
@@ -137,7 +137,7 @@
 	double offered, served;
 	int i, j;
 
-	for (j = 0; j < LOOM_IMPORTANCES; j++) {
+	for (j = 0; j < LOOM_IMPORTANCE_COUNT; j++) {
 		offered = served = 0;
 		for (i = 0; i < MODEL_TEAMS; i++) {
 			offered += (double)tally->offered[i][j];
--- a/include/loom/manifest.h
+++ b/include/loom/manifest.h
@@ -47,7 +47,7 @@
 	LOOM_HIGH,
 	LOOM_NORMAL, /* the default */
 	LOOM_LOW,
-	LOOM_IMPORTANCES,
+	LOOM_IMPORTANCE_COUNT,
 };
 
 struct loom_key {
@@ -80,7 +80,7 @@
 	char load_path[LOOM_NAME_MAX + 1];
 };
 
-struct loom_route_part {
+struct loom_route_split {
 	uint32_t service_index;
 	uint32_t weight;
 };
@@ -108,8 +108,8 @@
 	uint64_t max_body_bytes;
 	/* services that share the requests by weight; if empty,
 	 * service_index gets all of them */
-	struct loom_route_part *parts; /* owned */
-	uint32_t nparts;
+	struct loom_route_split *splits; /* owned */
+	uint32_t nsplits;
 	uint32_t *calls; /* owned: route indexes */
 	uint32_t ncalls;
 };
--- a/include/loom/return_schedule.h
+++ b/include/loom/return_schedule.h
@@ -20,7 +20,7 @@
 	 * Next free slot. Each importance has its own schedule, so that a
 	 * critical call does not return after a thousand lookups.
 	 */
-	uint64_t next_us[LOOM_IMPORTANCES];
+	uint64_t next_us[LOOM_IMPORTANCE_COUNT];
 };
 
 /*
--- a/include/loom/shed.h
+++ b/include/loom/shed.h
@@ -17,7 +17,7 @@
 #include "loom/manifest.h"
 
 #define LOOM_COHORTS 256
-#define LOOM_CUT_NONE ((uint16_t)(LOOM_IMPORTANCES * LOOM_COHORTS))
+#define LOOM_CUT_NONE ((uint16_t)(LOOM_IMPORTANCE_COUNT * LOOM_COHORTS))
 
 /* An answer carries one of these for each service that worked on it. */
 struct loom_threshold {
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -69,14 +69,14 @@
 	uint64_t total = 0, offset;
 	uint32_t i;
 
-	for (i = 0; i < route->nparts; i++)
-		total += route->parts[i].weight;
+	for (i = 0; i < route->nsplits; i++)
+		total += route->splits[i].weight;
 	if (total == 0)
 		return &services[route->service_index];
 	offset = loom_random_below(&loom_random_system, total);
-	for (i = 0; offset >= route->parts[i].weight; i++)
-		offset -= route->parts[i].weight;
-	return &services[route->parts[i].service_index];
+	for (i = 0; offset >= route->splits[i].weight; i++)
+		offset -= route->splits[i].weight;
+	return &services[route->splits[i].service_index];
 }
 
 static enum loom_result
--- a/src/decide/admission.c
+++ b/src/decide/admission.c
@@ -621,7 +621,7 @@
 {
 	dispatch_waiting(adm, now_us, verdicts);
 	tick_critical(adm, now_us);
-	if (is_queue_short_from(adm, LOOM_IMPORTANCES - 1)) {
+	if (is_queue_short_from(adm, LOOM_IMPORTANCE_COUNT - 1)) {
 		on_queue_short(adm, now_us);
 	} else if (now_us > adm->last_short_us + standing_time_us(adm)) {
 		set_newest_first(adm, true);
--- a/src/decide/queue.c
+++ b/src/decide/queue.c
@@ -66,7 +66,7 @@
 	struct loom_queue_team *bucket_next; /* next team in the hash bucket */
 	struct loom_queue_team *idle_next;
 	struct loom_queue_team *idle_prev;
-	struct loom_team_level levels[LOOM_IMPORTANCES];
+	struct loom_team_level levels[LOOM_IMPORTANCE_COUNT];
 };
 
 /* One importance over all teams. */
@@ -83,7 +83,7 @@
 	struct loom_queue_team *buckets[BUCKETS];
 	struct loom_queue_team *idle_oldest;
 	struct loom_queue_team *idle_newest;
-	struct importance_level levels[LOOM_IMPORTANCES];
+	struct importance_level levels[LOOM_IMPORTANCE_COUNT];
 	uint32_t bound;
 	uint32_t nested_bound; /* while the lowest level is all nested calls */
 	uint32_t critical_bound; /* while only critical calls wait */
@@ -223,7 +223,7 @@
 	uint32_t i, nteams;
 
 	queue->capacity = bound > CAPACITY_MIN ? bound : CAPACITY_MIN;
-	queue->newest_first_from = LOOM_IMPORTANCES;
+	queue->newest_first_from = LOOM_IMPORTANCE_COUNT;
 	loom_queue_set_bounds(queue, bound, bound, bound);
 	/* One more than may wait: a call is inserted before another one is
 	 * displaced. */
@@ -259,7 +259,8 @@
 loom_queue_set_newest_first(
     struct loom_queue *queue, enum loom_importance from, bool newest_first)
 {
-	queue->newest_first_from = newest_first ? (int)from : LOOM_IMPORTANCES;
+	queue->newest_first_from =
+	    newest_first ? (int)from : LOOM_IMPORTANCE_COUNT;
 }
 
 static bool
@@ -431,7 +432,7 @@
 static struct loom_admission_call *
 lowest_priority_call(const struct loom_queue *queue)
 {
-	int importance = LOOM_IMPORTANCES - 1;
+	int importance = LOOM_IMPORTANCE_COUNT - 1;
 	struct loom_queue_team *team;
 
 	while (queue->levels[importance].length == 0)
@@ -495,7 +496,7 @@
 count_overtaken(struct loom_queue *queue, int importance)
 {
 	queue->levels[importance].overtaken = 0;
-	while (++importance < LOOM_IMPORTANCES)
+	while (++importance < LOOM_IMPORTANCE_COUNT)
 		queue->levels[importance].overtaken++;
 }
 
@@ -640,7 +641,7 @@
 	struct loom_queue_team *team, *next;
 	int i;
 
-	for (i = 0; i < LOOM_IMPORTANCES; i++) {
+	for (i = 0; i < LOOM_IMPORTANCE_COUNT; i++) {
 		for (team = queue->levels[i].teams; team != NULL; team = next) {
 			next = team->levels[i].next;
 			sweep_team_level(queue, team, i, ops, arg);
--- a/src/decide/return_schedule.c
+++ b/src/decide/return_schedule.c
@@ -21,7 +21,7 @@
 #include "loom/return_schedule.h"
 
 /* Fraction of the service's completion rate. */
-static const double return_share[LOOM_IMPORTANCES] = {
+static const double return_share[LOOM_IMPORTANCE_COUNT] = {
 	[LOOM_CRITICAL] = 0.02,
 	[LOOM_HIGH] = 0.015,
 	[LOOM_NORMAL] = 0.01,
--- a/src/inner/context.c
+++ b/src/inner/context.c
@@ -121,7 +121,7 @@
 		    sizeof(context->key_prefix));
 	}
 	context->importance = (enum loom_importance)loom_unpack_u64(
-	    &unpacker, LOOM_IMPORTANCES - 1);
+	    &unpacker, LOOM_IMPORTANCE_COUNT - 1);
 	context->remaining_us =
 	    loom_unpack_u64(&unpacker, LOOM_DEADLINE_MAX_US);
 	context->hops = (uint8_t)loom_unpack_u64(&unpacker, UINT8_MAX);
--- a/src/manifest/build.c
+++ b/src/manifest/build.c
@@ -241,7 +241,7 @@
 
 	manifest_index_free(manifest->index);
 	for (i = 0; i < manifest->nroutes; i++) {
-		g_free(manifest->routes[i].parts);
+		g_free(manifest->routes[i].splits);
 		g_free(manifest->routes[i].calls);
 	}
 	g_free(manifest->routes);
--- a/src/manifest/document_fields.c
+++ b/src/manifest/document_fields.c
@@ -30,14 +30,14 @@
 	[LOOM_HIGH] = "high",
 	[LOOM_NORMAL] = "normal",
 	[LOOM_LOW] = "low",
-	[LOOM_IMPORTANCES] = NULL,
+	[LOOM_IMPORTANCE_COUNT] = NULL,
 };
 
 const char *
 loom_importance_name(enum loom_importance importance)
 {
-	return importance < LOOM_IMPORTANCES ? importance_names[importance]
-					     : "?";
+	return importance < LOOM_IMPORTANCE_COUNT ? importance_names[importance]
+						  : "?";
 }
 
 /*
@@ -236,7 +236,7 @@
 	    .offset = offsetof(struct route_entry, is_public) },
 	{ .name = "split",
 	    .type = LOOM_FIELD_LIST,
-	    .offset = offsetof(struct route_entry, parts),
+	    .offset = offsetof(struct route_entry, splits),
 	    .size = sizeof(struct split_entry),
 	    .fields = part_fields },
 	{ .name = "timeout_ms",
--- a/src/manifest/drop.c
+++ b/src/manifest/drop.c
@@ -76,14 +76,14 @@
 {
 	uint32_t kept = 0, i, element_index;
 
-	for (i = 0; i < route->nparts; i++) {
-		element_index = new_index[route->parts[i].service_index];
+	for (i = 0; i < route->nsplits; i++) {
+		element_index = new_index[route->splits[i].service_index];
 		if (element_index == NO_INDEX)
 			continue;
-		route->parts[kept] = route->parts[i];
-		route->parts[kept++].service_index = element_index;
+		route->splits[kept] = route->splits[i];
+		route->splits[kept++].service_index = element_index;
 	}
-	route->nparts = kept;
+	route->nsplits = kept;
 }
 
 /* Also drops each route whose service is unknown or was dropped without being
@@ -176,7 +176,7 @@
 	}
 	for (i = 0; i < manifest->nroutes; i++) {
 		if (build->routes[i].dropped) {
-			g_free(manifest->routes[i].parts);
+			g_free(manifest->routes[i].splits);
 			g_free(manifest->routes[i].calls);
 			continue;
 		}
--- a/src/manifest/internal.h
+++ b/src/manifest/internal.h
@@ -65,7 +65,7 @@
 	uint32_t aim_ms;
 	uint32_t max_attempts;
 	bool is_public;
-	GArray *parts; /* of struct split_entry */
+	GArray *splits; /* of struct split_entry */
 	uint64_t max_body_bytes;
 };
 
--- a/src/manifest/resolve.c
+++ b/src/manifest/resolve.c
@@ -78,14 +78,14 @@
 	guint i;
 
 	if (parts->len > 0)
-		route->parts = g_new(struct loom_route_part, parts->len);
+		route->splits = g_new(struct loom_route_split, parts->len);
 	for (i = 0; i < parts->len; i++) {
 		entry = &g_array_index(parts, struct split_entry, i);
 		service_index = resolve_service(
 		    build, declaration, "split", entry->service);
 		if (service_index == NO_INDEX)
 			continue;
-		route->parts[route->nparts++] = (struct loom_route_part){
+		route->splits[route->nsplits++] = (struct loom_route_split){
 			.service_index = service_index,
 			.weight = entry->weight,
 		};
@@ -160,7 +160,7 @@
 	    struct route_entry, declaration->index);
 	route->service_index =
 	    resolve_service(build, declaration, "service", entry->service);
-	resolve_parts(build, route, declaration, entry->parts);
+	resolve_parts(build, route, declaration, entry->splits);
 	resolve_calls(build, route, declaration, entry->calls);
 }
 
--- a/tests/adapter/test_adapter.c
+++ b/tests/adapter/test_adapter.c
@@ -99,7 +99,8 @@
 	TEST_CHECK(route->importance == LOOM_NORMAL, "importance");
 	TEST_CHECK(route->max_attempts == 2, "attempts");
 	TEST_CHECK(route->max_body_bytes == 1000, "body");
-	TEST_CHECK(route->nparts == 2 && route->parts[1].weight == 10, "split");
+	TEST_CHECK(
+	    route->nsplits == 2 && route->splits[1].weight == 10, "split");
 	route = loom_manifest_route_by_name(manifest, "r-2");
 	TEST_CHECK(!route->repeatable && route->is_public, "unsafe, public");
 	TEST_CHECK(route->importance == LOOM_CRITICAL, "importance");
--- a/tests/decide/test_admission.c
+++ b/tests/decide/test_admission.c
@@ -517,7 +517,7 @@
 				.weight = loom_random_below(&random, 1000),
 				.importance =
 				    (enum loom_importance)loom_random_below(
-					&random, LOOM_IMPORTANCES),
+					&random, LOOM_IMPORTANCE_COUNT),
 				.call_class =
 				    (uint8_t)loom_random_below(&random, 256),
 				.per_s = 3000 * loom_random_unit(&random),
--- a/tests/inner/test_context.c
+++ b/tests/inner/test_context.c
@@ -145,7 +145,7 @@
 		{ "deepest", FIELD(hops), LOOM_HOPS_MAX, NOW, LOOM_OK },
 		{ "too deep", FIELD(hops), LOOM_HOPS_MAX + 1, NOW,
 		    LOOM_CONTEXT_HOPS },
-		{ "importance", FIELD(importance), LOOM_IMPORTANCES, NOW,
+		{ "importance", FIELD(importance), LOOM_IMPORTANCE_COUNT, NOW,
 		    LOOM_CONTEXT_INVALID },
 		{ "late within skew", FIELD(hops), 1,
 		    NOW + 5 * SECOND + LOOM_CLOCK_SKEW_US, LOOM_OK },
--- a/tests/manifest/manifest_support.h
+++ b/tests/manifest/manifest_support.h
@@ -20,7 +20,7 @@
 
 /* Returns the code of an error, or LOOM_OK for NULL, and frees the error. */
 static inline enum loom_result
-test_take_code(GError *error)
+test_error_code_free(GError *error)
 {
 	enum loom_result code;
 
--- a/tests/manifest/test_diff.c
+++ b/tests/manifest/test_diff.c
@@ -195,8 +195,8 @@
 		TEST_CHECK(error != NULL &&
 			strcmp(error->message, cases[i].message) == 0,
 		    "%zu: %s", i, error == NULL ? "" : error->message);
-		TEST_CHECK(
-		    test_take_code(error) == LOOM_MANIFEST_ABSENT, "%zu", i);
+		TEST_CHECK(test_error_code_free(error) == LOOM_MANIFEST_ABSENT,
+		    "%zu", i);
 	}
 	loom_manifest_release(manifest);
 }
--- a/tests/manifest/test_hosts.c
+++ b/tests/manifest/test_hosts.c
@@ -19,7 +19,7 @@
 
 	loom_hosts_parse(service, quoted, strlen(quoted), hosts, &error);
 	g_free(quoted);
-	return test_take_code(error);
+	return test_error_code_free(error);
 }
 
 /* If a malformed list were accepted in part, the live hosts missing from that
--- a/tests/manifest/test_sign.c
+++ b/tests/manifest/test_sign.c
@@ -44,7 +44,7 @@
 		g_free(payload);
 		return LOOM_OK;
 	}
-	return test_take_code(error);
+	return test_error_code_free(error);
 }
 
 static char *
@@ -198,7 +198,7 @@
 	make_keys();
 	CU_ASSERT_PTR_NULL(loom_envelope_sign(
 	    &secret_keys[0], payload, LOOM_DOCUMENT_BYTES_MAX + 1, &error));
-	CU_ASSERT_EQUAL(test_take_code(error), LOOM_ENVELOPE_TOO_LARGE);
+	CU_ASSERT_EQUAL(test_error_code_free(error), LOOM_ENVELOPE_TOO_LARGE);
 	text = loom_envelope_sign(
 	    &secret_keys[0], payload, LOOM_DOCUMENT_BYTES_MAX, NULL);
 	CU_ASSERT(text != NULL && strlen(text) <= LOOM_ENVELOPE_BYTES_MAX);
@@ -218,7 +218,7 @@
 
 	g_file_set_contents(file, text, -1, NULL);
 	loom_secret_key_load(file, &key, &error);
-	TEST_CHECK(test_take_code(error) == LOOM_SIGNING_KEY, "%s", text);
+	TEST_CHECK(test_error_code_free(error) == LOOM_SIGNING_KEY, "%s", text);
 }
 
 static void
@@ -246,7 +246,7 @@
 	CU_ASSERT_EQUAL(st.st_mode & 0777, 0600);
 	CU_ASSERT_FALSE(loom_key_pair_write(
 	    prefix, &public_keys[1], &secret_keys[1], &error));
-	CU_ASSERT_EQUAL(test_take_code(error), LOOM_FILE_UNREADABLE);
+	CU_ASSERT_EQUAL(test_error_code_free(error), LOOM_FILE_UNREADABLE);
 	check_bad_secret(secret_file, "");
 	check_bad_secret(secret_file, "00ff");
 	zeros = g_strnfill(128, '0');
