--- a/bench/bench_rights.c
+++ b/bench/bench_rights.c
@@ -10,7 +10,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "inner/codec_rights.h"
+#include "inner/rights_codec.h"
 #include "loom/rights.h"
 #include "support/fleet.h"
 
--- a/bench/bench_tickets.c
+++ b/bench/bench_tickets.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "inner/seal.h"
+#include "inner/mac_text.h"
 #include "loom/clock.h"
 #include "loom/context.h"
 #include "loom/quarantine.h"
@@ -64,7 +64,7 @@
 		.host_id = UINT64_MAX,
 		.incarnation = UINT64_MAX,
 	};
-	struct loom_replay *replay = loom_replay_new(1 << 20);
+	struct loom_replay_set *replay = loom_replay_set_new(1 << 20);
 	char text[LOOM_CONTEXT_TEXT_MAX];
 	struct loom_context_key key;
 	struct loom_context out;
@@ -93,11 +93,11 @@
 		memcpy(context.call.bytes, &i, sizeof(i));
 		context.call.bytes[15] = (uint8_t)i;
 		broken |=
-		    loom_replay_admit(replay, &context, now_us) != LOOM_OK;
+		    loom_replay_set_admit(replay, &context, now_us) != LOOM_OK;
 	}
 	report("context, call id not seen before", begun_us, ROUNDS, 1);
 	printf("%-34s %8zu bytes\n", "context, text", len);
-	loom_replay_free(replay);
+	loom_replay_set_free(replay);
 }
 
 static void
--- a/include/loom/codec.h
+++ b/include/loom/codec.h
@@ -26,7 +26,7 @@
 /* Maximum encoded size of an integer, double or bool, in bytes. */
 #define LOOM_PACKED_SCALAR_MAX 9
 /* Maximum encoded size of the header of a string or byte string, in bytes. */
-#define LOOM_PACKED_HEAD_MAX 5
+#define LOOM_PACKED_HEADER_MAX 5
 
 struct loom_packer {
 	uint8_t *data; /* owned by the caller */
--- a/include/loom/context.h
+++ b/include/loom/context.h
@@ -93,8 +93,8 @@
  * incarnation or clock reading of this host. A stale context is answered with
  * the "Loom-Clock" header, and the issuer may retry at once.
  *
- * The caller must make one more check: loom_replay_admit() for a peer context,
- * or loom_calls_find() for an upstream context.
+ * The caller must make one more check: loom_replay_set_admit() for a peer
+ * context, or loom_calls_find() for an upstream context.
  */
 enum loom_result loom_context_verify(const char *text, size_t len,
     const struct loom_context_key *, const struct loom_context_expect *,
@@ -103,8 +103,8 @@
 /* An issuer's last reading of a peer's clock. All zeros if there is none. */
 struct loom_peer_clock {
 	uint64_t incarnation;
-	uint64_t heard_us; /* the peer's clock as of its last answer */
-	uint64_t heard_at_us; /* our clock when that answer arrived */
+	uint64_t peer_now_us; /* the peer's clock as of its last answer */
+	uint64_t received_at_us; /* our clock when that answer arrived */
 };
 
 #define LOOM_CLOCK_TEXT_MAX 48
@@ -117,7 +117,7 @@
  * Updates the reading from the header of an answer. Returns false and changes
  * nothing if the header is malformed.
  */
-bool loom_clock_learn(
+bool loom_clock_update(
     struct loom_peer_clock *, const char *text, uint64_t now_us);
 
 /* Sets audience_incarnation and audience_stamp_us of a new context. */
@@ -128,18 +128,18 @@
  * Call ids of the peer contexts received. Each is kept until its context would
  * be rejected as stale anyway. Thread-safe.
  */
-struct loom_replay;
+struct loom_replay_set;
 
-/* Capacity is a number of ids. Free with loom_replay_free(). */
-struct loom_replay *loom_replay_new(uint32_t capacity);
-void loom_replay_free(struct loom_replay *);
+/* Capacity is a number of ids. Free with loom_replay_set_free(). */
+struct loom_replay_set *loom_replay_set_new(uint32_t capacity);
+void loom_replay_set_free(struct loom_replay_set *);
 
 /*
  * Returns LOOM_OK the first time that a call id is seen, then
  * LOOM_CONTEXT_REPLAYED. Returns LOOM_OVERLOAD if the set is full of ids that
  * have not expired.
  */
-enum loom_result loom_replay_admit(
-    struct loom_replay *, const struct loom_context *, uint64_t now_us);
+enum loom_result loom_replay_set_admit(
+    struct loom_replay_set *, const struct loom_context *, uint64_t now_us);
 
 #endif
--- a/include/loom/inner.h
+++ b/include/loom/inner.h
@@ -30,8 +30,8 @@
  */
 #define LOOM_ADDRESS_SIZE 64
 /* Maximum number of bytes that the envelope adds to the payload. */
-#define LOOM_MESSAGE_HEAD_MAX                                    \
-	(6 * LOOM_PACKED_SCALAR_MAX + 2 * LOOM_PACKED_HEAD_MAX + \
+#define LOOM_MESSAGE_HEADER_MAX                                    \
+	(6 * LOOM_PACKED_SCALAR_MAX + 2 * LOOM_PACKED_HEADER_MAX + \
 	    LOOM_ADDRESS_SIZE)
 
 /* The envelope of a payload. */
@@ -64,16 +64,16 @@
  * each incarnation of a sender, the last 64 sequence numbers are tracked; lower
  * numbers are treated as replayed.
  */
-struct loom_repeats;
+struct loom_replay_window;
 
 /* Allocated on mem_ctx. */
-struct loom_repeats *loom_repeats_new(TALLOC_CTX *mem_ctx);
+struct loom_replay_window *loom_replay_window_new(TALLOC_CTX *mem_ctx);
 /*
  * Returns true and records the message if it is new. Returns false for a
  * replayed message, and for one of a new sender while too many senders are
  * active to track another.
  */
-bool loom_repeats_check(struct loom_repeats *,
+bool loom_replay_window_accept(struct loom_replay_window *,
     const struct loom_message_source *, uint64_t sequence, uint64_t now_us);
 
 /*
@@ -92,8 +92,8 @@
 	 */
 	struct loom_self self;
 	uint8_t secret[LOOM_FLEET_SECRET_SIZE];
-	uint32_t peers_max; /* outgoing connections; 0 for the default */
-	uint32_t idle_ms; /* before one is closed; 0 for the default */
+	uint32_t max_connections; /* outgoing connections; 0 for the default */
+	uint32_t idle_timeout_ms; /* before one is closed; 0 for the default */
 };
 
 /* Called for each valid message. The envelope is valid only during the call. */
--- a/src/control/replay.c
+++ b/src/control/replay.c
@@ -34,7 +34,7 @@
 	uint64_t last_sweep_us; /* 0 for never */
 };
 
-struct loom_replay {
+struct loom_replay_set {
 	struct replay_shard shards[SHARD_COUNT];
 	uint32_t shard_capacity;
 };
@@ -45,10 +45,11 @@
 	talloc_free(entry);
 }
 
-struct loom_replay *
-loom_replay_new(uint32_t capacity)
+struct loom_replay_set *
+loom_replay_set_new(uint32_t capacity)
 {
-	struct loom_replay *replay = talloc_zero(NULL, struct loom_replay);
+	struct loom_replay_set *replay =
+	    talloc_zero(NULL, struct loom_replay_set);
 	size_t i;
 
 	replay->shard_capacity = MAX(capacity / SHARD_COUNT, 1);
@@ -63,7 +64,7 @@
 }
 
 void
-loom_replay_free(struct loom_replay *replay)
+loom_replay_set_free(struct loom_replay_set *replay)
 {
 	size_t i;
 
@@ -122,7 +123,7 @@
 }
 
 enum loom_result
-loom_replay_admit(struct loom_replay *replay,
+loom_replay_set_admit(struct loom_replay_set *replay,
     const struct loom_context *context, uint64_t now_us)
 {
 	struct replay_shard *shard =
--- a/src/control/retry.c
+++ b/src/control/retry.c
@@ -7,7 +7,7 @@
  */
 
 #include "control/retry_internal.h"
-#include "inner/codec_retry.h"
+#include "inner/retry_codec.h"
 
 #define QUERY_TICK_US 5000
 
--- a/src/control/rights_child.c
+++ b/src/control/rights_child.c
@@ -162,17 +162,17 @@
 
 	target = loom_loan_prefetch_target_utok(
 	    demand_per_s(team, now_us), rights->choice.stage > 0, team->plenty);
-	entry->need_utok = missing_utok(team, waiting);
+	entry->needed_utok = missing_utok(team, waiting);
 	if (team->nwaiters == 0 && waiting > 0) {
 		child = g_queue_peek_head(&team->waiting_children);
 		first = child->lender_loan.first_utok;
 	}
-	if (entry->need_utok > 0)
-		entry->first_utok =
-		    MIN(entry->need_utok, first > level ? first - level : 1);
+	if (entry->needed_utok > 0)
+		entry->first_missing_utok =
+		    MIN(entry->needed_utok, first > level ? first - level : 1);
 	if (!team->scarce && waiting + target > level)
 		entry->prefetch_utok =
-		    waiting + target - level - entry->need_utok;
+		    waiting + target - level - entry->needed_utok;
 }
 
 static void
@@ -196,7 +196,7 @@
 		in->share.capacity = MIN(in->share.capacity,
 		    loom_capacity_parts(&team->bucket, entry->held_utok));
 	entry->received_seq = in->seq;
-	entry->keep = in->share;
+	entry->kept_share = in->share;
 }
 
 void
@@ -209,7 +209,7 @@
 	fill_entry(rights, team, now_us, entry);
 	fill_requested_tokens(rights, team, now_us, entry);
 	team->requested_us = now_us;
-	team->requested_utok = entry->need_utok;
+	team->requested_utok = entry->needed_utok;
 }
 
 /*
@@ -228,7 +228,7 @@
 		spare = in->share.capacity -
 		    MIN(in->share.capacity, team->bucket.lent.capacity);
 		in->share.capacity -= MIN(parts, spare);
-		entry->keep = in->share;
+		entry->kept_share = in->share;
 	}
 	team->bucket.level_utok -= utok;
 	entry->held_utok -= utok;
@@ -244,9 +244,9 @@
 
 	fill_entry(rights, team, now_us, entry);
 	return_tokens(team, in, team->bucket.level_utok, entry);
-	entry->keep = (struct loom_share){ 0 };
+	entry->kept_share = (struct loom_share){ 0 };
 	if (in != NULL)
-		in->share = entry->keep;
+		in->share = entry->kept_share;
 }
 
 /*
@@ -322,7 +322,7 @@
 	rights_add_request(rights, team, now_us);
 	entry = &rights->up.entries[rights->up.nentries - 1];
 	if (no_open_request && (full || team->scarce) &&
-	    team->bucket.level_utok > keep && entry->need_utok == 0)
+	    team->bucket.level_utok > keep && entry->needed_utok == 0)
 		return_tokens(team, in, team->bucket.level_utok - keep, entry);
 }
 
@@ -524,8 +524,8 @@
 	if ((entry->flags & LOOM_RIGHTS_GRANT) != 0)
 		apply_grant(rights, from, team, entry, now_us);
 	if (from->host_id == rights->parent.host_id) {
-		team->scarce = (entry->flags & LOOM_RIGHTS_SCARCE) != 0;
-		team->plenty = (entry->flags & LOOM_RIGHTS_PLENTY) != 0;
+		team->scarce = (entry->flags & LOOM_RIGHTS_NO_PREFETCH) != 0;
+		team->plenty = (entry->flags & LOOM_RIGHTS_MORE_PREFETCH) != 0;
 		/*
 		 * Tokens that have arrived are no longer requested; those for
 		 * calls that began to wait since are.
@@ -535,8 +535,8 @@
 		if ((entry->flags & LOOM_RIGHTS_GRANT) != 0 &&
 		    need_utok(rights, team, now_us) == 0)
 			team->requested_us = 0;
-		if (entry->retry_us > 0)
-			team->no_tokens_until_us = now_us + entry->retry_us;
+		if (entry->no_tokens_us > 0)
+			team->no_tokens_until_us = now_us + entry->no_tokens_us;
 		if ((entry->flags & LOOM_RIGHTS_RECALL) != 0)
 			return_recalled(rights, team, now_us);
 	}
@@ -615,7 +615,7 @@
 	for (i = 0; i < down->nentries; i++)
 		receive_entry(rights, from, &down->entries[i], now_us);
 	rights_flush_up(rights, now_us);
-	if (down->leaving) {
+	if (down->draining) {
 		rights_set_silent(rights, from->host_id);
 		rights_choose_parent(rights, now_us);
 	} else if (g_hash_table_remove(rights->silent_hosts, &from->host_id)) {
--- a/src/control/rights_internal.h
+++ b/src/control/rights_internal.h
@@ -23,7 +23,7 @@
 #include "decide/ownership.h"
 #include "decide/pool_choice.h"
 #include "decide/team_bucket.h"
-#include "inner/codec_rights.h"
+#include "inner/rights_codec.h"
 #include "loom/counter.h"
 #include "loom/rights.h"
 
--- a/src/control/rights_pool.c
+++ b/src/control/rights_pool.c
@@ -27,7 +27,7 @@
 	down->child_incarnation = child->from.incarnation;
 	down->child_now_us = child->child_now_us;
 	down->now_us = now_us;
-	down->leaving = rights->leaving;
+	down->draining = rights->leaving;
 	len = loom_rights_down_pack(down, rights->buf, sizeof(rights->buf));
 	down->nentries = 0;
 	g_assert(len > 0);
@@ -272,9 +272,9 @@
 		    MIN(LOOM_TOKEN_UTOK, decision.unmet_utok);
 	entry->flags = LOOM_RIGHTS_GRANT;
 	if (decision.scarce)
-		entry->flags |= LOOM_RIGHTS_SCARCE;
+		entry->flags |= LOOM_RIGHTS_NO_PREFETCH;
 	if (decision.plenty)
-		entry->flags |= LOOM_RIGHTS_PLENTY;
+		entry->flags |= LOOM_RIGHTS_MORE_PREFETCH;
 	entry->share = decision.share;
 	entry->tokens_utok = decision.added_utok;
 	entry->transit_utok = decision.transit_utok;
@@ -335,11 +335,11 @@
 
 	entry = &rights->down.entries[rights->down.nentries - 1];
 	if (rights->parent.host_id != 0)
-		entry->retry_us = team->no_tokens_until_us -
+		entry->no_tokens_us = team->no_tokens_until_us -
 		    MIN(now_us, team->no_tokens_until_us);
 	else
-		entry->retry_us = no_tokens_for_us(team, out, now_us);
-	if (entry->retry_us > 0) {
+		entry->no_tokens_us = no_tokens_for_us(team, out, now_us);
+	if (entry->no_tokens_us > 0) {
 		out->lender_loan.need_utok = 0;
 		return;
 	}
@@ -366,15 +366,15 @@
 	if (now_us >= out->lender_loan.until_us)
 		out->lender_loan.committed = (struct loom_share){ 0 };
 	loom_lender_loan_confirm(
-	    &out->lender_loan, entry->received_seq, entry->keep);
+	    &out->lender_loan, entry->received_seq, entry->kept_share);
 	rights_update_lent(team, &before, &out->lender_loan.committed);
 	loom_bucket_add(
 	    &team->bucket, &team->shard->base, entry->returned_utok, now_us);
 	team->returned_utok += entry->returned_utok;
 	set_demand(team, out, (double)entry->demand_mhz / MHZ_PER_HZ);
 	out->held_utok = entry->held_utok;
-	out->lender_loan.need_utok = entry->need_utok;
-	out->lender_loan.first_utok = entry->first_utok;
+	out->lender_loan.need_utok = entry->needed_utok;
+	out->lender_loan.first_utok = entry->first_missing_utok;
 	rights_grant(rights, team, out, entry->prefetch_utok, now_us);
 	if (out->lender_loan.need_utok > 0)
 		wait_or_refuse(rights, team, out, now_us);
--- a/src/control/rights_recall.c
+++ b/src/control/rights_recall.c
@@ -139,7 +139,7 @@
 			continue;
 		rights_start_down(rights);
 		rights_add_entry(rights, team)->flags =
-		    LOOM_RIGHTS_RECALL | LOOM_RIGHTS_SCARCE;
+		    LOOM_RIGHTS_RECALL | LOOM_RIGHTS_NO_PREFETCH;
 		loan->held_utok = 0;
 		rights_send_down(rights, loan->child, now_us);
 		n++;
--- a/src/control/spread_messages.c
+++ b/src/control/spread_messages.c
@@ -96,7 +96,8 @@
 static void
 start_exchange(struct loom_spread *spread, uint64_t host_id, uint64_t now_us)
 {
-	uint8_t buf[SPREAD_NBUCKETS * sizeof(uint64_t) + LOOM_PACKED_HEAD_MAX];
+	uint8_t
+	    buf[SPREAD_NBUCKETS * sizeof(uint64_t) + LOOM_PACKED_HEADER_MAX];
 	size_t len;
 
 	if (spread->last_exchange_us != 0 &&
--- a/src/control/spread_wire.c
+++ b/src/control/spread_wire.c
@@ -175,7 +175,7 @@
 size_t
 spread_value_size(const char *name, size_t len)
 {
-	return 2 * LOOM_PACKED_HEAD_MAX + LOOM_PACKED_SCALAR_MAX +
+	return 2 * LOOM_PACKED_HEADER_MAX + LOOM_PACKED_SCALAR_MAX +
 	    strlen(name) + len;
 }
 
--- a/src/control/tickets.c
+++ b/src/control/tickets.c
@@ -151,7 +151,7 @@
 struct issuer_info {
 	enum loom_result code; /* LOOM_OK: its tickets run here */
 	uint64_t successor_host_id;
-	uint8_t secret[LOOM_SEAL_KEY_SIZE];
+	uint8_t secret[LOOM_DERIVED_KEY_SIZE];
 };
 
 static struct issuer_info
--- a/src/control/tickets_state.h
+++ b/src/control/tickets_state.h
@@ -8,7 +8,7 @@
 
 #include "control/handover.h"
 #include "decide/ticket_store.h"
-#include "inner/seal.h"
+#include "inner/mac_text.h"
 #include "loom/ticket.h"
 
 #define TICKET_SHARDS 16
@@ -20,7 +20,7 @@
 struct ticket_issuer {
 	uint64_t host_id;
 	uint64_t incarnation;
-	uint8_t secret[LOOM_SEAL_KEY_SIZE];
+	uint8_t secret[LOOM_DERIVED_KEY_SIZE];
 	uint64_t expires_us; /* UINT64_MAX for this daemon's own */
 };
 
--- a/src/daemon/auth.c
+++ b/src/daemon/auth.c
@@ -110,6 +110,6 @@
 	if (result != LOOM_OK)
 		return result;
 	call->deadline_us = call->arrived_us + call->context.remaining_us;
-	return loom_replay_admit(
+	return loom_replay_set_admit(
 	    call->worker->daemon->replay, &call->context, call->arrived_us);
 }
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -54,7 +54,7 @@
 	struct loom_context_key context_key; /* constant */
 	uint8_t fleet_secret[LOOM_FLEET_SECRET_SIZE]; /* constant */
 	struct loom_calls *calls; /* any thread */
-	struct loom_replay *replay; /* any thread */
+	struct loom_replay_set *replay; /* any thread */
 	struct loom_tickets *tickets; /* any thread */
 	struct loom_quarantine *quarantine; /* any thread */
 	struct loom_rights_set *rights; /* any thread */
--- a/src/daemon/run.c
+++ b/src/daemon/run.c
@@ -229,7 +229,7 @@
 	daemon->wait_share.updated_us = now_us;
 	daemon->fanout = loom_fanout_new(daemon, now_us);
 	daemon->calls = loom_calls_new();
-	daemon->replay = loom_replay_new(REPLAY_CAPACITY);
+	daemon->replay = loom_replay_set_new(REPLAY_CAPACITY);
 	daemon->tickets = loom_tickets_new(&tickets);
 	daemon->quarantine = loom_quarantine_new(&quarantine);
 	daemon->rights = loom_rights_set_new(daemon, &daemon->self,
@@ -426,7 +426,7 @@
 	if (daemon->calls != NULL)
 		loom_calls_free(daemon->calls);
 	if (daemon->replay != NULL)
-		loom_replay_free(daemon->replay);
+		loom_replay_set_free(daemon->replay);
 	talloc_free(daemon);
 }
 
--- a/src/daemon/target.c
+++ b/src/daemon/target.c
@@ -93,7 +93,7 @@
 
 	text = loom_fetch_header(call->fetch, HEADER_CLOCK);
 	if (text != NULL)
-		loom_clock_learn(worker_peer_clock(worker, call->target_id),
+		loom_clock_update(worker_peer_clock(worker, call->target_id),
 		    text, loom_now_us());
 	shed_thresholds_learn(worker, call->context.team_id,
 	    loom_fetch_header(call->fetch, HEADER_CUT));
--- a/src/inner/context.c
+++ b/src/inner/context.c
@@ -11,7 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "inner/seal.h"
+#include "inner/mac_text.h"
 #include "loom/codec.h"
 #include "loom/context.h"
 
@@ -146,7 +146,7 @@
 	pack_context(&packer, context);
 	if (!loom_pack_ok(&packer))
 		return 0;
-	return loom_seal_text(
+	return loom_encode_with_mac(
 	    bytes, packer.len, MAC_SIZE, key->bytes, out, size);
 }
 
@@ -171,10 +171,10 @@
 
 /*
  * Rejects a peer context that is too old. Its deadline is relative, so without
- * this check a recorded context would be accepted again as soon as loom_replay
- * had dropped its call id. The stamp is a time of this host's own clock, which
- * the issuer estimates from an exchange with this very incarnation; no other
- * clocks are compared.
+ * this check a recorded context would be accepted again as soon as
+ * loom_replay_set had dropped its call id. The stamp is a time of this host's
+ * own clock, which the issuer estimates from an exchange with this very
+ * incarnation; no other clocks are compared.
  */
 static enum loom_result
 check_age(const struct loom_context *context, uint64_t now_us)
@@ -212,7 +212,7 @@
 	enum loom_result code;
 	size_t payload_len;
 
-	if (!loom_open_text(text, len, MAC_SIZE, key->bytes, bytes,
+	if (!loom_decode_with_mac(text, len, MAC_SIZE, key->bytes, bytes,
 		sizeof(bytes), &payload_len))
 		return LOOM_CONTEXT_INVALID;
 	if (!unpack_context(bytes, payload_len, context))
@@ -249,7 +249,7 @@
 }
 
 bool
-loom_clock_learn(
+loom_clock_update(
     struct loom_peer_clock *clock, const char *text, uint64_t now_us)
 {
 	unsigned long long incarnation, heard_us;
@@ -264,8 +264,8 @@
 	if (text[parsed_len] != '\0' || text[0] == '-' || text[0] == '+')
 		return false;
 	clock->incarnation = incarnation;
-	clock->heard_us = heard_us;
-	clock->heard_at_us = now_us;
+	clock->peer_now_us = heard_us;
+	clock->received_at_us = now_us;
 	return true;
 }
 
@@ -274,7 +274,7 @@
     struct loom_context *context)
 {
 	context->audience_incarnation = clock->incarnation;
-	context->audience_stamp_us = clock->heard_us;
-	if (now_us > clock->heard_at_us)
-		context->audience_stamp_us += now_us - clock->heard_at_us;
+	context->audience_stamp_us = clock->peer_now_us;
+	if (now_us > clock->received_at_us)
+		context->audience_stamp_us += now_us - clock->received_at_us;
 }
--- a/src/inner/keys.c
+++ b/src/inner/curve.c
@@ -17,7 +17,7 @@
 #include <string.h>
 #include <zmq.h>
 
-#include "inner/keys.h"
+#include "inner/curve.h"
 
 #define ZAP_ENDPOINT "inproc://zeromq.zap.01"
 #define ZAP_DOMAIN "loom"
--- a/src/inner/keys.h
+++ b/src/inner/curve.h
@@ -1,5 +1,5 @@
-#ifndef LOOM_INNER_KEYS_H
-#define LOOM_INNER_KEYS_H
+#ifndef LOOM_INNER_CURVE_H
+#define LOOM_INNER_CURVE_H
 
 /*
  * CURVE authentication with the fleet's key pair, and the ZAP handler that
--- a/src/inner/handover_codec.c
+++ b/src/inner/handover_codec.c
@@ -42,7 +42,7 @@
 }
 
 size_t
-handover_chunk_seal(const uint8_t key[LOOM_SEAL_KEY_SIZE],
+handover_chunk_seal(const uint8_t key[LOOM_DERIVED_KEY_SIZE],
     const struct handover_pair *pair, uint32_t index, uint32_t count,
     const uint8_t *data, size_t len, uint8_t out[HANDOVER_MESSAGE_MAX])
 {
@@ -66,7 +66,7 @@
 }
 
 bool
-handover_chunk_open(const uint8_t key[LOOM_SEAL_KEY_SIZE],
+handover_chunk_open(const uint8_t key[LOOM_DERIVED_KEY_SIZE],
     const struct handover_pair *pair, const uint8_t *message, size_t len,
     struct handover_chunk *chunk)
 {
--- a/src/inner/handover_codec.h
+++ b/src/inner/handover_codec.h
@@ -7,7 +7,7 @@
  */
 
 #include "decide/ticket_store.h"
-#include "inner/seal.h"
+#include "inner/mac_text.h"
 #include "loom/codec.h"
 #include "loom/control.h"
 
@@ -38,7 +38,7 @@
 };
 
 /* Encrypts a chunk. Returns the length of the message, or 0 on failure. */
-size_t handover_chunk_seal(const uint8_t key[LOOM_SEAL_KEY_SIZE],
+size_t handover_chunk_seal(const uint8_t key[LOOM_DERIVED_KEY_SIZE],
     const struct handover_pair *pair, uint32_t index, uint32_t count,
     const uint8_t *data, size_t len, uint8_t out[HANDOVER_MESSAGE_MAX]);
 
@@ -53,7 +53,7 @@
  * Decrypts a chunk. Returns false unless it is complete, authentic and meant
  * for this pair.
  */
-bool handover_chunk_open(const uint8_t key[LOOM_SEAL_KEY_SIZE],
+bool handover_chunk_open(const uint8_t key[LOOM_DERIVED_KEY_SIZE],
     const struct handover_pair *pair, const uint8_t *message, size_t len,
     struct handover_chunk *chunk);
 
@@ -89,7 +89,7 @@
 struct handover_issuer {
 	uint64_t host_id;
 	uint64_t incarnation;
-	uint8_t secret[LOOM_SEAL_KEY_SIZE];
+	uint8_t secret[LOOM_DERIVED_KEY_SIZE];
 	uint64_t remaining_us; /* until its tickets expire */
 };
 
--- a/src/inner/seal.c
+++ b/src/inner/mac_text.c
@@ -6,7 +6,7 @@
 #include <sodium.h>
 #include <string.h>
 
-#include "inner/seal.h"
+#include "inner/mac_text.h"
 #include "loom/context.h"
 
 #define KDF_CONTEXT "loomkeys" /* must be crypto_kdf_CONTEXTBYTES long */
@@ -18,18 +18,18 @@
 	(((bytes) + GROUP_BYTES - 1) / GROUP_BYTES * GROUP_DIGITS)
 
 void
-loom_derive_key(uint8_t key[LOOM_SEAL_KEY_SIZE],
-    const uint8_t secret[LOOM_SEAL_KEY_SIZE], enum loom_key_purpose purpose)
+loom_derive_key(uint8_t key[LOOM_DERIVED_KEY_SIZE],
+    const uint8_t secret[LOOM_DERIVED_KEY_SIZE], enum loom_key_purpose purpose)
 {
 	crypto_kdf_derive_from_key(
-	    key, LOOM_SEAL_KEY_SIZE, (uint64_t)purpose, KDF_CONTEXT, secret);
+	    key, LOOM_DERIVED_KEY_SIZE, (uint64_t)purpose, KDF_CONTEXT, secret);
 }
 
 void
 loom_mac(uint8_t *mac, size_t mac_len, const void *data, size_t len,
-    const uint8_t key[LOOM_SEAL_KEY_SIZE])
+    const uint8_t key[LOOM_DERIVED_KEY_SIZE])
 {
-	crypto_generichash(mac, mac_len, data, len, key, LOOM_SEAL_KEY_SIZE);
+	crypto_generichash(mac, mac_len, data, len, key, LOOM_DERIVED_KEY_SIZE);
 }
 
 /*
@@ -57,8 +57,8 @@
 }
 
 size_t
-loom_seal_text(uint8_t *bytes, size_t len, size_t mac_len,
-    const uint8_t key[LOOM_SEAL_KEY_SIZE], char *out, size_t size)
+loom_encode_with_mac(uint8_t *bytes, size_t len, size_t mac_len,
+    const uint8_t key[LOOM_DERIVED_KEY_SIZE], char *out, size_t size)
 {
 	/* encode() needs room for the padding, which it then removes */
 	if (size <= ENCODED_MAX(len + mac_len))
@@ -130,8 +130,8 @@
 }
 
 bool
-loom_open_text(const char *text, size_t len, size_t mac_len,
-    const uint8_t key[LOOM_SEAL_KEY_SIZE], uint8_t *out, size_t size,
+loom_decode_with_mac(const char *text, size_t len, size_t mac_len,
+    const uint8_t key[LOOM_DERIVED_KEY_SIZE], uint8_t *out, size_t size,
     size_t *payload_len)
 {
 	uint8_t mac[crypto_generichash_BYTES_MAX];
--- a/src/inner/message.c
+++ b/src/inner/message.c
@@ -44,7 +44,7 @@
 	uint64_t version;
 
 	*envelope = (struct loom_message){ .type = 0 };
-	if (len > LOOM_PAYLOAD_MAX + LOOM_MESSAGE_HEAD_MAX)
+	if (len > LOOM_PAYLOAD_MAX + LOOM_MESSAGE_HEADER_MAX)
 		return LOOM_INNER_OVERSIZED;
 	loom_unpack_init(&unpacker, data, len);
 	version = loom_unpack_u64(&unpacker, UINT64_MAX);
@@ -65,7 +65,7 @@
 	return loom_unpack_error(&unpacker);
 }
 
-struct loom_repeats {
+struct loom_replay_window {
 	GHashTable *senders; /* struct replay_sender, keyed by its field from */
 };
 
@@ -94,17 +94,17 @@
 }
 
 static int
-replay_window_destroy(struct loom_repeats *replay_window)
+replay_window_destroy(struct loom_replay_window *replay_window)
 {
 	g_hash_table_destroy(replay_window->senders);
 	return 0;
 }
 
-struct loom_repeats *
-loom_repeats_new(TALLOC_CTX *mem_ctx)
+struct loom_replay_window *
+loom_replay_window_new(TALLOC_CTX *mem_ctx)
 {
-	struct loom_repeats *replay_window =
-	    talloc_zero(mem_ctx, struct loom_repeats);
+	struct loom_replay_window *replay_window =
+	    talloc_zero(mem_ctx, struct loom_replay_window);
 
 	if (replay_window == NULL)
 		return NULL;
@@ -129,7 +129,7 @@
  * reached and none of them is idle.
  */
 static bool
-add_sender(struct loom_repeats *replay_window,
+add_sender(struct loom_replay_window *replay_window,
     const struct loom_message_source *from, uint64_t sequence, uint64_t now_us)
 {
 	struct replay_sender *sender;
@@ -149,7 +149,7 @@
 }
 
 bool
-loom_repeats_check(struct loom_repeats *replay_window,
+loom_replay_window_accept(struct loom_replay_window *replay_window,
     const struct loom_message_source *from, uint64_t sequence, uint64_t now_us)
 {
 	struct replay_sender *sender;
--- a/src/inner/peer.h
+++ b/src/inner/peer.h
@@ -3,7 +3,7 @@
 
 /* Outgoing connections: one DEALER socket per destination daemon. */
 
-#include "inner/keys.h"
+#include "inner/curve.h"
 
 struct loom_peers;
 
--- a/src/inner/codec_retry.c
+++ b/src/inner/retry_codec.c
@@ -2,7 +2,7 @@
  * Encodes and decodes the retry messages, which consist of three scalars each.
  */
 
-#include "inner/codec_retry.h"
+#include "inner/retry_codec.h"
 #include "loom/codec.h"
 
 size_t
--- a/src/inner/codec_retry.h
+++ b/src/inner/retry_codec.h
@@ -1,5 +1,5 @@
-#ifndef LOOM_INNER_CODEC_RETRY_H
-#define LOOM_INNER_CODEC_RETRY_H
+#ifndef LOOM_INNER_RETRY_CODEC_H
+#define LOOM_INNER_RETRY_CODEC_H
 
 /*
  * Messages that ask the root's home daemon for permission to retry a call once,
--- a/src/inner/codec_rights.c
+++ b/src/inner/rights_codec.c
@@ -7,7 +7,7 @@
  * of a full entry.
  */
 
-#include "inner/codec_rights.h"
+#include "inner/rights_codec.h"
 #include "loom/codec.h"
 
 #define UTOK_MAX (UINT64_C(1) << 53)
@@ -67,12 +67,13 @@
 
 	fields[i++] = (struct field_codec){ &entry->received_seq, UINT64_MAX };
 	fields[i++] =
-	    (struct field_codec){ &entry->keep.refill, LOOM_SHARE_WHOLE };
-	fields[i++] =
-	    (struct field_codec){ &entry->keep.capacity, LOOM_SHARE_WHOLE };
+	    (struct field_codec){ &entry->kept_share.refill, LOOM_SHARE_WHOLE };
+	fields[i++] = (struct field_codec){ &entry->kept_share.capacity,
+		LOOM_SHARE_WHOLE };
 	fields[i++] = (struct field_codec){ &entry->held_utok, UTOK_MAX };
-	fields[i++] = (struct field_codec){ &entry->need_utok, UTOK_MAX };
-	fields[i++] = (struct field_codec){ &entry->first_utok, UTOK_MAX };
+	fields[i++] = (struct field_codec){ &entry->needed_utok, UTOK_MAX };
+	fields[i++] =
+	    (struct field_codec){ &entry->first_missing_utok, UTOK_MAX };
 	fields[i++] = (struct field_codec){ &entry->prefetch_utok, UTOK_MAX };
 	fields[i++] = (struct field_codec){ &entry->returned_utok, UTOK_MAX };
 }
@@ -92,7 +93,8 @@
 	fields[i++] = (struct field_codec){ &entry->transit_utok, UTOK_MAX };
 	fields[i++] =
 	    (struct field_codec){ &entry->duration_us, DURATION_MAX_US };
-	fields[i++] = (struct field_codec){ &entry->retry_us, DURATION_MAX_US };
+	fields[i++] =
+	    (struct field_codec){ &entry->no_tokens_us, DURATION_MAX_US };
 }
 
 static size_t
@@ -170,7 +172,7 @@
 	loom_pack_u64(&packer, down->child_incarnation);
 	loom_pack_u64(&packer, down->child_now_us);
 	loom_pack_u64(&packer, down->now_us);
-	loom_pack_bool(&packer, down->leaving);
+	loom_pack_bool(&packer, down->draining);
 	loom_pack_u64(&packer, down->nentries);
 	for (i = 0; i < down->nentries; i++) {
 		entry = down->entries[i];
@@ -196,7 +198,7 @@
 	down->child_incarnation = loom_unpack_u64(&unpacker, UINT64_MAX);
 	down->child_now_us = loom_unpack_u64(&unpacker, UINT64_MAX);
 	down->now_us = loom_unpack_u64(&unpacker, UINT64_MAX);
-	down->leaving = loom_unpack_bool(&unpacker);
+	down->draining = loom_unpack_bool(&unpacker);
 	down->nentries = loom_unpack_count(&unpacker, LOOM_RIGHTS_ENTRIES_MAX);
 	for (i = 0; i < down->nentries; i++) {
 		entry = &down->entries[i];
--- a/src/inner/codec_rights.h
+++ b/src/inner/rights_codec.h
@@ -1,5 +1,5 @@
-#ifndef LOOM_INNER_CODEC_RIGHTS_H
-#define LOOM_INNER_CODEC_RIGHTS_H
+#ifndef LOOM_INNER_RIGHTS_CODEC_H
+#define LOOM_INNER_RIGHTS_CODEC_H
 
 /*
  * Messages between a pool and the daemons below it in the tree. One message
@@ -22,10 +22,12 @@
 struct loom_rights_up_entry {
 	uint64_t team_id;
 	uint64_t received_seq; /* of the last grant received */
-	struct loom_share keep; /* part of this pool's loan that it keeps */
+	struct loom_share
+	    kept_share; /* part of this pool's loan that it keeps */
 	uint64_t held_utok; /* its tokens, and capacity it has lent */
-	uint64_t need_utok; /* needed by waiting calls */
-	uint64_t first_utok; /* still missing for the first waiting call */
+	uint64_t needed_utok; /* needed by waiting calls */
+	uint64_t
+	    first_missing_utok; /* still missing for the first waiting call */
 	uint64_t prefetch_utok; /* requested in advance for expected calls */
 	uint64_t returned_utok; /* returned by this message */
 	uint64_t demand_mhz; /* calls per 1000 s, including below it */
@@ -50,8 +52,10 @@
 enum loom_rights_flag {
 	LOOM_RIGHTS_GRANT = 1, /* share, tokens and duration are valid */
 	LOOM_RIGHTS_RECALL = 2, /* return tokens that no waiting call needs */
-	LOOM_RIGHTS_SCARCE = 4, /* do not request tokens in advance for now */
-	LOOM_RIGHTS_PLENTY = 8, /* request further in advance, and less often */
+	LOOM_RIGHTS_NO_PREFETCH =
+	    4, /* do not request tokens in advance for now */
+	LOOM_RIGHTS_MORE_PREFETCH =
+	    8, /* request further in advance, and less often */
 };
 
 /* A pool's reply on one team. */
@@ -62,7 +66,7 @@
 	uint64_t tokens_utok;
 	uint64_t transit_utok; /* of these, only for waiting calls */
 	uint64_t duration_us;
-	uint64_t retry_us; /* if not 0, no tokens until it has passed */
+	uint64_t no_tokens_us; /* if not 0, no tokens until it has passed */
 };
 
 struct loom_rights_down {
@@ -70,7 +74,7 @@
 	uint64_t child_incarnation;
 	uint64_t child_now_us; /* the child's clock, echoed */
 	uint64_t now_us; /* the pool's clock */
-	bool leaving; /* the pool is shutting down; use another one */
+	bool draining; /* the pool is shutting down; use another one */
 	uint32_t nentries;
 	struct loom_rights_down_entry entries[LOOM_RIGHTS_ENTRIES_MAX];
 };
--- a/src/inner/ticket_text.c
+++ b/src/inner/ticket_text.c
@@ -74,13 +74,13 @@
 
 bool
 ticket_text_write(struct loom_ticket *ticket,
-    const uint8_t secret[LOOM_SEAL_KEY_SIZE], char *out, size_t size)
+    const uint8_t secret[LOOM_DERIVED_KEY_SIZE], char *out, size_t size)
 {
 	uint8_t bytes[TICKET_BYTES_MAX];
 	size_t len =
 	    pack_ticket(ticket, bytes, sizeof(bytes) - LOOM_TICKET_MAC_SIZE);
 
-	if (loom_seal_text(
+	if (loom_encode_with_mac(
 		bytes, len, LOOM_TICKET_MAC_SIZE, secret, out, size) == 0)
 		return false;
 	memcpy(ticket->mac, bytes + len, LOOM_TICKET_MAC_SIZE);
@@ -88,8 +88,8 @@
 }
 
 bool
-ticket_mac_is_valid(
-    const struct loom_ticket *ticket, const uint8_t secret[LOOM_SEAL_KEY_SIZE])
+ticket_mac_is_valid(const struct loom_ticket *ticket,
+    const uint8_t secret[LOOM_DERIVED_KEY_SIZE])
 {
 	uint8_t bytes[TICKET_BYTES_MAX], mac[LOOM_TICKET_MAC_SIZE];
 	size_t len = pack_ticket(ticket, bytes, sizeof(bytes));
--- a/src/inner/ticket_text.h
+++ b/src/inner/ticket_text.h
@@ -6,7 +6,7 @@
  * loom_ticket_parse() decodes a ticket without the secret.
  */
 
-#include "inner/seal.h"
+#include "inner/mac_text.h"
 #include "loom/ticket.h"
 
 /*
@@ -14,10 +14,10 @@
  * LOOM_TICKET_TEXT_MAX.
  */
 bool ticket_text_write(struct loom_ticket *ticket,
-    const uint8_t secret[LOOM_SEAL_KEY_SIZE], char *out, size_t size);
+    const uint8_t secret[LOOM_DERIVED_KEY_SIZE], char *out, size_t size);
 
 /* Returns true if the MAC was made with this secret. Takes constant time. */
-bool ticket_mac_is_valid(
-    const struct loom_ticket *ticket, const uint8_t secret[LOOM_SEAL_KEY_SIZE]);
+bool ticket_mac_is_valid(const struct loom_ticket *ticket,
+    const uint8_t secret[LOOM_DERIVED_KEY_SIZE]);
 
 #endif
--- a/src/inner/transport.c
+++ b/src/inner/transport.c
@@ -48,7 +48,7 @@
 	void *monitor; /* owned: PAIR */
 	struct loom_zap *zap; /* owned */
 	struct loom_peers *peers; /* owned */
-	struct loom_repeats *replay_window; /* owned */
+	struct loom_replay_window *replay_window; /* owned */
 	struct tevent_fd *router_fde; /* owned */
 	struct tevent_fd *monitor_fde; /* owned */
 	struct tevent_immediate *receive_immediate; /* owned */
@@ -88,7 +88,7 @@
 	loom_counter_add(inner->received_bytes, (int64_t)len);
 	result = loom_message_unpack(data, len, &envelope);
 	if (result == LOOM_OK &&
-	    !loom_repeats_check(inner->replay_window, &envelope.from,
+	    !loom_replay_window_accept(inner->replay_window, &envelope.from,
 		envelope.sequence, now_us))
 		result = LOOM_INNER_REPLAYED;
 	if (result != LOOM_OK) {
@@ -230,7 +230,7 @@
 static bool
 set_router_options(void *router)
 {
-	int64_t max = LOOM_PAYLOAD_MAX + LOOM_MESSAGE_HEAD_MAX;
+	int64_t max = LOOM_PAYLOAD_MAX + LOOM_MESSAGE_HEADER_MAX;
 
 	return set_int(router, ZMQ_LINGER, 0) &&
 	    set_int(router, ZMQ_RCVHWM, RECEIVE_HWM) &&
@@ -380,17 +380,19 @@
 		.ev = inner->ev,
 		.curve = &inner->curve,
 		.source = options->source,
-		.max_connections =
-		    options->peers_max > 0 ? options->peers_max : PEERS_DEFAULT,
+		.max_connections = options->max_connections > 0
+		    ? options->max_connections
+		    : PEERS_DEFAULT,
 		.idle_us = LOOM_US_PER_MS *
-		    (options->idle_ms > 0 ? options->idle_ms : IDLE_DEFAULT_MS),
+		    (options->idle_timeout_ms > 0 ? options->idle_timeout_ms
+						  : IDLE_DEFAULT_MS),
 	};
 
 	inner->peers = loom_peers_new(inner, &peers);
-	inner->replay_window = loom_repeats_new(inner);
+	inner->replay_window = loom_replay_window_new(inner);
 	inner->receive_immediate = tevent_create_immediate(inner);
 	inner->send_buffer =
-	    talloc_size(inner, LOOM_PAYLOAD_MAX + LOOM_MESSAGE_HEAD_MAX);
+	    talloc_size(inner, LOOM_PAYLOAD_MAX + LOOM_MESSAGE_HEADER_MAX);
 	return inner->peers != NULL && inner->replay_window != NULL &&
 	    inner->receive_immediate != NULL && inner->send_buffer != NULL;
 }
@@ -459,7 +461,7 @@
 		    control != NULL ? control : inner->address,
 		    sizeof(envelope.control));
 	size = loom_message_pack(&envelope, inner->send_buffer,
-	    LOOM_PAYLOAD_MAX + LOOM_MESSAGE_HEAD_MAX);
+	    LOOM_PAYLOAD_MAX + LOOM_MESSAGE_HEADER_MAX);
 	if (size == 0)
 		return false;
 	loom_counter_add(inner->sent, 1);
--- a/tests/control/test_rights_loan.c
+++ b/tests/control/test_rights_loan.c
@@ -8,7 +8,7 @@
 #include <talloc.h>
 
 #include "decide/loan.h"
-#include "inner/codec_rights.h"
+#include "inner/rights_codec.h"
 #include "loom/rights.h"
 #include "support/test.h"
 
@@ -459,10 +459,12 @@
 
 	start_fixture(&fixture, false);
 	count_messages(&fixture, &now_us, 200 * MS, true);
-	count_renewals_with_calls(&fixture, &now_us, LOOM_RIGHTS_PLENTY, true);
-	count_renewals_with_calls(&fixture, &now_us, LOOM_RIGHTS_PLENTY, true);
+	count_renewals_with_calls(
+	    &fixture, &now_us, LOOM_RIGHTS_MORE_PREFETCH, true);
+	count_renewals_with_calls(
+	    &fixture, &now_us, LOOM_RIGHTS_MORE_PREFETCH, true);
 	n = count_renewals_with_calls(
-	    &fixture, &now_us, LOOM_RIGHTS_PLENTY, true);
+	    &fixture, &now_us, LOOM_RIGHTS_MORE_PREFETCH, true);
 	TEST_CHECK(n >= 9 && n <= 12, "%u in 2 s", n);
 	told = fixture.up.entries[0].demand_mhz;
 	count_messages(&fixture, &now_us, 300 * MS, true);
@@ -562,10 +564,10 @@
 	from = (struct loom_message_source){ fixture.other_id, 5 };
 	up = (struct loom_rights_up){ .seq = 1, .nentries = 2 };
 	up.entries[0].team_id = loom_name_id(TEAM);
-	up.entries[0].need_utok = LOOM_TOKEN_UTOK;
+	up.entries[0].needed_utok = LOOM_TOKEN_UTOK;
 	len = loom_rights_up_pack(&up, buf, sizeof(buf));
 	CU_ASSERT_TRUE(loom_rights_up_unpack(&read, buf, len));
-	CU_ASSERT_EQUAL(read.entries[0].need_utok, LOOM_TOKEN_UTOK);
+	CU_ASSERT_EQUAL(read.entries[0].needed_utok, LOOM_TOKEN_UTOK);
 	for (i = 0; i < len; i++) {
 		TEST_CHECK(!loom_rights_up_unpack(&read, buf, i), "%zu", i);
 		loom_rights_ops.message(fixture.rights, &from, LOOM_RIGHTS_UP,
--- a/tests/faults/test_strangers.c
+++ b/tests/faults/test_strangers.c
@@ -10,7 +10,7 @@
 #include <unistd.h>
 #include <zmq.h>
 
-#include "inner/keys.h"
+#include "inner/curve.h"
 #include "loom/inner.h"
 #include "support/test.h"
 #include "support/testbed.h"
--- a/tests/inner/test_codec.c
+++ b/tests/inner/test_codec.c
@@ -216,8 +216,9 @@
 	modified[0] = 2;
 	CU_ASSERT_EQUAL(
 	    loom_message_unpack(modified, len, &out), LOOM_INNER_VERSION);
-	CU_ASSERT_EQUAL(loom_message_unpack(buf,
-			    LOOM_PAYLOAD_MAX + LOOM_MESSAGE_HEAD_MAX + 1, &out),
+	CU_ASSERT_EQUAL(
+	    loom_message_unpack(
+		buf, LOOM_PAYLOAD_MAX + LOOM_MESSAGE_HEADER_MAX + 1, &out),
 	    LOOM_INNER_OVERSIZED);
 	in.type = LOOM_MESSAGE_TYPES;
 	len = loom_message_pack(&in, buf, sizeof(buf));
@@ -291,13 +292,13 @@
 		{ 1, UINT64_MAX, false },
 		{ 2, 12, true },
 	};
-	struct loom_repeats *replay_window = loom_repeats_new(NULL);
+	struct loom_replay_window *replay_window = loom_replay_window_new(NULL);
 	struct loom_message_source from = { .host_id = 5 };
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(steps); i++) {
 		from.incarnation = steps[i].incarnation;
-		TEST_CHECK(loom_repeats_check(replay_window, &from,
+		TEST_CHECK(loom_replay_window_accept(replay_window, &from,
 			       steps[i].sequence, i) == steps[i].is_new,
 		    "step %zu", i);
 	}
@@ -311,18 +312,19 @@
 static void
 test_replay_bounded(void)
 {
-	struct loom_repeats *replay_window = loom_repeats_new(NULL);
+	struct loom_replay_window *replay_window = loom_replay_window_new(NULL);
 	struct loom_message_source from = { .host_id = 5 };
 	bool refused = false;
 	uint64_t i;
 
 	for (i = 0; i < 40000; i++) {
 		from.incarnation = i;
-		refused |= !loom_repeats_check(replay_window, &from, 1, 1);
+		refused |=
+		    !loom_replay_window_accept(replay_window, &from, 1, 1);
 	}
 	CU_ASSERT(refused);
-	CU_ASSERT(
-	    loom_repeats_check(replay_window, &from, 1, 61 * LOOM_US_PER_S));
+	CU_ASSERT(loom_replay_window_accept(
+	    replay_window, &from, 1, 61 * LOOM_US_PER_S));
 	talloc_free(replay_window);
 }
 
--- a/tests/inner/test_context.c
+++ b/tests/inner/test_context.c
@@ -234,23 +234,23 @@
 static void
 test_replay(void)
 {
-	struct loom_replay *replay = loom_replay_new(65536);
+	struct loom_replay_set *replay = loom_replay_set_new(65536);
 	struct loom_context context = sample_context();
 	uint64_t last_us = NOW + 5 * SECOND + LOOM_CLOCK_SKEW_US;
 	uint32_t i;
 
-	CU_ASSERT_EQUAL(loom_replay_admit(replay, &context, NOW), LOOM_OK);
+	CU_ASSERT_EQUAL(loom_replay_set_admit(replay, &context, NOW), LOOM_OK);
 	for (i = 0; i < 5000; i++) {
 		struct loom_context other = sample_context();
 
 		memcpy(other.call.bytes, &i, sizeof(i));
 		other.call.bytes[15] = (uint8_t)i;
-		loom_replay_admit(replay, &other, last_us);
+		loom_replay_set_admit(replay, &other, last_us);
 	}
 	CU_ASSERT_EQUAL(round_trip(&context, last_us), LOOM_OK);
-	CU_ASSERT_EQUAL(loom_replay_admit(replay, &context, last_us),
+	CU_ASSERT_EQUAL(loom_replay_set_admit(replay, &context, last_us),
 	    LOOM_CONTEXT_REPLAYED);
-	loom_replay_free(replay);
+	loom_replay_set_free(replay);
 }
 
 /*
@@ -260,17 +260,18 @@
 static void
 test_replay_full(void)
 {
-	struct loom_replay *replay = loom_replay_new(16);
+	struct loom_replay_set *replay = loom_replay_set_new(16);
 	struct loom_context context = sample_context();
 	uint64_t later_us = NOW + 8 * SECOND;
 
-	CU_ASSERT_EQUAL(loom_replay_admit(replay, &context, NOW), LOOM_OK);
+	CU_ASSERT_EQUAL(loom_replay_set_admit(replay, &context, NOW), LOOM_OK);
 	context.call.bytes[0]++;
 	CU_ASSERT_EQUAL(
-	    loom_replay_admit(replay, &context, NOW), LOOM_OVERLOAD);
+	    loom_replay_set_admit(replay, &context, NOW), LOOM_OVERLOAD);
 	context.audience_stamp_us = later_us;
-	CU_ASSERT_EQUAL(loom_replay_admit(replay, &context, later_us), LOOM_OK);
-	loom_replay_free(replay);
+	CU_ASSERT_EQUAL(
+	    loom_replay_set_admit(replay, &context, later_us), LOOM_OK);
+	loom_replay_set_free(replay);
 }
 
 static void
@@ -296,10 +297,10 @@
 
 	for (i = 0; i < G_N_ELEMENTS(cases); i++)
 		TEST_CHECK(
-		    loom_clock_learn(&clock, cases[i].text, 0) == cases[i].ok,
+		    loom_clock_update(&clock, cases[i].text, 0) == cases[i].ok,
 		    "%s", cases[i].text);
 	loom_clock_format(INCARNATION, 1000, text);
-	CU_ASSERT_TRUE(loom_clock_learn(&clock, text, 50));
+	CU_ASSERT_TRUE(loom_clock_update(&clock, text, 50));
 	loom_clock_stamp(&clock, 80, &context);
 	CU_ASSERT_EQUAL(context.audience_incarnation, INCARNATION);
 	CU_ASSERT_EQUAL(context.audience_stamp_us, 1030);
--- a/tests/inner/test_handover_codec.c
+++ b/tests/inner/test_handover_codec.c
@@ -9,7 +9,7 @@
 #include "inner/handover_codec.h"
 #include "support/test.h"
 
-static const uint8_t key[LOOM_SEAL_KEY_SIZE] = { 9, 9 };
+static const uint8_t key[LOOM_DERIVED_KEY_SIZE] = { 9, 9 };
 static const struct handover_pair pair = {
 	.source_host_id = 1,
 	.source_incarnation = 2,
@@ -33,7 +33,7 @@
 		{ "other fleet", { 1, 2, 3 }, 0, 8, false },
 		{ "cut", { 1, 2, 3 }, 1, 9, false },
 	};
-	uint8_t message[HANDOVER_MESSAGE_MAX], other_key[LOOM_SEAL_KEY_SIZE];
+	uint8_t message[HANDOVER_MESSAGE_MAX], other_key[LOOM_DERIVED_KEY_SIZE];
 	static struct handover_chunk chunk;
 	size_t i, len;
 	bool ok;
--- a/tests/inner/test_transport.c
+++ b/tests/inner/test_transport.c
@@ -56,7 +56,7 @@
 	struct loom_inner_options options = {
 		.bind = bind,
 		.self = { .host_id = id, .incarnation = id + 1000 },
-		.peers_max = 2,
+		.max_connections = 2,
 	};
 	GError *error = NULL;
 
