--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -256,7 +256,7 @@
 				.hosts = MIN(SERVICE_HOSTS,
 				    rows[i].daemons - j * SERVICE_HOSTS),
 				.slots = 16,
-				.daemons_only = true,
+				.without_upstreams = true,
 			};
 		text = document(1, &rows[i]);
 		started =
--- a/bench/bench_rights.c
+++ b/bench/bench_rights.c
@@ -350,7 +350,7 @@
 	const double each = WATCH_S * (FLEET_DAEMONS - 1);
 	unsigned i;
 
-	fleet_manifest_all(fleet, FLEET_RATE, FLEET_BURST, FLEET_DAEMONS);
+	fleet_set_manifest_all(fleet, FLEET_RATE, FLEET_BURST, FLEET_DAEMONS);
 	play_teams(fleet, teams, load, WARM_UP_US);
 	for (i = 0; i < FLEET_DAEMONS; i++) {
 		bytes -= fleet_bytes(fleet, i);
--- a/tests/control/test_rights.c
+++ b/tests/control/test_rights.c
@@ -59,7 +59,7 @@
 
 	for (i = 0; i < fleet_size(fleet); i++)
 		listed[i] = random_below(fleet, 8) != 0;
-	fleet_hosts(fleet, daemon, listed);
+	fleet_set_hosts(fleet, daemon, listed);
 }
 
 /*
@@ -79,10 +79,10 @@
 	upto = MIN(fleet_size(fleet),
 	    rollout->updated + 1 + (unsigned)random_below(fleet, 8));
 	for (; rollout->updated < upto; rollout->updated++)
-		fleet_manifest(fleet, rollout->updated, rollout->rate,
+		fleet_set_manifest(fleet, rollout->updated, rollout->rate,
 		    rollout->burst, fleet_size(fleet));
 	if (rollout->updated == fleet_size(fleet))
-		fleet_settled(fleet, rollout->rate, rollout->burst);
+		fleet_set_bound(fleet, rollout->rate, rollout->burst);
 }
 
 static void
@@ -103,24 +103,25 @@
 			fleet_start(fleet, daemon);
 		break;
 	case FAULT_NETWORK_SPLIT:
-		fleet_heal(fleet);
+		fleet_reset_groups(fleet);
 		if (random_below(fleet, 2) > 0)
 			break;
 		for (i = 0; i < fleet_size(fleet); i++)
-			fleet_cut(fleet, i, (unsigned)random_below(fleet, 2));
+			fleet_set_group(
+			    fleet, i, (unsigned)random_below(fleet, 2));
 		break;
 	case FAULT_STALE_LIST:
 		if (random_below(fleet, 2) > 0)
 			set_stale_list(fleet, daemon);
 		else
-			fleet_hosts(fleet, daemon, NULL);
+			fleet_set_hosts(fleet, daemon, NULL);
 		break;
 	case FAULT_RATE_CHANGE:
 		continue_rollout(fleet, rollout);
 		break;
 	case FAULT_LOSS:
 		network->loss = (double)random_below(fleet, 30) / 100;
-		network->repeat = (double)random_below(fleet, 30) / 100;
+		network->duplication = (double)random_below(fleet, 30) / 100;
 		network->reorder = random_below(fleet, 2) != 0;
 		network->jitter_us =
 		    random_below(fleet, 2) ? 100 : random_below(fleet, S);
@@ -157,7 +158,7 @@
 	double load;
 	unsigned i;
 
-	fleet_manifest_all(fleet, RATE, BURST, fleet_size(fleet));
+	fleet_set_manifest_all(fleet, RATE, BURST, fleet_size(fleet));
 	fleet_team(fleet, 0)->bound.level = BURST;
 	fleet_team(fleet, 1)->bound.level = fleet_team(fleet, 1)->bound.burst;
 	offer_random_load(fleet, RATE, 5 * S);
@@ -220,7 +221,7 @@
 {
 	struct fleet *fleet = fleet_new(DAEMONS, 3, seed, NULL);
 
-	fleet_manifest_all(fleet, RATE, BURST, DAEMONS);
+	fleet_set_manifest_all(fleet, RATE, BURST, DAEMONS);
 	fleet_team(fleet, 0)->bound.level = BURST;
 	fleet_run(fleet, fleet_now(fleet) + 5 * S);
 	fleet_reset_counts(fleet);
@@ -284,23 +285,23 @@
 		fleet_kill(fleet, i);
 	for (i = 0; i < known; i++) {
 		fleet_kill(fleet, i);
-		fleet_hosts(fleet, i, listed);
+		fleet_set_hosts(fleet, i, listed);
 		fleet_start(fleet, i);
 	}
-	fleet_manifest_all(fleet, RATE, BURST, known);
+	fleet_set_manifest_all(fleet, RATE, BURST, known);
 	fleet_team(fleet, 0)->bound.level = BURST;
 	fleet_run(fleet, fleet_now(fleet) + 5 * S);
 	fleet_reset_counts(fleet);
 	/* The new daemons' own lists show them first. */
 	for (i = known; i < DAEMONS; i++) {
-		fleet_hosts(fleet, i, NULL);
+		fleet_set_hosts(fleet, i, NULL);
 		fleet_start(fleet, i);
 		/* Cut off, they have only their owned share, if any. */
-		fleet_cut(fleet, i, i);
+		fleet_set_group(fleet, i, i);
 	}
 	fleet_load(fleet, 0, 8 * RATE, NULL, fleet_now(fleet) + 5500 * MS);
 	for (i = 0; i < known; i++)
-		fleet_hosts(fleet, i, NULL);
+		fleet_set_hosts(fleet, i, NULL);
 	fleet_load(fleet, 0, 8 * RATE, NULL, fleet_now(fleet) + 10 * S);
 	check_bound(fleet, "newcomers", 9);
 	fleet_free(fleet);
--- a/tests/control/test_rights_alternatives.c
+++ b/tests/control/test_rights_alternatives.c
@@ -19,8 +19,9 @@
 {
 	bucket->level = MIN(bucket->burst,
 	    bucket->level +
-		bucket->rate_per_s * (double)(now_us - bucket->at_us) / 1e6);
-	bucket->at_us = now_us;
+		bucket->rate_per_s * (double)(now_us - bucket->updated_us) /
+		    1e6);
+	bucket->updated_us = now_us;
 	if (bucket->level < 1)
 		return false;
 	bucket->level -= 1;
@@ -112,7 +113,7 @@
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
 		fleet = fleet_new(DAEMONS, 3, 42, &settings);
 		team = fleet_team(fleet, 0);
-		fleet_manifest_all(fleet, RATE, BURST, DAEMONS);
+		fleet_set_manifest_all(fleet, RATE, BURST, DAEMONS);
 		team->bound.level = BURST;
 		fleet_run(fleet, fleet_now(fleet) + 10 * S);
 		fleet_reset_counts(fleet);
--- a/tests/control/test_rights_flood.c
+++ b/tests/control/test_rights_flood.c
@@ -55,7 +55,7 @@
 	unsigned t;
 
 	fleet_network(fleet)->handling_us = handling_us;
-	fleet_manifest_all(fleet, RATE, BURST, DAEMONS);
+	fleet_set_manifest_all(fleet, RATE, BURST, DAEMONS);
 	for (t = 0; t < FLEET_TEAMS; t++)
 		fleet_team(fleet, t)->bound.level = BURST;
 	fleet_load_all(
--- a/tests/control/test_rights_partitions.c
+++ b/tests/control/test_rights_partitions.c
@@ -51,7 +51,7 @@
 		    (rows[i].first_team_weight + FLEET_TEAMS - 1);
 		fleet = fleet_new(DAEMONS, 3, 5, &settings);
 		fleet_network(fleet)->handling_us = 500;
-		fleet_manifest_all(fleet, RATE, BURST, DAEMONS);
+		fleet_set_manifest_all(fleet, RATE, BURST, DAEMONS);
 		for (t = 0; t < FLEET_TEAMS; t++)
 			fleet_team(fleet, t)->bound.level = BURST;
 		fleet_load_all(fleet, per_s, rows[i].first_team_weight,
--- a/tests/control/test_rights_share.c
+++ b/tests/control/test_rights_share.c
@@ -68,7 +68,7 @@
 	double wrongful, net;
 	unsigned i;
 
-	fleet_manifest_all(fleet, c->rate_per_s, c->burst, c->daemons);
+	fleet_set_manifest_all(fleet, c->rate_per_s, c->burst, c->daemons);
 	team->bound.level = c->burst;
 	offer_load(fleet, c, fleet_now(fleet) + WARM_UP_US);
 	fleet_reset_counts(fleet);
@@ -149,7 +149,7 @@
 static void
 trigger_event(struct fleet *fleet, enum pool_event pool_event)
 {
-	unsigned i, pool = fleet_pool(fleet);
+	unsigned i, pool = fleet_topmost_pool(fleet);
 
 	switch (pool_event) {
 	case POOL_KILLED:
@@ -163,7 +163,7 @@
 		break;
 	case HALF_CUT:
 		for (i = 0; i < fleet_size(fleet); i++)
-			fleet_cut(fleet, i, i % 2);
+			fleet_set_group(fleet, i, i % 2);
 		break;
 	}
 }
@@ -196,15 +196,15 @@
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
 		fleet = fleet_new(16, 3, 42, NULL);
 		team = fleet_team(fleet, 0);
-		fleet_manifest_all(fleet, 500, 100, 16);
+		fleet_set_manifest_all(fleet, 500, 100, 16);
 		team->bound.level = 100;
 		fleet_load(fleet, 0, 250, NULL, fleet_now(fleet) + WARM_UP_US);
 		fleet_reset_counts(fleet);
 		trigger_event(fleet, cases[i].pool_event);
 		fleet_load(fleet, 0, 250, NULL, fleet_now(fleet) + 2 * S);
-		fleet_heal(fleet);
+		fleet_reset_groups(fleet);
 		if (cases[i].pool_event == POOL_KILLED)
-			fleet_start(fleet, fleet_pool(fleet));
+			fleet_start(fleet, fleet_topmost_pool(fleet));
 		fleet_load(fleet, 0, 250, NULL, fleet_now(fleet) + 6 * S);
 		last = team->wrongful;
 		fleet_load(fleet, 0, 250, NULL, fleet_now(fleet) + 2 * S);
@@ -251,12 +251,12 @@
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
 		fleet = fleet_new(16, 3, 42, NULL);
 		team = fleet_team(fleet, 0);
-		fleet_manifest_all(fleet, 500, 100, 16);
+		fleet_set_manifest_all(fleet, 500, 100, 16);
 		fleet_run(fleet, WARM_UP_US);
-		pool = fleet_pool(fleet);
+		pool = fleet_topmost_pool(fleet);
 		for (daemon = 0; daemon < fleet_size(fleet); daemon++)
 			listed[daemon] = daemon != pool;
-		fleet_hosts(fleet, pool, listed);
+		fleet_set_hosts(fleet, pool, listed);
 		fleet_reset_counts(fleet);
 		fleet_load(fleet, 0, cases[i].load * 500, NULL,
 		    fleet_now(fleet) + 10 * S);
--- a/tests/control/test_rights_silent.c
+++ b/tests/control/test_rights_silent.c
@@ -34,9 +34,9 @@
 	struct fleet_team *team = fleet_team(fleet, 0);
 	unsigned pool, i;
 
-	fleet_manifest_all(fleet, RATE, BURST, DAEMONS);
+	fleet_set_manifest_all(fleet, RATE, BURST, DAEMONS);
 	fleet_run(fleet, fleet_now(fleet) + WARM_UP_US);
-	pool = fleet_pool(fleet);
+	pool = fleet_topmost_pool(fleet);
 	fleet_reset_counts(fleet);
 	if (fault == POOL_PAUSED)
 		fleet_stop(fleet, pool, 3 * S);
@@ -96,13 +96,13 @@
 		seed = 1 + (uint32_t)(i % SEEDS);
 		fleet = fleet_new(RESTART_DAEMONS, 3, seed, NULL);
 		team = fleet_team(fleet, 0);
-		fleet_manifest_all(
+		fleet_set_manifest_all(
 		    fleet, RESTART_RATE, RESTART_BURST, RESTART_DAEMONS);
 		team->bound.level = RESTART_BURST;
 		fleet_load(fleet, 0, RESTART_LOAD, NULL,
 		    fleet_now(fleet) + WARM_UP_US);
 		for (round = 0; round < RESTARTS; round++) {
-			pool = fleet_pool(fleet);
+			pool = fleet_topmost_pool(fleet);
 			fleet_kill(fleet, pool);
 			fleet_load(fleet, 0, RESTART_LOAD, NULL,
 			    fleet_now(fleet) + down_ms[i / SEEDS] * MS);
--- a/tests/faults/test_callers.c
+++ b/tests/faults/test_callers.c
@@ -189,7 +189,7 @@
 	if (!start())
 		goto out;
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
-		answer = testbed_raw(
+		answer = testbed_send_raw(
 		    &testbed, 0, cases[i].bytes, strlen(cases[i].bytes), NULL);
 		TEST_CHECK(strncmp(answer, "HTTP/1.1 200", 12) != 0, "%s: %s",
 		    cases[i].name, answer);
@@ -240,11 +240,11 @@
 		    headers, NULL, 0, &reply);
 		expected =
 		    strcmp(cases[i].method, "HEAD") == 0 ? 0 : cases[i].bytes;
-		TEST_CHECK(reply.curl == 0 && reply.status == 200 &&
+		TEST_CHECK(reply.curl_code == 0 && reply.status == 200 &&
 			reply.body_len == expected,
 		    "%s %s %zu: curl %d status %ld bytes %zu", cases[i].method,
-		    cases[i].path, cases[i].bytes, reply.curl, reply.status,
-		    reply.body_len);
+		    cases[i].path, cases[i].bytes, reply.curl_code,
+		    reply.status, reply.body_len);
 		testbed_reply_clear(&reply);
 	}
 out:
@@ -287,13 +287,13 @@
 		testbed_call(&testbed, 0, "GET", cases[i].path, headers, NULL,
 		    0, &reply);
 		if (cases[i].refused)
-			TEST_CHECK(reply.curl == 0 &&
+			TEST_CHECK(reply.curl_code == 0 &&
 				reply.code == LOOM_UPSTREAM_CUT &&
 				strcmp(reply.outcome, "unknown") == 0,
-			    "%s: curl %d code %d %s", cases[i].path, reply.curl,
-			    reply.code, reply.outcome);
+			    "%s: curl %d code %d %s", cases[i].path,
+			    reply.curl_code, reply.code, reply.outcome);
 		else
-			TEST_CHECK(reply.curl != 0, "%s: looks whole, %zu",
+			TEST_CHECK(reply.curl_code != 0, "%s: looks whole, %zu",
 			    cases[i].path, reply.body_len);
 		testbed_reply_clear(&reply);
 	}
@@ -323,7 +323,7 @@
 	    UPLOAD_BYTES, &reply);
 	TEST_CHECK(
 	    reply.status == 200 && strstr(reply.body, "body=209715200") != NULL,
-	    "curl %d status %ld %s", reply.curl, reply.status, reply.body);
+	    "curl %d status %ld %s", reply.curl_code, reply.status, reply.body);
 	testbed_reply_clear(&reply);
 	for (i = 0; i < 2; i++) {
 		after_kb[i] = testbed_memory_kb(testbed.hosts[i].daemon);
@@ -440,7 +440,7 @@
 static void
 kill_store(void)
 {
-	testbed_kill(&testbed.hosts[1].upstream, SIGKILL);
+	testbed_signal(&testbed.hosts[1].upstream, SIGKILL);
 }
 
 static bool
@@ -543,7 +543,7 @@
 	g_string_append(bytes, "0\r\n\r\n");
 	if (!start())
 		goto out;
-	answer = testbed_raw(&testbed, 0, bytes->str, bytes->len, NULL);
+	answer = testbed_send_raw(&testbed, 0, bytes->str, bytes->len, NULL);
 	TEST_CHECK(strncmp(answer, "HTTP/1.1 413 ", 13) == 0 &&
 		strstr(answer, "\r\nLoom-Code: 2007\r\n") != NULL,
 	    "%s", answer);
@@ -570,7 +570,7 @@
 	g_string_append_printf(bytes, one, 1, "");
 	g_string_append_printf(bytes, one, 2, "");
 	g_string_append_printf(bytes, one, 3, "Connection: close\r\n");
-	answer = testbed_raw(&testbed, 0, bytes->str, bytes->len, NULL);
+	answer = testbed_send_raw(&testbed, 0, bytes->str, bytes->len, NULL);
 	first = strstr(answer, "id=p1");
 	second = strstr(answer, "id=p2");
 	third = strstr(answer, "id=p3");
--- a/tests/faults/test_config.c
+++ b/tests/faults/test_config.c
@@ -68,7 +68,7 @@
 	uint32_t host;
 
 	for (host = 0; host < HOSTS; host++) {
-		if (testbed_in_force(&testbed, host, digest) !=
+		if (testbed_active_version(&testbed, host, digest) !=
 		    *(const int64_t *)version)
 			return false;
 		if (host == 0)
@@ -92,7 +92,7 @@
 static void
 restart(uint32_t host)
 {
-	testbed_kill(&testbed.hosts[host].daemon, SIGKILL);
+	testbed_signal(&testbed.hosts[host].daemon, SIGKILL);
 	testbed_start_daemon(&testbed, host);
 	TEST_CHECK(testbed_wait_ready(&testbed, host), "host %u", host);
 }
@@ -134,7 +134,7 @@
 		wait_all_at(2);
 		restart(1);
 		wait_all_at(2);
-		testbed_in_force(&testbed, 0, digest[i]);
+		testbed_active_version(&testbed, 0, digest[i]);
 		testbed_stop(&testbed);
 	}
 	/* The order of shipping may win when the loser was overwritten on the
@@ -162,7 +162,8 @@
 			set_fault("stale");
 		ship(2, 12);
 		if (strcmp(modes[i], "stale") == 0) {
-			TEST_CHECK(testbed_in_force(&testbed, 0, digest) == 1,
+			TEST_CHECK(
+			    testbed_active_version(&testbed, 0, digest) == 1,
 			    "still 1");
 			set_fault("none");
 		}
@@ -219,7 +220,7 @@
 	testbed.secret_key = right;
 	ship(2, 12);
 	wait_all_at(2);
-	TEST_CHECK(testbed_in_force(&testbed, 4, digest) == 2,
+	TEST_CHECK(testbed_active_version(&testbed, 4, digest) == 2,
 	    "the forged one is not taken");
 out:
 	testbed_stop(&testbed);
--- a/tests/faults/test_crash.c
+++ b/tests/faults/test_crash.c
@@ -33,7 +33,10 @@
 	{ .name = "photos", .hosts = HOSTS, .slots = 32 },
 };
 static const struct testbed_service held_services[] = {
-	{ .name = "photos", .hosts = HOSTS, .slots = 32, .held_socket = true },
+	{ .name = "photos",
+	    .hosts = HOSTS,
+	    .slots = 32,
+	    .keep_listen_socket = true },
 };
 
 static const char document_format[] =
@@ -82,7 +85,7 @@
 		asked.body_len = strlen(body);
 		testbed_caller_call(&caller, &asked, &reply);
 		neighbour->sent++;
-		neighbour->answered += reply.curl == 0 && reply.code == 0;
+		neighbour->answered += reply.curl_code == 0 && reply.code == 0;
 		neighbour->blamed += reply.code == LOOM_QUARANTINED;
 		testbed_reply_clear(&reply);
 	}
@@ -126,7 +129,7 @@
 	    headers, culprit->body, strlen(culprit->body), &reply);
 	g_free(id);
 	culprit->sent++;
-	culprit->answered += reply.curl == 0 && reply.code == 0;
+	culprit->answered += reply.curl_code == 0 && reply.code == 0;
 	if (reply.code == LOOM_QUARANTINED) {
 		culprit->quarantined++;
 		culprit->not_final +=
--- a/tests/faults/test_honest.c
+++ b/tests/faults/test_honest.c
@@ -91,7 +91,7 @@
 static enum told
 told_by(const struct testbed_reply *reply)
 {
-	if (reply->curl != 0)
+	if (reply->curl_code != 0)
 		return TOLD_BROKEN;
 	if (reply->code == 0)
 		return TOLD_WHOLE;
@@ -174,7 +174,7 @@
 static void
 kill_and_restart(uint32_t host)
 {
-	testbed_kill(&testbed.hosts[host].daemon, SIGKILL);
+	testbed_signal(&testbed.hosts[host].daemon, SIGKILL);
 	let_them_call();
 	testbed_start_daemon(&testbed, host);
 }
@@ -182,9 +182,9 @@
 static void
 pause_and_wake(uint32_t host)
 {
-	testbed_kill(&testbed.hosts[host].daemon, SIGSTOP);
+	testbed_signal(&testbed.hosts[host].daemon, SIGSTOP);
 	let_them_call();
-	testbed_kill(&testbed.hosts[host].daemon, SIGCONT);
+	testbed_signal(&testbed.hosts[host].daemon, SIGCONT);
 }
 
 /* A peer that is neither reachable nor gone: both of one service. */
@@ -193,15 +193,15 @@
 {
 	uint32_t twin = host ^ 1;
 
-	testbed_kill(&testbed.hosts[twin].daemon, SIGSTOP);
+	testbed_signal(&testbed.hosts[twin].daemon, SIGSTOP);
 	pause_and_wake(host);
-	testbed_kill(&testbed.hosts[twin].daemon, SIGCONT);
+	testbed_signal(&testbed.hosts[twin].daemon, SIGCONT);
 }
 
 static void
 kill_upstream(uint32_t host)
 {
-	testbed_kill(&testbed.hosts[host].upstream, SIGKILL);
+	testbed_signal(&testbed.hosts[host].upstream, SIGKILL);
 	let_them_call();
 	testbed_start_upstream(&testbed, host);
 }
@@ -246,7 +246,7 @@
 static void
 second_attempt(void)
 {
-	uint32_t first = testbed_host_of(&testbed, "stock"), running, idle;
+	uint32_t first = testbed_first_host(&testbed, "stock"), running, idle;
 	struct testbed_reply reply;
 	GThread *thread;
 	double retries;
@@ -258,8 +258,8 @@
 	    ? first
 	    : first + 1;
 	idle = running == first ? first + 1 : first;
-	testbed_kill(&testbed.hosts[idle].daemon, SIGKILL);
-	testbed_kill(&testbed.hosts[running].daemon, SIGKILL);
+	testbed_signal(&testbed.hosts[idle].daemon, SIGKILL);
+	testbed_signal(&testbed.hosts[running].daemon, SIGKILL);
 	g_thread_join(thread);
 	retries = testbed_metric(
 	    &testbed, 0, "loom_retries_total{verdict=\"granted\"}");
--- a/tests/faults/test_importance.c
+++ b/tests/faults/test_importance.c
@@ -104,7 +104,7 @@
 	bool whole;
 
 	testbed_caller_call(caller, &request, &reply);
-	whole = reply.curl == 0 && reply.status == 200;
+	whole = reply.curl_code == 0 && reply.status == 200;
 	testbed_reply_clear(&reply);
 	return whole;
 }
--- a/tests/faults/test_keys.c
+++ b/tests/faults/test_keys.c
@@ -226,7 +226,7 @@
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(hosts); i++) {
-		testbed_kill(&testbed.hosts[hosts[i]].daemon, SIGKILL);
+		testbed_signal(&testbed.hosts[hosts[i]].daemon, SIGKILL);
 		testbed.hosts[hosts[i]].platform_url = DEAD_PLATFORM;
 		testbed_start_daemon(&testbed, hosts[i]);
 	}
@@ -473,7 +473,7 @@
 	TEST_CHECK(
 	    testbed_wait_condition(deep_started, (void *)"live"), "deep");
 	host = front_of("live");
-	context = testbed_dump_last(&testbed, host, "Loom-Context");
+	context = testbed_last_header(&testbed, host, "Loom-Context");
 	TEST_CHECK(context != NULL, "no context");
 	TEST_CHECK(use(context, host, AS_IT_IS, NULL) == 0, "its own use");
 	TEST_CHECK(starts("back", "misused") == 1, "its own use ran");
--- a/tests/faults/test_load.c
+++ b/tests/faults/test_load.c
@@ -315,8 +315,8 @@
 	set_upstreams(&testbed, &services[0], "service_ms=200");
 	thread = g_thread_new("load", run_beside, &running);
 	began = testbed_wait_condition(is_under_way, &testbed);
-	testbed_kill(&testbed.hosts[0].daemon, SIGKILL);
-	testbed_kill(&testbed.hosts[1].upstream, SIGKILL);
+	testbed_signal(&testbed.hosts[0].daemon, SIGKILL);
+	testbed_signal(&testbed.hosts[1].upstream, SIGKILL);
 	testbed_start_daemon(&testbed, 0);
 	testbed_start_upstream(&testbed, 1);
 	g_thread_join(thread);
--- a/tests/faults/test_malformed.c
+++ b/tests/faults/test_malformed.c
@@ -126,7 +126,8 @@
 	char **parts = g_strsplit(row->bytes, "%s", 2);
 	char *bytes = g_strjoinv(letters, parts);
 	struct counts before = read_counts();
-	char *answer = testbed_raw(&testbed, 0, bytes, strlen(bytes), NULL);
+	char *answer =
+	    testbed_send_raw(&testbed, 0, bytes, strlen(bytes), NULL);
 
 	TEST_CHECK(row->answer[0] == '\0'
 		? answer[0] == '\0'
@@ -196,7 +197,8 @@
 		goto out;
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
 		bytes = g_strconcat(cases[i].head, chunks, NULL);
-		answer = testbed_raw(&testbed, 0, bytes, strlen(bytes), NULL);
+		answer =
+		    testbed_send_raw(&testbed, 0, bytes, strlen(bytes), NULL);
 		TEST_CHECK(g_str_has_prefix(answer, cases[i].answer) &&
 			(cases[i].code == NULL ||
 			    strstr(answer, cases[i].code) != NULL),
--- a/tests/faults/test_once.c
+++ b/tests/faults/test_once.c
@@ -120,7 +120,7 @@
 	if (reply->code != 0)
 		order->code = reply->code;
 	order->lost += reply->code == LOOM_TICKET_LOST;
-	if (reply->curl != 0)
+	if (reply->curl_code != 0)
 		order->broken++;
 	else if (reply->code == 0 && reply->status == 200)
 		order->answered++;
@@ -152,7 +152,7 @@
 	order->ticket = testbed_ticket(&testbed, host, key_header, route);
 	if (!TEST_CHECK(order->ticket != NULL, "%s: ticket", order->id))
 		return false;
-	order->executor = testbed_ticket_host(&testbed, order->ticket);
+	order->executor = testbed_ticket_executor(&testbed, order->ticket);
 	return TEST_CHECK(order->executor < HOSTS, "%s: executor", order->id);
 }
 
@@ -263,11 +263,11 @@
 	struct copy first, again;
 
 	begin_run(&first, order);
-	testbed_kill(daemon, SIGSTOP);
+	testbed_signal(daemon, SIGSTOP);
 	copy_start(&again, order, other(order), RUN_MS, SHORT_DEADLINE);
 	copy_join(&again, order);
 	TEST_CHECK(order->unknown >= 1, "answered by a paused executor");
-	testbed_kill(daemon, SIGCONT);
+	testbed_signal(daemon, SIGCONT);
 	copy_join(&first, order);
 	send_everywhere(order, NO_MS);
 	TEST_CHECK(order->answered == COPIES + 1, "%u answered after it woke",
@@ -309,10 +309,10 @@
 		.entry = other(order),
 	};
 
-	testbed_kill(daemon, SIGSTOP);
+	testbed_signal(daemon, SIGSTOP);
 	copy_start(&first, order, entered.entry, NO_MS, DEADLINE);
 	TEST_CHECK(testbed_wait_condition(is_sent, &entered), "under way");
-	testbed_kill(daemon, SIGKILL);
+	testbed_signal(daemon, SIGKILL);
 	copy_join(&first, order);
 	restart_daemon(order->executor);
 	send_everywhere(order, NO_MS);
@@ -332,7 +332,7 @@
 	struct copy first;
 
 	begin_run(&first, order);
-	testbed_kill(&testbed.hosts[order->executor].daemon, SIGKILL);
+	testbed_signal(&testbed.hosts[order->executor].daemon, SIGKILL);
 	copy_join(&first, order);
 	restart_daemon(order->executor);
 	send_everywhere(order, NO_MS);
@@ -349,7 +349,7 @@
 	struct copy first;
 
 	begin_run(&first, order);
-	testbed_kill(&testbed.hosts[order->executor].upstream, SIGKILL);
+	testbed_signal(&testbed.hosts[order->executor].upstream, SIGKILL);
 	copy_join(&first, order);
 	testbed_start_upstream(&testbed, order->executor);
 	TEST_CHECK(testbed_wait_upstream(&testbed, order->executor), "back");
@@ -368,7 +368,7 @@
 	struct copy first;
 
 	begin_run(&first, order);
-	testbed_kill(&testbed.hosts[order->executor].daemon, SIGTERM);
+	testbed_signal(&testbed.hosts[order->executor].daemon, SIGTERM);
 	copy_join(&first, order);
 	TEST_CHECK(order->answered == 1, "the run was cut by the shutdown: %d",
 	    order->code);
@@ -386,7 +386,7 @@
 static void
 handed_over_unused(struct order *order)
 {
-	testbed_kill(&testbed.hosts[order->executor].daemon, SIGTERM);
+	testbed_signal(&testbed.hosts[order->executor].daemon, SIGTERM);
 	send_everywhere(order, RUN_MS);
 	restart_daemon(order->executor);
 	send_everywhere(order, NO_MS);
@@ -404,7 +404,7 @@
 	send_everywhere(order, RUN_MS);
 	TEST_CHECK(order->answered == COPIES, "%u of %u answered",
 	    order->answered, (unsigned)COPIES);
-	testbed_kill(&testbed.hosts[order->executor].daemon, SIGKILL);
+	testbed_signal(&testbed.hosts[order->executor].daemon, SIGKILL);
 	restart_daemon(order->executor);
 	send_everywhere(order, NO_MS);
 	TEST_CHECK(runs(order) == 1, "%u payments", runs(order));
@@ -452,16 +452,16 @@
 	struct copy copies[ENTRIES];
 
 	begin_run(&copies[0], order);
-	testbed_kill(&testbed.hosts[order->executor].daemon, SIGTERM);
+	testbed_signal(&testbed.hosts[order->executor].daemon, SIGTERM);
 	copy_join(&copies[0], order);
-	testbed_kill(&testbed.hosts[heir].daemon, SIGSTOP);
+	testbed_signal(&testbed.hosts[heir].daemon, SIGSTOP);
 	restart_daemon(order->executor);
 	before = order->answered;
 	for (i = 0; i < ENTRIES; i++)
 		copy_start(&copies[i], order, i, NO_MS, DEADLINE);
 	for (i = 0; i < ENTRIES; i++)
 		TEST_CHECK(testbed_wait_condition(is_under_way, &i), "%u", i);
-	testbed_kill(&testbed.hosts[heir].daemon, SIGCONT);
+	testbed_signal(&testbed.hosts[heir].daemon, SIGCONT);
 	for (i = 0; i < ENTRIES; i++)
 		copy_join(&copies[i], order);
 	TEST_CHECK(order->answered == before + ENTRIES && order->lost == 0,
@@ -481,18 +481,18 @@
 	struct copy copies[ENTRIES];
 	uint32_t i;
 
-	testbed_kill(&testbed.hosts[0].daemon, SIGSTOP);
+	testbed_signal(&testbed.hosts[0].daemon, SIGSTOP);
 	executor->unlisted = true;
-	testbed_put_hosts(&testbed);
-	testbed_kill(&executor->daemon, SIGTERM);
+	testbed_publish_hosts(&testbed);
+	testbed_signal(&executor->daemon, SIGTERM);
 	for (i = 0; i < ENTRIES; i++)
 		copy_start(&copies[i], order, i, RUN_MS, DEADLINE);
 	restart_daemon(order->executor);
-	testbed_kill(&testbed.hosts[0].daemon, SIGCONT);
+	testbed_signal(&testbed.hosts[0].daemon, SIGCONT);
 	for (i = 0; i < ENTRIES; i++)
 		copy_join(&copies[i], order);
 	executor->unlisted = false;
-	testbed_put_hosts(&testbed);
+	testbed_publish_hosts(&testbed);
 	send_everywhere(order, NO_MS);
 	TEST_CHECK(order->answered > 0 && order->lost == 0,
 	    "%u answered, %u told lost", order->answered, order->lost);
@@ -633,7 +633,7 @@
 	struck = faults[fault].heir ? heir : order.executor;
 	kill(testbed.hosts[order.executor].daemon, SIGTERM);
 	g_usleep((gulong)g_rand_int_range(random, 0, FAULT_WITHIN_US));
-	testbed_kill(
+	testbed_signal(
 	    &testbed.hosts[struck].daemon, faults[fault].signal_number);
 	for (i = 0; i < ENTRIES; i++)
 		copy_start(&copies[i], &order, i, RUN_MS, SHORT_DEADLINE);
@@ -684,8 +684,8 @@
 		return;
 	orders = testbed_ledger(&testbed, "orders", "start");
 	pays = testbed_ledger(&testbed, "payments", "start");
-	orders_most = testbed_ledger_most(orders);
-	pays_most = testbed_ledger_most(pays);
+	orders_most = testbed_ledger_max(orders);
+	pays_most = testbed_ledger_max(pays);
 	TEST_CHECK(orders_most == 1 && pays_most == 1, "most runs: %u, %u",
 	    orders_most, pays_most);
 	printf("point 7 at most once: %zu orders, copies answered %u, unknown "
--- a/tests/faults/test_pairs.c
+++ b/tests/faults/test_pairs.c
@@ -112,7 +112,7 @@
 	TEST_CHECK(testbed_wait_condition(refuses_key, &host), "in force");
 	g_free(
 	    testbed_platform_call(&testbed, "POST", "/test/fault?mode=down"));
-	testbed_kill(&testbed.hosts[host].daemon, SIGKILL);
+	testbed_signal(&testbed.hosts[host].daemon, SIGKILL);
 	testbed_start_daemon(&testbed, host);
 	TEST_CHECK(testbed_wait_ready(&testbed, host), "it is back");
 	TEST_CHECK(call(host, "after") == LOOM_KEY_WITHDRAWN, "withdrawn");
@@ -137,7 +137,7 @@
 	TEST_CHECK(testbed_wait_condition(refuses_key, &host), "in force");
 	g_free(
 	    testbed_platform_call(&testbed, "POST", "/test/fault?mode=older"));
-	testbed_kill(&testbed.hosts[host].daemon, SIGKILL);
+	testbed_signal(&testbed.hosts[host].daemon, SIGKILL);
 	testbed_start_daemon(&testbed, host);
 	TEST_CHECK(testbed_wait_ready(&testbed, host), "it is back");
 	TEST_CHECK(call(host, "after") == LOOM_KEY_WITHDRAWN, "withdrawn");
@@ -188,7 +188,7 @@
 	TEST_CHECK(testbed_wait_condition(work_started, id), "it runs");
 	for (host = 0; host < HOSTS; host++)
 		kill(testbed.hosts[host].upstream, SIGSTOP);
-	testbed_kill(&testbed.hosts[0].daemon, SIGKILL);
+	testbed_signal(&testbed.hosts[0].daemon, SIGKILL);
 	g_thread_join(thread);
 	for (host = 0; host < HOSTS; host++)
 		kill(testbed.hosts[host].upstream, SIGCONT);
--- a/tests/faults/test_partition.c
+++ b/tests/faults/test_partition.c
@@ -63,7 +63,8 @@
 static bool
 whole(const struct testbed_reply *reply)
 {
-	return reply->curl == 0 && reply->code == 0 && reply->status == 200;
+	return reply->curl_code == 0 && reply->code == 0 &&
+	    reply->status == 200;
 }
 
 /* From version 2 on key b is withdrawn, from version 3 on c as well. */
@@ -103,7 +104,7 @@
 cut_stocks(uint32_t n, const char *mode, bool one_way)
 {
 	bool from[HOSTS + 1], to[HOSTS + 1];
-	const struct testbed_cut cut = {
+	const struct testbed_partition cut = {
 		.from = from,
 		.to = to,
 		.mode = mode,
@@ -115,7 +116,7 @@
 		from[i] = i >= FRONTS && i < FRONTS + n;
 		to[i] = !from[i];
 	}
-	testbed_cut(&testbed, &cut);
+	testbed_partition(&testbed, &cut);
 }
 
 #define CALLERS 4
@@ -262,7 +263,7 @@
 		TEST_CHECK(important.lost <= AWAY_LOST_MAX / 2,
 		    "%s: %u important calls lost", cases[c].name,
 		    important.lost);
-		testbed_heal(&testbed);
+		testbed_remove_partitions(&testbed);
 		wait_all_stocks();
 		printf("point 8 cut-off targets: %s: %u of %d calls lost, %u "
 		       "of them important; %u refused besides while rights "
@@ -396,9 +397,9 @@
 		threads[i] = g_thread_new("flood", flood, &first[i]);
 	}
 	let_flood();
-	testbed_cut_halves(&testbed, "hold", false);
+	testbed_isolate_first_data_centre(&testbed, "hold", false);
 	let_flood();
-	testbed_heal(&testbed);
+	testbed_remove_partitions(&testbed);
 	let_flood();
 	atomic_store(&flooded.over, true);
 	for (i = 0; i < FLOOD_CALLERS; i++)
@@ -411,7 +412,7 @@
 	       "in %.2f s\n",
 	    atomic_load(&flooded.let_in), bound, took_s);
 
-	testbed_cut_halves(&testbed, "drop", false);
+	testbed_isolate_first_data_centre(&testbed, "drop", false);
 	testbed_caller_init(&steady.caller, &testbed);
 	steady.gap_us = (gulong)(1e6 * CENTRES / (RATE * SIDE_PART));
 	TEST_CHECK(testbed_wait_condition(served_in_a_row, &steady),
@@ -427,7 +428,7 @@
 	    SIDE_CALLS, atomic_load(&flooded.over_rate));
 	printf("then %u of %d\n", atomic_load(&flooded.whole), SIDE_CALLS);
 
-	testbed_heal(&testbed);
+	testbed_remove_partitions(&testbed);
 	steady.hosts = 1;
 	steady.gap_us = (gulong)(1e6 / (RATE * WHOLE_PART));
 	steady.in_a_row = 0;
@@ -453,7 +454,8 @@
 		if (reach->centre < CENTRES &&
 		    testbed.hosts[i].data_centre != reach->centre)
 			continue;
-		if (testbed_in_force(&testbed, i, digest) != reach->version)
+		if (testbed_active_version(&testbed, i, digest) !=
+		    reach->version)
 			return false;
 	}
 	return true;
@@ -525,12 +527,12 @@
 		goto out;
 	ship(2);
 	wait_version(CENTRES, 2);
-	testbed_cut_halves(&testbed, "drop", false);
+	testbed_isolate_first_data_centre(&testbed, "drop", false);
 	ship(3);
 	wait_version(0, 3);
 	check_key(0, third_key, true);
 	check_key(1, second_key, true);
-	testbed_kill(&testbed.hosts[lonely].daemon, SIGKILL);
+	testbed_signal(&testbed.hosts[lonely].daemon, SIGKILL);
 	testbed_start_daemon(&testbed, lonely);
 	TEST_CHECK(testbed_wait_ready(&testbed, lonely), "ready in its part");
 	wait_version(1, 2);
@@ -539,11 +541,11 @@
 	/* An older version comes back while the parts are apart. */
 	g_free(
 	    testbed_platform_call(&testbed, "POST", "/test/fault?mode=older"));
-	testbed_kill(&testbed.hosts[ENTRY].daemon, SIGKILL);
+	testbed_signal(&testbed.hosts[ENTRY].daemon, SIGKILL);
 	testbed_start_daemon(&testbed, ENTRY);
 	TEST_CHECK(testbed_wait_ready(&testbed, ENTRY), "ready again");
 	wait_version(0, 3);
-	testbed_heal(&testbed);
+	testbed_remove_partitions(&testbed);
 	wait_version(CENTRES, 3);
 	check_key(0, third_key, true);
 	check_key(1, third_key, true);
--- a/tests/faults/test_partition_calls.c
+++ b/tests/faults/test_partition_calls.c
@@ -135,10 +135,10 @@
 	    reply->code == 0 && (reply->status == 200 || answer->kind == CHAIN);
 
 	answer->not_run =
-	    reply->curl == 0 && strcmp(reply->outcome, "not-run") == 0;
-	if (reply->curl == CURLE_OPERATION_TIMEDOUT)
+	    reply->curl_code == 0 && strcmp(reply->outcome, "not-run") == 0;
+	if (reply->curl_code == CURLE_OPERATION_TIMEDOUT)
 		caller->hanging++;
-	else if (reply->curl != 0)
+	else if (reply->curl_code != 0)
 		caller->broken++;
 	else if (answered && !is_own(reply, answer->kind, answer->id, bytes))
 		caller->in_part++;
@@ -244,7 +244,7 @@
 cut_services(const char *mode, bool one_way)
 {
 	bool fronts[HOSTS + 1], stocks[HOSTS + 1];
-	const struct testbed_cut cut = {
+	const struct testbed_partition cut = {
 		.from = stocks,
 		.to = fronts,
 		.mode = mode,
@@ -256,7 +256,7 @@
 		stocks[i] = i >= FRONTS && i < HOSTS;
 		fronts[i] = !stocks[i];
 	}
-	testbed_cut(&testbed, &cut);
+	testbed_partition(&testbed, &cut);
 }
 
 static void
@@ -269,10 +269,10 @@
 		if (cuts[i].services)
 			cut_services(cuts[i].mode, cuts[i].one_way);
 		else
-			testbed_cut_halves(
+			testbed_isolate_first_data_centre(
 			    &testbed, cuts[i].mode, cuts[i].one_way);
 		let_them_call();
-		testbed_heal(&testbed);
+		testbed_remove_partitions(&testbed);
 	}
 	let_them_call();
 }
@@ -409,9 +409,9 @@
 	struct payment *payment = copy->payment;
 
 	g_thread_join(copy->thread);
-	if (reply->curl == 0 && reply->code == 0 && reply->status == 200)
+	if (reply->curl_code == 0 && reply->code == 0 && reply->status == 200)
 		payment->answered++;
-	else if (reply->curl == 0 &&
+	else if (reply->curl_code == 0 &&
 	    (strcmp(reply->outcome, "unknown") == 0 ||
 		strcmp(reply->outcome, "ran") == 0))
 		payment->unknown++;
@@ -469,7 +469,7 @@
 	    testbed_ticket(&testbed, far_entry(), key_header, "pay");
 	if (payment->ticket == NULL)
 		return false;
-	executor = testbed_ticket_host(&testbed, payment->ticket);
+	executor = testbed_ticket_executor(&testbed, payment->ticket);
 	return executor < HOSTS && testbed.hosts[executor].data_centre != 0;
 }
 
@@ -526,11 +526,12 @@
 			    testbed_wait_condition(has_started, &payment),
 			    "%s: begins", cases[i].name);
 		}
-		testbed_cut_halves(&testbed, cases[i].mode, cases[i].one_way);
+		testbed_isolate_first_data_centre(
+		    &testbed, cases[i].mode, cases[i].one_way);
 		if (cases[i].begun)
 			copy_end(&first);
 		send_everywhere(&payment);
-		testbed_heal(&testbed);
+		testbed_remove_partitions(&testbed);
 		send_everywhere(&payment);
 		TEST_CHECK(testbed_wait_condition(is_answered, &payment),
 		    "%s: answered after healing, code %d", cases[i].name,
--- a/tests/faults/test_rate.c
+++ b/tests/faults/test_rate.c
@@ -122,7 +122,7 @@
 kill_and_pause(void)
 {
 	kill(testbed.hosts[1].daemon, SIGSTOP);
-	testbed_kill(&testbed.hosts[2].daemon, SIGKILL);
+	testbed_signal(&testbed.hosts[2].daemon, SIGKILL);
 	testbed_start_daemon(&testbed, 2);
 	TEST_CHECK(testbed_wait_ready(&testbed, 2), "host 2 is back");
 	kill(testbed.hosts[1].daemon, SIGCONT);
@@ -257,7 +257,7 @@
 	for (host = 0; host < HOSTS; host++) {
 		if (host == ENTRY)
 			continue;
-		testbed_kill(&testbed.hosts[host].daemon, SIGKILL);
+		testbed_signal(&testbed.hosts[host].daemon, SIGKILL);
 		testbed_start_daemon(&testbed, host);
 		after_kill.in_a_row = 0;
 		TEST_CHECK(testbed_wait_condition(served_in_a_row, NULL),
--- a/tests/faults/test_refusals.c
+++ b/tests/faults/test_refusals.c
@@ -153,7 +153,7 @@
 static bool
 has_code(const struct row *row, const struct testbed_reply *reply)
 {
-	return reply->curl == 0 && reply->code != 0 &&
+	return reply->curl_code == 0 && reply->code != 0 &&
 	    (reply->code == row->codes[0] || reply->code == row->codes[1]);
 }
 
@@ -209,7 +209,7 @@
 static void
 stop_upstream(void)
 {
-	testbed_kill(&testbed.hosts[SHOP].upstream, SIGKILL);
+	testbed_signal(&testbed.hosts[SHOP].upstream, SIGKILL);
 }
 
 static void
@@ -282,7 +282,7 @@
 static void
 kill_store(void)
 {
-	testbed_kill(&testbed.hosts[STORE].daemon, SIGKILL);
+	testbed_signal(&testbed.hosts[STORE].daemon, SIGKILL);
 }
 
 static bool
@@ -292,7 +292,7 @@
 	bool came;
 
 	call_row(arg, &reply);
-	came = reply.curl == 0;
+	came = reply.curl_code == 0;
 	testbed_reply_clear(&reply);
 	return came;
 }
@@ -355,7 +355,7 @@
 	other = start_long(SHOP, LONG_CALL("/other"), "other");
 	call_row(row, &reply);
 	TEST_CHECK(has_code(row, &reply), "%s: curl %d code %d %s", row->name,
-	    reply.curl, reply.code, reply.body);
+	    reply.curl_code, reply.code, reply.body);
 	TEST_CHECK(reply.total_ms < AT_ONCE_MS && still_waits(other),
 	    "%s: after %.0f ms", row->name, reply.total_ms);
 	TEST_CHECK(check_wait(row, &reply), "%s: %ld s, %ld ms", row->name,
--- a/tests/faults/test_retries.c
+++ b/tests/faults/test_retries.c
@@ -195,7 +195,7 @@
 	thread = g_thread_new("caller", call_slowly, NULL);
 	TEST_CHECK(testbed_wait_condition(deep_work_started, NULL),
 	    "never reached d: %d", slow_code);
-	testbed_kill(&testbed.hosts[0].daemon, SIGKILL);
+	testbed_signal(&testbed.hosts[0].daemon, SIGKILL);
 	g_thread_join(thread);
 	seen = testbed_ledger_count(&testbed, "d", "start", "home");
 	TEST_CHECK(
--- a/tests/faults/test_shutdown.c
+++ b/tests/faults/test_shutdown.c
@@ -72,17 +72,17 @@
 static void
 judge(const struct testbed_reply *reply, uint32_t host)
 {
-	if (reply->curl == 0 && reply->status == 200) {
+	if (reply->curl_code == 0 && reply->status == 200) {
 		atomic_fetch_add(&seen.whole, 1);
-	} else if (reply->curl == CURLE_COULDNT_CONNECT ||
-	    (reply->curl == 0 && reply->code != 0 &&
+	} else if (reply->curl_code == CURLE_COULDNT_CONNECT ||
+	    (reply->curl_code == 0 && reply->code != 0 &&
 		strcmp(reply->outcome, "not-run") == 0)) {
 		atomic_fetch_add(&seen.refused, 1);
 	} else {
 		atomic_fetch_add(&seen.cut, 1);
 		g_snprintf(seen.last_cut, sizeof(seen.last_cut),
 		    "host %u: curl %d status %ld code %d %.100s", host,
-		    reply->curl, reply->status, reply->code, reply->body);
+		    reply->curl_code, reply->status, reply->code, reply->body);
 	}
 }
 
@@ -276,7 +276,7 @@
 		threads[i] = g_thread_new("caller", call_on, NULL);
 	wait_for_calls();
 	testbed.hosts[wait.host].leaving = true;
-	testbed_put_hosts(&testbed);
+	testbed_publish_hosts(&testbed);
 	told_us = g_get_monotonic_time();
 	TEST_CHECK(testbed_wait_condition(is_quiet, &wait), "no new work");
 	told_us = wait.since_us - told_us;
--- a/tests/faults/test_status.c
+++ b/tests/faults/test_status.c
@@ -90,7 +90,7 @@
 	check_json(address);
 	/* An operator asks a daemon that is gone: said so, not shown as an
 	 * empty table. */
-	testbed_kill(&testbed.hosts[0].daemon, SIGKILL);
+	testbed_signal(&testbed.hosts[0].daemon, SIGKILL);
 	out = run_tool(NULL, address, &status);
 	TEST_CHECK(status != 0 && out[0] == '\0', "%d %s", status, out);
 	g_free(out);
--- a/tests/faults/test_tls.c
+++ b/tests/faults/test_tls.c
@@ -45,7 +45,7 @@
 static bool
 restart(uint32_t host)
 {
-	testbed_kill(&testbed.hosts[host].daemon, SIGTERM);
+	testbed_signal(&testbed.hosts[host].daemon, SIGTERM);
 	testbed.hosts[host].tls_key_file = key_file;
 	testbed.hosts[host].tls_cert_file = cert_file;
 	return testbed_start_daemon(&testbed, host) &&
@@ -113,8 +113,8 @@
 
 	testbed_call(&testbed, 0, row->method, row->path, row->headers,
 	    row->body_bytes > 0 ? body : NULL, row->body_bytes, &reply);
-	TEST_CHECK((reply.curl != 0) == row->cut, "%s: curl %d", row->name,
-	    reply.curl);
+	TEST_CHECK((reply.curl_code != 0) == row->cut, "%s: curl %d", row->name,
+	    reply.curl_code);
 	TEST_CHECK(row->cut || reply.code == row->code, "%s: %ld %d %s",
 	    row->name, reply.status, reply.code, reply.body);
 	TEST_CHECK(
@@ -136,7 +136,7 @@
 
 	if (!start())
 		goto out;
-	answer = testbed_raw(&testbed, 0, plain, sizeof(plain) - 1, NULL);
+	answer = testbed_send_raw(&testbed, 0, plain, sizeof(plain) - 1, NULL);
 	TEST_CHECK(strstr(answer, "HTTP/1.1 200") == NULL, "%s", answer);
 	g_free(answer);
 	for (i = 0; i < G_N_ELEMENTS(rows); i++)
@@ -155,7 +155,7 @@
 	int curl;
 
 	testbed_call(&testbed, 0, "GET", "/get", headers, NULL, 0, &reply);
-	curl = reply.curl;
+	curl = reply.curl_code;
 	testbed_reply_clear(&reply);
 	return curl;
 }
--- a/tests/faults/test_whole.c
+++ b/tests/faults/test_whole.c
@@ -67,7 +67,7 @@
 	char *expected, *echo;
 	bool own;
 
-	if (reply->curl != 0)
+	if (reply->curl_code != 0)
 		return kind == GIVEN_UP || kind == CUT;
 	if (reply->code != 0)
 		return reply->outcome[0] != '\0';
@@ -121,10 +121,10 @@
 	if (!own && caller->foreign++ == 0)
 		g_snprintf(caller->first, sizeof(caller->first),
 		    "kind %d %s %zu bytes: curl %d status %ld len %zu %.60s",
-		    (int)kind, id, bytes, reply.curl, reply.status,
+		    (int)kind, id, bytes, reply.curl_code, reply.status,
 		    reply.body_len, reply.headers);
 	caller->counts[kind]++;
-	caller->whole += reply.curl == 0 && reply.code == 0;
+	caller->whole += reply.curl_code == 0 && reply.code == 0;
 	caller->refused += reply.code != 0;
 	testbed_reply_clear(&reply);
 }
--- a/tests/support/fleet.c
+++ b/tests/support/fleet.c
@@ -142,9 +142,9 @@
 bucket_refill(struct fleet_bucket *bucket, uint64_t now_us)
 {
 	bucket->level +=
-	    bucket->rate_per_s * (double)(now_us - bucket->at_us) / 1e6;
+	    bucket->rate_per_s * (double)(now_us - bucket->updated_us) / 1e6;
 	bucket->level = MIN(bucket->level, bucket->burst);
-	bucket->at_us = now_us;
+	bucket->updated_us = now_us;
 }
 
 static void
@@ -207,9 +207,9 @@
 
 	if (loom_random_unit(&fleet->random) < fleet->network.loss)
 		return;
-	delay_us = fleet->network.far_us;
+	delay_us = fleet->network.between_data_centres_us;
 	if (strcmp(sender->data_centre, to->data_centre) == 0)
-		delay_us = fleet->network.near_us;
+		delay_us = fleet->network.within_data_centre_us;
 	delay_us +=
 	    loom_random_below(&fleet->random, fleet->network.jitter_us + 1);
 	at_us = fleet->now_us + delay_us;
@@ -243,7 +243,7 @@
 	if (to == NULL || to->group != sender->group)
 		return;
 	schedule_delivery(sender, to, type, payload, len);
-	if (loom_random_unit(&fleet->random) < fleet->network.repeat)
+	if (loom_random_unit(&fleet->random) < fleet->network.duplication)
 		schedule_delivery(sender, to, type, payload, len);
 }
 
@@ -501,7 +501,7 @@
 }
 
 void
-fleet_manifest(struct fleet *fleet, unsigned index, double rate_per_s,
+fleet_set_manifest(struct fleet *fleet, unsigned index, double rate_per_s,
     uint32_t burst, uint32_t slots)
 {
 	struct fleet_daemon *daemon = &fleet->daemons[index];
@@ -533,7 +533,7 @@
 }
 
 void
-fleet_settled(struct fleet *fleet, double rate_per_s, uint32_t burst)
+fleet_set_bound(struct fleet *fleet, double rate_per_s, uint32_t burst)
 {
 	unsigned i;
 
@@ -543,18 +543,18 @@
 }
 
 void
-fleet_manifest_all(
+fleet_set_manifest_all(
     struct fleet *fleet, double rate_per_s, uint32_t burst, uint32_t slots)
 {
 	unsigned i;
 
 	for (i = 0; i < fleet->ndaemons; i++)
-		fleet_manifest(fleet, i, rate_per_s, burst, slots);
-	fleet_settled(fleet, rate_per_s, burst);
+		fleet_set_manifest(fleet, i, rate_per_s, burst, slots);
+	fleet_set_bound(fleet, rate_per_s, burst);
 }
 
 void
-fleet_hosts(struct fleet *fleet, unsigned index, const bool *listed)
+fleet_set_hosts(struct fleet *fleet, unsigned index, const bool *listed)
 {
 	GArray *hosts = g_array_new(FALSE, TRUE, sizeof(struct loom_host));
 	struct fleet_daemon *daemon = &fleet->daemons[index];
@@ -668,13 +668,13 @@
 }
 
 void
-fleet_cut(struct fleet *fleet, unsigned index, unsigned group)
+fleet_set_group(struct fleet *fleet, unsigned index, unsigned group)
 {
 	fleet->daemons[index].group = group;
 }
 
 void
-fleet_heal(struct fleet *fleet)
+fleet_reset_groups(struct fleet *fleet)
 {
 	unsigned i;
 
@@ -694,9 +694,9 @@
 	fleet->random = test_random_new(seed);
 	if (settings != NULL)
 		fleet->settings = *settings;
-	fleet->network = (struct fleet_network){
-		.near_us = 150, .far_us = 500, .jitter_us = 100
-	};
+	fleet->network = (struct fleet_network){ .within_data_centre_us = 150,
+		.between_data_centres_us = 500,
+		.jitter_us = 100 };
 	fleet->waiting = g_hash_table_new_full(NULL, NULL, g_free, NULL);
 	fleet->heap = g_array_new(FALSE, FALSE, sizeof(struct event));
 	fleet->now_us = START_US;
@@ -721,7 +721,7 @@
 		};
 	}
 	for (i = 0; i < ndaemons; i++) {
-		fleet_hosts(fleet, i, NULL);
+		fleet_set_hosts(fleet, i, NULL);
 		fleet_start(fleet, i);
 	}
 	fleet_reset_counts(fleet);
@@ -804,7 +804,7 @@
 }
 
 unsigned
-fleet_pool(struct fleet *fleet)
+fleet_topmost_pool(struct fleet *fleet)
 {
 	struct loom_rights_summary summary;
 	unsigned i;
--- a/tests/support/fleet.h
+++ b/tests/support/fleet.h
@@ -25,12 +25,13 @@
 #define FLEET_TEAMS 9
 
 struct fleet_network {
-	uint64_t near_us; /* one-way delay within a data centre */
-	uint64_t far_us; /* one-way delay between data centres */
+	uint64_t within_data_centre_us; /* one-way delay within a data centre */
+	uint64_t
+	    between_data_centres_us; /* one-way delay between data centres */
 	uint64_t jitter_us; /* maximum added delay; uniform */
 	bool reorder; /* jitter may change the order of messages */
 	double loss; /* probability */
-	double repeat; /* probability that a message arrives twice */
+	double duplication; /* probability that a message arrives twice */
 	uint64_t handling_us; /* time a daemon needs for one message */
 };
 
@@ -38,7 +39,7 @@
 	double rate_per_s;
 	double burst;
 	double level;
-	uint64_t at_us;
+	uint64_t updated_us;
 };
 
 struct fleet_team {
@@ -72,23 +73,23 @@
 struct loom_rights *fleet_rights(struct fleet *, unsigned daemon);
 
 /* A running daemon that considers itself the topmost pool; 0 if none does. */
-unsigned fleet_pool(struct fleet *);
+unsigned fleet_topmost_pool(struct fleet *);
 
 /* Gives one daemon a manifest with this rate, burst and slots.  All teams have
  * the same rate and burst, except team 1, which has a tenth.  Until
- * fleet_settled(), bound uses the larger of the old and new values, as daemons
- * may differ. */
-void fleet_manifest(struct fleet *, unsigned daemon, double rate_per_s,
+ * fleet_set_bound(), bound uses the larger of the old and new values, as
+ * daemons may differ. */
+void fleet_set_manifest(struct fleet *, unsigned daemon, double rate_per_s,
     uint32_t burst, uint32_t slots);
-/* Gives all daemons such a manifest and calls fleet_settled(). */
-void fleet_manifest_all(
+/* Gives all daemons such a manifest and calls fleet_set_bound(). */
+void fleet_set_manifest_all(
     struct fleet *, double rate_per_s, uint32_t burst, uint32_t slots);
 /* From now on, bound and ideal use this rate and burst.  To be called when all
  * daemons have them. */
-void fleet_settled(struct fleet *, double rate_per_s, uint32_t burst);
+void fleet_set_bound(struct fleet *, double rate_per_s, uint32_t burst);
 
 /* Sets the host list of one daemon: those with listed[i]; NULL for all. */
-void fleet_hosts(struct fleet *, unsigned daemon, const bool *listed);
+void fleet_set_hosts(struct fleet *, unsigned daemon, const bool *listed);
 
 /* Runs all events until a time. */
 void fleet_run(struct fleet *, uint64_t until_us);
@@ -113,10 +114,10 @@
 void fleet_start(struct fleet *, unsigned daemon);
 void fleet_drain(struct fleet *, unsigned daemon);
 bool fleet_is_up(const struct fleet *, unsigned daemon);
-/* Assigns a daemon to a group.  Messages pass only within a group; fleet_heal()
- * assigns all daemons to group 0. */
-void fleet_cut(struct fleet *, unsigned daemon, unsigned group);
-void fleet_heal(struct fleet *);
+/* Assigns a daemon to a group.  Messages pass only within a group;
+ * fleet_reset_groups() assigns all daemons to group 0. */
+void fleet_set_group(struct fleet *, unsigned daemon, unsigned group);
+void fleet_reset_groups(struct fleet *);
 
 /* Sets all counts to 0 and worst to the burst; keeps the buckets. */
 void fleet_reset_counts(struct fleet *);
--- a/tests/support/testbed.c
+++ b/tests/support/testbed.c
@@ -115,7 +115,7 @@
 }
 
 void
-testbed_put_hosts(struct testbed *testbed)
+testbed_publish_hosts(struct testbed *testbed)
 {
 	const struct testbed_host *host;
 	GString *text;
@@ -261,7 +261,7 @@
 	g_ptr_array_add(argv, ledger);
 	g_ptr_array_add(argv, (gpointer) "--dump");
 	g_ptr_array_add(argv, dump);
-	if (host->service->held_socket)
+	if (host->service->keep_listen_socket)
 		g_ptr_array_add(argv, (gpointer) "--held-socket");
 	for (i = 0; host->service->calls[i] != NULL; i++) {
 		g_ptr_array_add(argv, (gpointer) "--call");
@@ -327,7 +327,7 @@
 }
 
 void
-testbed_cut(struct testbed *testbed, const struct testbed_cut *cut)
+testbed_partition(struct testbed *testbed, const struct testbed_partition *cut)
 {
 	char *from = relay_host_list(testbed, cut->from);
 	char *to = relay_host_list(testbed, cut->to);
@@ -341,11 +341,12 @@
 }
 
 void
-testbed_cut_halves(struct testbed *testbed, const char *mode, bool one_way)
+testbed_isolate_first_data_centre(
+    struct testbed *testbed, const char *mode, bool one_way)
 {
 	bool first_centre[TESTBED_HOSTS_MAX + 1] = { false };
 	bool others[TESTBED_HOSTS_MAX + 1] = { false };
-	const struct testbed_cut cut = {
+	const struct testbed_partition cut = {
 		.from = others,
 		.to = first_centre,
 		.mode = mode,
@@ -358,11 +359,11 @@
 		others[i] = !first_centre[i];
 	}
 	first_centre[testbed->nhosts] = true;
-	testbed_cut(testbed, &cut);
+	testbed_partition(testbed, &cut);
 }
 
 void
-testbed_heal(struct testbed *testbed)
+testbed_remove_partitions(struct testbed *testbed)
 {
 	g_free(test_standin_call(&testbed->relay, "POST", "/test/heal", NULL));
 }
@@ -387,10 +388,10 @@
 	assign_addresses(testbed);
 	if (relayed && !start_relay(testbed))
 		return false;
-	testbed_put_hosts(testbed);
+	testbed_publish_hosts(testbed);
 	testbed_put_document(testbed, "test", document);
 	for (i = 0; i < testbed->nhosts; i++) {
-		if ((!testbed->hosts[i].service->daemons_only &&
+		if ((!testbed->hosts[i].service->without_upstreams &&
 			!testbed_start_upstream(testbed, i)) ||
 		    !testbed_start_daemon(testbed, i))
 			return false;
@@ -420,7 +421,7 @@
 }
 
 void
-testbed_kill(pid_t *pid, int signal_number)
+testbed_signal(pid_t *pid, int signal_number)
 {
 	if (*pid <= 0)
 		return;
@@ -454,8 +455,8 @@
 	uint32_t i;
 
 	for (i = 0; i < testbed->nhosts; i++) {
-		testbed_kill(&testbed->hosts[i].daemon, SIGKILL);
-		testbed_kill(&testbed->hosts[i].upstream, SIGKILL);
+		testbed_signal(&testbed->hosts[i].daemon, SIGKILL);
+		testbed_signal(&testbed->hosts[i].upstream, SIGKILL);
 	}
 	test_standin_stop(&testbed->relay);
 	test_standin_stop(&testbed->platform);
--- a/tests/support/testbed.h
+++ b/tests/support/testbed.h
@@ -37,9 +37,9 @@
 	const char *calls[5]; /* "METHOD PATH", NULL-terminated */
 	uint32_t slots;
 	uint32_t service_ms;
-	bool daemons_only; /* without upstream processes */
-	bool held_socket; /* an upstream that crashes restarts on the
-			   * listening socket that it kept open */
+	bool without_upstreams; /* without upstream processes */
+	bool keep_listen_socket; /* an upstream that crashes restarts on the
+				  * listening socket that it kept open */
 };
 
 struct testbed_host {
@@ -74,7 +74,7 @@
 
 /* The response to one request. */
 struct testbed_reply {
-	int curl; /* CURLcode; 0 when the response is complete */
+	int curl_code; /* CURLcode; 0 when the response is complete */
 	long status;
 	char *headers; /* owned */
 	char *body; /* owned */
@@ -116,28 +116,29 @@
     uint32_t data_centres, const char *document);
 
 /* A network partition; tests/standin/relay.c describes the modes. */
-struct testbed_cut {
+struct testbed_partition {
 	const bool *from; /* by host index; the platform is at nhosts */
 	const bool *to;
 	const char *mode; /* "hold", "drop" or "reset" */
 	bool one_way; /* blocks only traffic from "from" to "to" */
 };
 
-/* Cuts accumulate until testbed_heal() removes all of them.  Both functions
- * return when the relay has applied the change. */
-void testbed_cut(struct testbed *, const struct testbed_cut *);
-void testbed_heal(struct testbed *);
+/* Cuts accumulate until testbed_remove_partitions() removes all of them.  Both
+ * functions return when the relay has applied the change. */
+void testbed_partition(struct testbed *, const struct testbed_partition *);
+void testbed_remove_partitions(struct testbed *);
 
 /* Separates the first data centre and the platform from all other data centres.
  * With one_way, only traffic towards the first data centre and the platform is
  * blocked. */
-void testbed_cut_halves(struct testbed *, const char *mode, bool one_way);
+void testbed_isolate_first_data_centre(
+    struct testbed *, const char *mode, bool one_way);
 
 /* Signs a manifest document and publishes it on the platform. */
 void testbed_put_document(struct testbed *, const char *name, const char *text);
 /* Publishes the host lists on the platform, from leaving and unlisted of each
  * host. */
-void testbed_put_hosts(struct testbed *);
+void testbed_publish_hosts(struct testbed *);
 
 /* Calls the test interface of the platform stand-in.  The response body is
  * owned: g_free(). */
@@ -150,7 +151,7 @@
 bool testbed_start_upstream(struct testbed *, uint32_t host);
 /* Sends a signal.  Unless it is SIGSTOP or SIGCONT, also waits for the process
  * to end and sets *pid to 0. */
-void testbed_kill(pid_t *pid, int signal_number);
+void testbed_signal(pid_t *pid, int signal_number);
 
 /* The path of a host's file; owned.  The suffix is "log", "upstream.log",
  * "ledger", "dump" or, for its settings, "json". */
@@ -181,7 +182,7 @@
 
 /* Sends raw bytes to a host's daemon and reads until the connection ends or the
  * response contains the text until (may be NULL).  Owned: g_free(). */
-char *testbed_raw(struct testbed *, uint32_t host, const char *bytes,
+char *testbed_send_raw(struct testbed *, uint32_t host, const char *bytes,
     size_t len, const char *until);
 
 /* Reads a connection to its end; owned: g_free().  closed is true when the peer
@@ -200,7 +201,7 @@
 double testbed_cpu_s(pid_t);
 
 /* The index of the first host of a service. */
-uint32_t testbed_host_of(const struct testbed *, const char *service);
+uint32_t testbed_first_host(const struct testbed *, const char *service);
 
 /* The number of lines in the ledgers of a service that begin with "EVENT ID";
  * id NULL for any. */
@@ -214,11 +215,11 @@
 GHashTable *testbed_ledger(
     const struct testbed *, const char *service, const char *event);
 /* The highest count in such a table; 0 when it is empty. */
-uint32_t testbed_ledger_most(GHashTable *);
+uint32_t testbed_ledger_max(GHashTable *);
 
 /* The value of a header in the last request to a host's upstream that had it;
  * owned, NULL when there was none. */
-char *testbed_dump_last(
+char *testbed_last_header(
     const struct testbed *, uint32_t host, const char *header);
 
 /* Requests a ticket for a route from a host's daemon; owned, NULL when it gives
@@ -227,11 +228,12 @@
     struct testbed *, uint32_t host, const char *key_header, const char *route);
 /* The index of the host whose daemon executes the ticket; nhosts when the
  * ticket is invalid or names an unknown host. */
-uint32_t testbed_ticket_host(const struct testbed *, const char *ticket);
+uint32_t testbed_ticket_executor(const struct testbed *, const char *ticket);
 
 /* The version, with the digest, of the document "test" that a host's daemon
  * applies; 0 when the daemon does not respond or has none. */
-int64_t testbed_in_force(struct testbed *, uint32_t host, char digest[32]);
+int64_t testbed_active_version(
+    struct testbed *, uint32_t host, char digest[32]);
 
 /* The value of a series on a daemon's metrics page; -1 when it is missing. */
 double testbed_metric(struct testbed *, uint32_t host, const char *series);
--- a/tests/support/testbed_call.c
+++ b/tests/support/testbed_call.c
@@ -126,7 +126,7 @@
 		    caller->easy, CURLOPT_CAINFO, host->tls_cert_file);
 	curl_easy_setopt(caller->easy, CURLOPT_WRITEDATA, response_body);
 	curl_easy_setopt(caller->easy, CURLOPT_HEADERDATA, response_headers);
-	reply->curl = (int)curl_easy_perform(caller->easy);
+	reply->curl_code = (int)curl_easy_perform(caller->easy);
 	curl_easy_getinfo(caller->easy, CURLINFO_RESPONSE_CODE, &reply->status);
 	curl_easy_getinfo(caller->easy, CURLINFO_TOTAL_TIME, &total_s);
 	reply->total_ms = total_s * 1000;
@@ -224,7 +224,7 @@
 }
 
 char *
-testbed_raw(struct testbed *testbed, uint32_t host, const char *bytes,
+testbed_send_raw(struct testbed *testbed, uint32_t host, const char *bytes,
     size_t len, const char *until)
 {
 	GString *response = g_string_new(NULL);
--- a/tests/support/testbed_read.c
+++ b/tests/support/testbed_read.c
@@ -83,7 +83,7 @@
 }
 
 uint32_t
-testbed_ledger_most(GHashTable *counts)
+testbed_ledger_max(GHashTable *counts)
 {
 	GHashTableIter iter;
 	uint32_t most = 0;
@@ -96,7 +96,7 @@
 }
 
 char *
-testbed_dump_last(
+testbed_last_header(
     const struct testbed *testbed, uint32_t host, const char *header)
 {
 	char *text = read_file(testbed, host, "dump", NULL);
@@ -144,7 +144,7 @@
 }
 
 uint32_t
-testbed_ticket_host(const struct testbed *testbed, const char *ticket)
+testbed_ticket_executor(const struct testbed *testbed, const char *ticket)
 {
 	struct loom_ticket parsed;
 	uint32_t i;
@@ -179,7 +179,7 @@
 }
 
 int64_t
-testbed_in_force(struct testbed *testbed, uint32_t host, char digest[32])
+testbed_active_version(struct testbed *testbed, uint32_t host, char digest[32])
 {
 	struct json_object *status, *versions, *entries, *entry, *value;
 	struct testbed_reply reply;
@@ -226,7 +226,7 @@
 }
 
 uint32_t
-testbed_host_of(const struct testbed *testbed, const char *service)
+testbed_first_host(const struct testbed *testbed, const char *service)
 {
 	uint32_t i;
 
