--- a/bench/bench_leg.c
+++ b/bench/bench_leg.c
@@ -12,27 +12,28 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "support/leg.h"
+#include "support/request_cost.h"
 
 #define COUNTED 1000
 #define ROUNDS 10000
 
-static const struct leg_load loads[] = {
+static const struct request_load loads[] = {
 	{ "0 B", 0, 1 },
 	{ "1 KB", 1024, 1 },
 	{ "64 KB", 64 * 1024, 1 },
-	{ "1 KB, 32 at once", 1024, LEG_CONNECTIONS_MAX },
+	{ "1 KB, 32 at once", 1024, REQUEST_CONNECTIONS_MAX },
 };
 
 struct side {
 	const char *name;
-	struct leg_cost (*measure)(const struct leg_load *, uint32_t rounds);
+	struct request_cost (*measure)(
+	    const struct request_load *, uint32_t rounds);
 };
 
 static const struct side sides[] = {
-	{ "client", leg_measure_client },
-	{ "server", leg_measure_server },
-	{ "peers", leg_measure_peer_server },
+	{ "client", measure_client_requests },
+	{ "server", measure_server_requests },
+	{ "peers", measure_peer_server_requests },
 };
 
 static int
@@ -53,7 +54,7 @@
 int
 main(int argc, char **argv)
 {
-	struct leg_cost cost;
+	struct request_cost cost;
 	size_t i, j;
 
 	if (argc > 1)
--- a/tests/decide/test_admission.c
+++ b/tests/decide/test_admission.c
@@ -8,7 +8,7 @@
 #include <talloc.h>
 
 #include "loom/return_schedule.h"
-#include "support/player.h"
+#include "support/simulation.h"
 #include "support/test.h"
 
 #define SLOTS .slots = 20, .queue = 40, .service_ms = 20
@@ -22,9 +22,9 @@
 
 struct pattern {
 	const char *name;
-	struct play_upstream upstream;
-	struct play_load loads[PLAY_LOADS];
-	struct served_bounds served[PLAY_LOADS];
+	struct simulated_upstream upstream;
+	struct simulated_load loads[SIMULATED_LOADS];
+	struct served_bounds served[SIMULATED_LOADS];
 };
 
 /*
@@ -159,7 +159,7 @@
 	     * it: the limit is found by measurement, and importance still
 	     * decides. */
 	    { .name = "fewer slots than declared",
-		.upstream = { SLOTS, .real_slots = 10 },
+		.upstream = { SLOTS, .actual_slots = 10 },
 		.loads = { { .team = 1, .per_s = 100, ALWAYS },
 		    { .team = 1,
 			.per_s = 900,
@@ -169,7 +169,7 @@
 	    /* The upstream always reports that it is full: the report is
 	     * ignored while there are latency samples. */
 	    { .name = "always reports that it is full",
-		.upstream = { SLOTS, .says_full = true },
+		.upstream = { SLOTS, .reports_full = true },
 		.loads = { { .team = 1, .per_s = 800, ALWAYS } },
 		.served = { { .min = 0.99 } } },
 	    /* A new upstream ramps up: few calls are served at first, all
@@ -216,20 +216,20 @@
 static void
 check_pattern(const struct pattern *pattern, uint32_t seed)
 {
-	struct play_result result;
+	struct simulation_result result;
 	double share;
 	int i;
 
-	play(&pattern->upstream, pattern->loads, 4500, seed, &result);
+	simulate_load(&pattern->upstream, pattern->loads, 4500, seed, &result);
 	TEST_CHECK(result.broken == 0, "%s: %u invariants broken",
 	    pattern->name, result.broken);
 	TEST_CHECK(result.state.inside == 0 && result.state.waiting == 0,
 	    "%s: %u in flight, %u waiting at the end", pattern->name,
 	    result.state.inside, result.state.waiting);
-	for (i = 0; i < PLAY_LOADS; i++) {
+	for (i = 0; i < SIMULATED_LOADS; i++) {
 		if (result.loads[i].offered == 0)
 			continue;
-		share = play_served(&result.loads[i]);
+		share = served_share(&result.loads[i]);
 		TEST_CHECK(share >= pattern->served[i].min,
 		    "%s, load %d, seed %u: %.4f served, at least %.4f",
 		    pattern->name, i, seed, share, pattern->served[i].min);
@@ -274,24 +274,24 @@
 static void
 test_refusals_are_early(void)
 {
-	struct play_load loads[PLAY_LOADS] = {
+	struct simulated_load loads[SIMULATED_LOADS] = {
 		{ .team = 1, .per_s = 10000, ALWAYS },
 	};
-	struct play_upstream upstream = { SLOTS };
-	const struct play_outcome *outcome;
-	struct play_result result;
+	struct simulated_upstream upstream = { SLOTS };
+	const struct load_outcome *outcome;
+	struct simulation_result result;
 	uint64_t ran, mean_refusal_us, mean_took_us;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(refusal_delays); i++) {
 		upstream.queue = refusal_delays[i].queue;
 		loads[0].deadline_ms = refusal_delays[i].deadline_ms;
-		play(&upstream, loads, 4500, 1, &result);
+		simulate_load(&upstream, loads, 4500, 1, &result);
 		outcome = &result.loads[0];
 		ran = outcome->served + outcome->late;
 		mean_refusal_us =
 		    outcome->refused_wait_sum_us / outcome->refused;
-		mean_took_us = outcome->took_sum_us / ran;
+		mean_took_us = outcome->duration_sum_us / ran;
 		TEST_CHECK(
 		    mean_refusal_us <= refusal_delays[i].refused_mean_us &&
 			outcome->refused_wait_max_us <=
@@ -314,8 +314,8 @@
  */
 static const struct {
 	const char *name;
-	struct play_upstream upstream;
-	struct play_load loads[PLAY_LOADS];
+	struct simulated_upstream upstream;
+	struct simulated_load loads[SIMULATED_LOADS];
 	uint32_t refused_min;
 	uint64_t waited_max_us;
 } unservable[] = {
@@ -348,15 +348,15 @@
 static void
 test_unservable_calls(void)
 {
-	const struct play_outcome *outcome;
-	struct play_result result;
+	const struct load_outcome *outcome;
+	struct simulation_result result;
 	uint32_t seed;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(unservable); i++) {
 		for (seed = 1; seed <= SEEDS; seed++) {
-			play(&unservable[i].upstream, unservable[i].loads, 4500,
-			    seed, &result);
+			simulate_load(&unservable[i].upstream,
+			    unservable[i].loads, 4500, seed, &result);
 			outcome = &result.loads[0];
 			TEST_CHECK(
 			    outcome->refused >= unservable[i].refused_min,
@@ -448,18 +448,18 @@
 static void
 test_returns_spread(void)
 {
-	static const struct play_upstream upstream = { SLOTS };
-	static const struct play_load loads[PLAY_LOADS] = {
+	static const struct simulated_upstream upstream = { SLOTS };
+	static const struct simulated_load loads[SIMULATED_LOADS] = {
 		{ .team = 1,
 		    .per_s = 20000,
 		    .from_ms = 500,
 		    .until_ms = 600,
 		    .importance = LOOM_NORMAL },
 	};
-	const struct play_outcome *outcome;
-	struct play_result result;
+	const struct load_outcome *outcome;
+	struct simulation_result result;
 
-	play(&upstream, loads, 2000, 1, &result);
+	simulate_load(&upstream, loads, 2000, 1, &result);
 	outcome = &result.loads[0];
 	CU_ASSERT(outcome->refused > 1000);
 	CU_ASSERT(outcome->retry_after_min_us >= 200000);
@@ -474,14 +474,14 @@
 static void
 test_cancel(void)
 {
-	static const struct play_upstream upstream = { SLOTS };
-	static const struct play_load loads[PLAY_LOADS] = {
-		{ .team = 1, .per_s = 1500, ALWAYS, .gives_up_ms = 5 },
+	static const struct simulated_upstream upstream = { SLOTS };
+	static const struct simulated_load loads[SIMULATED_LOADS] = {
+		{ .team = 1, .per_s = 1500, ALWAYS, .cancel_after_ms = 5 },
 		{ .team = 2, .per_s = 1500, ALWAYS },
 	};
-	struct play_result result;
+	struct simulation_result result;
 
-	play(&upstream, loads, 4000, 1, &result);
+	simulate_load(&upstream, loads, 4000, 1, &result);
 	CU_ASSERT_EQUAL(result.broken, 0);
 	CU_ASSERT(result.loads[0].cancelled > 100);
 	CU_ASSERT_EQUAL(result.state.waiting, 0);
@@ -491,28 +491,28 @@
 static void
 test_invariants(void)
 {
-	struct play_load loads[PLAY_LOADS];
-	struct play_upstream upstream;
+	struct simulated_load loads[SIMULATED_LOADS];
+	struct simulated_upstream upstream;
 	struct loom_random random;
-	struct play_result result;
+	struct simulation_result result;
 	uint32_t seed;
 	int i;
 
 	for (seed = 1; seed <= 40; seed++) {
 		random = test_random_new(seed);
-		upstream = (struct play_upstream){
+		upstream = (struct simulated_upstream){
 			.slots = 1 + loom_random_below(&random, 60),
-			.real_slots = 1 + loom_random_below(&random, 60),
+			.actual_slots = 1 + loom_random_below(&random, 60),
 			.queue = 1 + loom_random_below(&random, 100),
 			.service_ms = 1 + loom_random_below(&random, 80),
 			.cold_start_ms = loom_random_below(&random, 1000),
 			.slow_from_ms = 300,
 			.slow_until_ms = 700,
 			.slow_factor = 1 + 5 * loom_random_unit(&random),
-			.says_full = loom_random_below(&random, 2) == 1,
+			.reports_full = loom_random_below(&random, 2) == 1,
 		};
-		for (i = 0; i < PLAY_LOADS; i++) {
-			loads[i] = (struct play_load){
+		for (i = 0; i < SIMULATED_LOADS; i++) {
+			loads[i] = (struct simulated_load){
 				.team = loom_random_below(&random, 3),
 				.weight = loom_random_below(&random, 1000),
 				.importance =
@@ -525,10 +525,11 @@
 				.until_ms = 1000,
 				.deadline_ms =
 				    1 + loom_random_below(&random, 500),
-				.gives_up_ms = loom_random_below(&random, 50),
+				.cancel_after_ms =
+				    loom_random_below(&random, 50),
 			};
 		}
-		play(&upstream, loads, 4000, seed, &result);
+		simulate_load(&upstream, loads, 4000, seed, &result);
 		TEST_CHECK(
 		    result.broken == 0, "seed %u: %u", seed, result.broken);
 		TEST_CHECK(result.state.waiting == 0, "seed %u: %u waiting",
--- a/tests/http/test_cost.c
+++ b/tests/http/test_cost.c
@@ -3,7 +3,7 @@
  */
 
 #include "support/allocations.h"
-#include "support/leg.h"
+#include "support/request_cost.h"
 #include "support/test.h"
 
 #define ROUNDS 200
@@ -13,7 +13,8 @@
 
 struct side {
 	const char *name;
-	struct leg_cost (*measure)(const struct leg_load *, uint32_t rounds);
+	struct request_cost (*measure)(
+	    const struct request_load *, uint32_t rounds);
 };
 
 /*
@@ -25,17 +26,17 @@
 test_allocations_bounded(void)
 {
 	static const struct side sides[] = {
-		{ "client", leg_measure_client },
-		{ "server", leg_measure_server },
-		{ "peer server", leg_measure_peer_server },
+		{ "client", measure_client_requests },
+		{ "server", measure_server_requests },
+		{ "peer server", measure_peer_server_requests },
 	};
-	static const struct leg_load loads[] = {
+	static const struct request_load loads[] = {
 		{ "empty bodies", 0, 1 },
 		{ "1 KB", 1024, 1 },
 		{ "64 KB", 64 * 1024, 1 },
 		{ "concurrent", 1024, 8 },
 	};
-	struct leg_cost cost;
+	struct request_cost cost;
 	size_t i, j;
 
 	if (!test_counts_allocations())
--- a/tests/http/test_peer_server.c
+++ b/tests/http/test_peer_server.c
@@ -11,8 +11,8 @@
 #include <unistd.h>
 
 #include "loom/peer_server.h"
-#include "support/loop.h"
 #include "support/test.h"
+#include "support/wait.h"
 
 #define RESPONSE_MAX_BYTES (256 * 1024)
 #define CONNECTIONS_MAX 50
@@ -302,7 +302,7 @@
 {
 	bool timed_out = false;
 	struct tevent_timer *limit =
-	    test_loop_limit(test_server->ev, test_server->ev, &timed_out);
+	    test_wait_limit(test_server->ev, test_server->ev, &timed_out);
 
 	caller->thread = g_thread_new("caller", run_caller, caller);
 	on_tick(test_server->ev, NULL, tevent_timeval_zero(), NULL);
--- a/tests/inner/test_transport.c
+++ b/tests/inner/test_transport.c
@@ -14,8 +14,8 @@
 
 #include "loom/counter.h"
 #include "loom/inner.h"
-#include "support/loop.h"
 #include "support/test.h"
+#include "support/wait.h"
 
 struct node {
 	struct loom_inner *inner;
--- a/tests/platform/test_reader.c
+++ b/tests/platform/test_reader.c
@@ -7,9 +7,9 @@
 #include <string.h>
 
 #include "loom/platform.h"
-#include "support/loop.h"
 #include "support/standin.h"
 #include "support/test.h"
+#include "support/wait.h"
 
 struct fixture {
 	struct test_standin standin;
--- a/tests/support/leg.c
+++ b/tests/support/request_cost.c
@@ -18,7 +18,7 @@
 #include "loom/peer_server.h"
 #include "loom/server.h"
 #include "support/allocations.h"
-#include "support/leg.h"
+#include "support/request_cost.h"
 
 #define WARM_UP_REQUESTS 100
 #define READ_SIZE (128 * 1024)
@@ -102,7 +102,7 @@
 /* An upstream that sends the same response to every request. */
 struct upstream {
 	int listen_fd;
-	const struct leg_load *load;
+	const struct request_load *load;
 };
 
 struct upstream_connection {
@@ -148,7 +148,7 @@
 struct client {
 	struct tevent_context *ev;
 	struct loom_fetcher *fetcher;
-	const struct leg_load *load;
+	const struct request_load *load;
 	char *address;
 	char *body;
 	uint32_t started;
@@ -231,7 +231,7 @@
 static void
 run_client(struct client *client, uint32_t rounds)
 {
-	struct client_request requests[LEG_CONNECTIONS_MAX];
+	struct client_request requests[REQUEST_CONNECTIONS_MAX];
 	uint32_t i;
 
 	client->started = 0;
@@ -249,7 +249,7 @@
  * with a body as long as that of the request. */
 struct server {
 	struct tevent_context *ev;
-	const struct leg_load *load;
+	const struct request_load *load;
 	char *body;
 	uint32_t ended;
 };
@@ -312,7 +312,7 @@
  * it has the response to the last. */
 struct caller {
 	uint16_t port;
-	const struct leg_load *load;
+	const struct request_load *load;
 	uint32_t requests;
 };
 
@@ -351,7 +351,7 @@
 run_server(struct server *server, uint16_t port, uint32_t rounds)
 {
 	struct caller caller = { .port = port, .load = server->load };
-	GThread *threads[LEG_CONNECTIONS_MAX];
+	GThread *threads[REQUEST_CONNECTIONS_MAX];
 	const uint32_t n = server->load->connections;
 	uint32_t i;
 
@@ -376,11 +376,11 @@
 		run_server(server, port, rounds);
 }
 
-static struct leg_cost
+static struct request_cost
 measure(struct client *client, struct server *server, uint16_t port,
     uint32_t rounds)
 {
-	struct leg_cost cost;
+	struct request_cost cost;
 	uint64_t allocated;
 	double cpu_us;
 
@@ -396,14 +396,14 @@
 	return cost;
 }
 
-struct leg_cost
-leg_measure_client(const struct leg_load *load, uint32_t rounds)
+struct request_cost
+measure_client_requests(const struct request_load *load, uint32_t rounds)
 {
 	struct upstream upstream = { .load = load };
 	struct client client = { .load = load };
 	GError *error = NULL;
 	GThread *thread;
-	struct leg_cost cost;
+	struct request_cost cost;
 
 	upstream.listen_fd = loom_server_listen("127.0.0.1:0", &error);
 	/* run_upstream() relies on a blocking accept(). */
@@ -428,8 +428,8 @@
 	return cost;
 }
 
-static struct leg_cost
-measure_server(const struct leg_load *load, uint32_t rounds, bool for_peers)
+static struct request_cost
+measure_server(const struct request_load *load, uint32_t rounds, bool for_peers)
 {
 	struct server server = { .load = load };
 	struct loom_server_options options = {
@@ -441,7 +441,7 @@
 	};
 	struct loom_hangup *hangup;
 	GError *error = NULL;
-	struct leg_cost cost;
+	struct request_cost cost;
 	void *http;
 
 	options.listen_fd = loom_server_listen("127.0.0.1:0", &error);
@@ -463,14 +463,14 @@
 	return cost;
 }
 
-struct leg_cost
-leg_measure_server(const struct leg_load *load, uint32_t rounds)
+struct request_cost
+measure_server_requests(const struct request_load *load, uint32_t rounds)
 {
 	return measure_server(load, rounds, false);
 }
 
-struct leg_cost
-leg_measure_peer_server(const struct leg_load *load, uint32_t rounds)
+struct request_cost
+measure_peer_server_requests(const struct request_load *load, uint32_t rounds)
 {
 	return measure_server(load, rounds, true);
 }
--- a/tests/support/leg.h
+++ b/tests/support/request_cost.h
@@ -14,26 +14,28 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define LEG_CONNECTIONS_MAX 32
+#define REQUEST_CONNECTIONS_MAX 32
 
 /* The length of the request and response bodies, and the number of concurrent
  * connections, each with one request at a time. */
-struct leg_load {
+struct request_load {
 	const char *name;
 	size_t body_bytes; /* 0: GET requests, otherwise POST */
 	uint32_t connections;
 };
 
 /* Averages per request. */
-struct leg_cost {
+struct request_cost {
 	double cpu_us;
 	double allocations;
 };
 
-struct leg_cost leg_measure_client(const struct leg_load *, uint32_t rounds);
+struct request_cost measure_client_requests(
+    const struct request_load *, uint32_t rounds);
 /* The servers of loom/server.h and loom/peer_server.h. */
-struct leg_cost leg_measure_server(const struct leg_load *, uint32_t rounds);
-struct leg_cost leg_measure_peer_server(
-    const struct leg_load *, uint32_t rounds);
+struct request_cost measure_server_requests(
+    const struct request_load *, uint32_t rounds);
+struct request_cost measure_peer_server_requests(
+    const struct request_load *, uint32_t rounds);
 
 #endif
--- a/tests/support/player.h
+++ b/tests/support/simulation.h
@@ -16,11 +16,11 @@
 
 #include "loom/admission.h"
 
-#define PLAY_LOADS 4
+#define SIMULATED_LOADS 4
 
 /* One group of callers with Poisson arrivals while from_ms <= now < until_ms,
  * counted from the end of the warm-up. */
-struct play_load {
+struct simulated_load {
 	uint64_t team;
 	double per_s;
 	uint32_t weight;
@@ -28,27 +28,29 @@
 	uint32_t from_ms, until_ms;
 	uint32_t deadline_ms; /* 0: 1000 */
 	uint32_t service_ms; /* 0: the upstream's */
-	uint32_t gives_up_ms; /* cancel a call that waits this long; 0: never */
+	uint32_t
+	    cancel_after_ms; /* cancel a call that waits this long; 0: never */
 	uint8_t call_class;
 };
 
-struct play_upstream {
+struct simulated_upstream {
 	uint32_t slots; /* declared */
-	uint32_t real_slots; /* 0: as declared */
+	uint32_t actual_slots; /* 0: as declared */
 	uint32_t queue;
 	uint32_t service_ms;
 	uint32_t cold_start_ms;
 	uint32_t slow_from_ms, slow_until_ms;
 	double slow_factor;
-	bool says_full; /* reports in each step that it is full */
+	bool reports_full; /* reports in each step that it is full */
 	bool fresh; /* no warm-up before the loads begin */
 };
 
-struct play_outcome {
+struct load_outcome {
 	uint32_t offered;
 	uint32_t served; /* completed within the deadline */
 	uint32_t late; /* completed after the deadline */
-	uint64_t took_sum_us; /* arrival to completion, served and late calls */
+	uint64_t
+	    duration_sum_us; /* arrival to completion, served and late calls */
 	uint32_t refused;
 	uint32_t cancelled;
 	uint64_t refused_wait_max_us; /* arrival to refusal */
@@ -56,8 +58,8 @@
 	uint64_t retry_after_min_us, retry_after_max_us;
 };
 
-struct play_result {
-	struct play_outcome loads[PLAY_LOADS];
+struct simulation_result {
+	struct load_outcome loads[SIMULATED_LOADS];
 	struct loom_admission_state state; /* at the end */
 	uint32_t limit_min, limit_max;
 	uint32_t broken; /* number of violated invariants */
@@ -65,12 +67,12 @@
 
 /* Run the simulation for end_ms after the warm-up and fill in the result.  The
  * same seed gives the same run. */
-void play(const struct play_upstream *,
-    const struct play_load loads[PLAY_LOADS], uint32_t end_ms, uint32_t seed,
-    struct play_result *);
+void simulate_load(const struct simulated_upstream *,
+    const struct simulated_load loads[SIMULATED_LOADS], uint32_t end_ms,
+    uint32_t seed, struct simulation_result *);
 
 /* Return the share of offered calls that were completed within their deadline,
  * or 1 if none was offered. */
-double play_served(const struct play_outcome *);
+double served_share(const struct load_outcome *);
 
 #endif
--- a/tests/support/loop.c
+++ b/tests/support/wait.c
@@ -2,7 +2,7 @@
  * The time limit of WAIT().
  */
 
-#include "support/loop.h"
+#include "support/wait.h"
 
 #define WAIT_LIMIT_S 30
 
@@ -19,7 +19,7 @@
 }
 
 struct tevent_timer *
-test_loop_limit(TALLOC_CTX *mem, struct tevent_context *ev, bool *passed)
+test_wait_limit(TALLOC_CTX *mem, struct tevent_context *ev, bool *passed)
 {
 	return tevent_add_timer(ev, mem,
 	    tevent_timeval_current_ofs(WAIT_LIMIT_S, 0), limit_expired, passed);
--- a/tests/support/loop.h
+++ b/tests/support/wait.h
@@ -13,7 +13,7 @@
 
 /* Start a timer that sets *passed after a generous time limit.
  * The timer is owned by mem; free it to cancel. */
-struct tevent_timer *test_loop_limit(
+struct tevent_timer *test_wait_limit(
     TALLOC_CTX *mem, struct tevent_context *ev, bool *passed);
 
 /* Run the event loop of a fixture (members ev, mem and limit_passed) until the
@@ -21,7 +21,7 @@
 #define WAIT(f, condition)                                                     \
 	do {                                                                   \
 		struct tevent_timer *limit =                                   \
-		    test_loop_limit((f)->mem, (f)->ev, &(f)->limit_passed);    \
+		    test_wait_limit((f)->mem, (f)->ev, &(f)->limit_passed);    \
 		while (!(condition) && !(f)->limit_passed)                     \
 			tevent_loop_once((f)->ev);                             \
 		TEST_CHECK(                                                    \
