--- a/bench/bench_leg.c
+++ b/bench/bench_leg.c
@@ -1,6 +1,6 @@
 /*
  * What one HTTP request costs a daemon's thread as client and as server
- * (support/leg.h), for bodies of several sizes.
+ * (support/request_cost.h), for bodies of several sizes.
  *
  * usage: bench_leg [kind]
  *	With a kind ("client", "server" or "peers") it only serves COUNTED
--- a/include/loom/admission.h
+++ b/include/loom/admission.h
@@ -123,7 +123,7 @@
 uint32_t loom_admission_used(struct loom_admission *);
 
 /* Share of the load offered to the whole fleet that this upstream can carry
- * (loom/keep.h).  Any thread. */
+ * (loom/throttle.h).  Any thread. */
 double loom_admission_keep(struct loom_admission *);
 
 /* The upstream's load report says that it is full; used as a hint
--- a/src/control/spread_private.h
+++ b/src/control/spread_private.h
@@ -5,7 +5,7 @@
  * State of the gossip protocol, shared by its files: spread.c (creation and
  * ticks), spread_messages.c (messages), spread_peers.c (choice of peers),
  * spread_pull.c (requesting and serving values), spread_age.c (age of the
- * data), spread_role.c (reading the platform), spread_force.c (applying
+ * data), spread_role.c (reading the platform), spread_apply.c (applying
  * versions, readiness, status).
  */
 
@@ -170,7 +170,7 @@
 void spread_pull_serve(struct loom_spread *, uint64_t host_id,
     const struct spread_want *, uint64_t now_us);
 
-/* spread_force.c */
+/* spread_apply.c */
 void spread_apply_init(struct loom_spread *);
 void spread_apply_free(struct loom_spread *);
 void spread_apply_tick(struct loom_spread *, uint64_t now_us);
--- a/src/daemon/call.c
+++ b/src/daemon/call.c
@@ -109,7 +109,7 @@
 }
 
 /* Whether the call continues without its caller, as a run with a ticket
- * does after its body has arrived (ticketed.c). */
+ * does after its body has arrived (call_ticket.c). */
 static bool
 may_run_detached(const struct call *call)
 {
--- a/src/daemon/call.h
+++ b/src/daemon/call.h
@@ -8,14 +8,14 @@
  * a peer daemon.  It is forwarded as a leg, the outgoing request to a peer
  * daemon or to the local upstream.  The stages are in separate files:
  *
- *   entry.c     authentication, routing, deadline, rate of the team
- *   target.c    choice of the host, leg to a peer, retry on another host
- *   heirs.c     routing of a request with a ticket
- *   executor.c  admission to the local upstream
- *   ticketed.c  tickets of non-idempotent routes, at the executor
- *   upstream.c  leg to the local upstream
- *   relay.c     request body to the leg, answer to the caller
- *   refuse.c    problem documents
+ *   entry.c         authentication, routing, deadline, rate of the team
+ *   target.c        choice of the host, leg to a peer, retry on another host
+ *   ticket_route.c  routing of a request with a ticket
+ *   executor.c      admission to the local upstream
+ *   call_ticket.c   tickets of non-idempotent routes, at the executor
+ *   upstream.c      leg to the local upstream
+ *   relay.c         request body to the leg, answer to the caller
+ *   refuse.c        problem documents
  */
 
 #include "daemon/worker.h"
@@ -72,7 +72,7 @@
 	 * that the parent is unknown */
 	bool is_nested;
 	/* admitted while the service that runs it admitted only a share of
-	 * its requests (keep.c) */
+	 * its requests (throttle.c) */
 	bool admitted_by_share;
 	/* for the log line of the call (report.c) */
 	char *report_id; /* owned: request id set by the caller, or NULL */
--- a/src/daemon/witness.h
+++ b/src/daemon/witness.h
@@ -3,8 +3,8 @@
 
 /*
  * Idle connections to the own upstream, called witnesses, which tell a crash of
- * the upstream from a single broken connection (decide/gone.h). Nothing is ever
- * sent on them.
+ * the upstream from a single broken connection (decide/crash_check.h). Nothing
+ * is ever sent on them.
  */
 
 #include <netinet/in.h>
--- a/src/decide/costs.c
+++ b/src/decide/costs.c
@@ -5,7 +5,7 @@
  * Load pattern: a service deep in the call graph is saturated, and entries
  * refuse the requests that lead to it. Answers tell the entries which requests
  * these are and how many calls each makes there: executors add the downstream
- * costs of their requests (daemon/keep.c).
+ * costs of their requests (daemon/throttle.c).
  */
 
 #include <glib.h>
--- a/src/decide/fanout.c
+++ b/src/decide/fanout.c
@@ -14,7 +14,7 @@
  * routes share one covariance matrix, because they have the same regressors.
  * The coefficients start at zero, so that the first calls are attributed to
  * routes in proportion to their running time. Routes are told apart within 8 s
- * at 8 and 80 requests per second (test_keep).
+ * at 8 and 80 requests per second (test_throttle).
  *
  * By chance, the fit alone attributes a part of the calls to a rare route that
  * runs beside the one that makes them all, and a larger part when the
--- a/src/decide/throttle.c
+++ b/src/decide/throttle.c
@@ -32,7 +32,7 @@
  * 0.8 s the control oscillates once reports are a second late (0.53 of the
  * possible throughput is served, against 0.66 with 1.1 s). With 1.6 s a service
  * that lost half of its capacity is still overloaded ten seconds later
- * (test_keep).
+ * (test_throttle).
  */
 
 #include <glib.h>
@@ -44,7 +44,7 @@
 /*
  * Running calls relative to the limit. With a higher target, the queue of a
  * smooth arrival process persists while a report is under way: at 1.1 the
- * control oscillates (test_keep).
+ * control oscillates (test_throttle).
  */
 #define UTILIZATION_TARGET 0.93
 /*
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -7,7 +7,7 @@
  *   fetch.c              the life cycle of a request
  *   client_request.c     serializes the request
  *   client_connection.c  a socket: connecting, sending, receiving
- *   client_answer.c      parses the response with http_parser
+ *   client_response.c    parses the response with http_parser
  *   client_pool.c        idle keep-alive connections
  */
 
@@ -133,7 +133,7 @@
 /* Send as much of the request as is available and the socket accepts. */
 enum client_send_result client_connection_send(struct client_connection *);
 
-/* client_answer.c */
+/* client_response.c */
 
 /* Prepare to parse a new response. */
 void client_response_begin(struct client_connection *);
--- a/src/platform/reader.c
+++ b/src/platform/reader.c
@@ -2,8 +2,8 @@
  * Platform reader: long polls over libcurl, one at a time.
  *
  * The platform allows about 2,000 calls a second for all readers of a fleet.
- * The delays between calls (loom/pace.h) and the owner's choice of which hosts
- * watch at all (loom/spread.h) keep the fleet below this rate.
+ * The delays between calls (loom/poll_timing.h) and the owner's choice of which
+ * hosts watch at all (loom/spread.h) keep the fleet below this rate.
  */
 
 #include <curl/curl.h>
