--- a/include/loom/sign.h
+++ b/include/loom/sign.h
@@ -49,7 +49,7 @@
     size_t len, GError **error);
 
 /* Generates a key pair from the kernel's random number generator. */
-void loom_key_pair_generate(struct loom_public_key *, struct loom_secret_key *);
+void loom_key_pair(struct loom_public_key *, struct loom_secret_key *);
 
 /* Parses 64 hex digits.  Error: LOOM_SIGNING_KEY. */
 bool loom_public_key_parse(
--- a/programs/loom-manifest.c
+++ b/programs/loom-manifest.c
@@ -169,7 +169,7 @@
 	GError *error = NULL;
 	bool ok;
 
-	loom_key_pair_generate(&public_key, &secret);
+	loom_key_pair(&public_key, &secret);
 	ok = loom_key_pair_write(prefix, &public_key, &secret, &error);
 	sodium_memzero(&secret, sizeof(secret));
 	if (!ok)
--- a/src/manifest/sign_key.c
+++ b/src/manifest/sign_key.c
@@ -48,7 +48,7 @@
 }
 
 void
-loom_key_pair_generate(
+loom_key_pair(
     struct loom_public_key *public_key, struct loom_secret_key *secret)
 {
 	g_assert(sodium_init() >= 0);
--- a/tests/control/test_spread_config.c
+++ b/tests/control/test_spread_config.c
@@ -181,7 +181,7 @@
 
 	memset(f, 0, sizeof(*f));
 	CU_ASSERT_FATAL(test_standin_start(&f->standin, "platform", NULL));
-	loom_key_pair_generate(&f->public_key, &f->secret_key);
+	loom_key_pair(&f->public_key, &f->secret_key);
 	for (i = 0; i < DAEMONS; i++)
 		bind_daemon(f, i);
 	put_hosts(f);
@@ -294,7 +294,7 @@
 	struct fixture f;
 
 	setup(&f);
-	loom_key_pair_generate(&untrusted_public, &untrusted);
+	loom_key_pair(&untrusted_public, &untrusted);
 	WAIT(all_ready_with(&f, 10));
 	put_team(&f, &f.secret_key, "teams", 2, 20, false);
 	WAIT(all_ready_with(&f, 20));
--- a/tests/faults/test_config.c
+++ b/tests/faults/test_config.c
@@ -215,7 +215,7 @@
 	if (!start())
 		goto out;
 	right = testbed.secret_key;
-	loom_key_pair_generate(&public_key, &testbed.secret_key);
+	loom_key_pair(&public_key, &testbed.secret_key);
 	ship(9, 99);
 	testbed.secret_key = right;
 	ship(2, 12);
--- a/tests/manifest/test_sign.c
+++ b/tests/manifest/test_sign.c
@@ -18,8 +18,8 @@
 static void
 make_keys(void)
 {
-	loom_key_pair_generate(&public_keys[0], &secret_keys[0]);
-	loom_key_pair_generate(&public_keys[1], &secret_keys[1]);
+	loom_key_pair(&public_keys[0], &secret_keys[0]);
+	loom_key_pair(&public_keys[1], &secret_keys[1]);
 }
 
 /*
--- a/tests/support/testbed.c
+++ b/tests/support/testbed.c
@@ -384,7 +384,7 @@
 	if (sodium_init() < 0 || testbed->dir == NULL ||
 	    !test_standin_start(&testbed->platform, "platform", NULL))
 		return false;
-	loom_key_pair_generate(&testbed->public_key, &testbed->secret_key);
+	loom_key_pair(&testbed->public_key, &testbed->secret_key);
 	assign_addresses(testbed);
 	if (relayed && !start_relay(testbed))
 		return false;
