--- a/include/loom/admission.h
+++ b/include/loom/admission.h
@@ -124,7 +124,7 @@
 
 /* Share of the load offered to the whole fleet that this upstream can carry
  * (loom/throttle.h).  Any thread. */
-double loom_admission_keep(struct loom_admission *);
+double loom_admission_throttle_share(struct loom_admission *);
 
 /* The upstream's load report says that it is full; used as a hint
  * (loom/limit.h). */
--- a/src/daemon/executor.c
+++ b/src/daemon/executor.c
@@ -86,7 +86,7 @@
 {
 	struct loom_call_result result = { .end = end };
 	uint64_t now_us = loom_now_us();
-	struct loom_verdicts moved;
+	struct loom_verdicts verdicts;
 	double wait_share;
 
 	result.latency_us = now_us - call->leg_us;
@@ -97,10 +97,10 @@
 		    (uint64_t)((double)result.latency_us * wait_share);
 	result.nested_us = MIN(call->nested_us, result.latency_us);
 	call->admission = CALL_ADMISSION_NONE;
-	loom_verdicts_init(&moved);
+	loom_verdicts_init(&verdicts);
 	loom_admission_done(call->worker->daemon->admission, &call->waiting,
-	    &result, now_us, &moved);
-	executor_apply_verdicts(&moved);
+	    &result, now_us, &verdicts);
+	executor_apply_verdicts(&verdicts);
 }
 
 /*
@@ -157,7 +157,7 @@
 	struct loom_daemon *daemon = call->worker->daemon;
 	struct loom_admission_call *waiting = &call->waiting;
 	uint64_t now_us = loom_now_us();
-	struct loom_verdicts moved;
+	struct loom_verdicts verdicts;
 	enum loom_admission_verdict admit;
 
 	if (!call_ticket_begin(call))
@@ -176,12 +176,12 @@
 		.arg = call,
 	};
 	call->offered_to_admission = true;
-	loom_verdicts_init(&moved);
+	loom_verdicts_init(&verdicts);
 	call_ref(call);
 	call->admission = CALL_ADMISSION_QUEUED;
 	admit =
-	    loom_admission_offer(daemon->admission, waiting, now_us, &moved);
-	executor_apply_verdicts(&moved);
+	    loom_admission_offer(daemon->admission, waiting, now_us, &verdicts);
+	executor_apply_verdicts(&verdicts);
 	if (admit == LOOM_QUEUED)
 		return;
 	call->admission = CALL_ADMISSION_NONE;
@@ -230,17 +230,17 @@
 }
 
 void
-executor_apply_verdicts(struct loom_verdicts *moved)
+executor_apply_verdicts(struct loom_verdicts *verdicts)
 {
 	struct loom_admission_call *waiting, *next;
 	struct call *call;
 
-	for (waiting = moved->admitted; waiting != NULL; waiting = next) {
+	for (waiting = verdicts->admitted; waiting != NULL; waiting = next) {
 		next = waiting->next;
 		call = waiting->arg;
 		loom_mailbox_post(call->worker->mailbox, on_admitted, call);
 	}
-	for (waiting = moved->refused; waiting != NULL; waiting = next) {
+	for (waiting = verdicts->refused; waiting != NULL; waiting = next) {
 		next = waiting->next;
 		call = waiting->arg;
 		loom_mailbox_post(call->worker->mailbox, on_refused, call);
--- a/src/daemon/loop_utilization.c
+++ b/src/daemon/loop_utilization.c
@@ -22,12 +22,12 @@
 	const uint64_t wait_us = since_us == 0 ? 0 : now_us - since_us;
 
 	atomic_fetch_add(&utilization->total_wait_us, wait_us);
-	if (!loom_loop_pause_due(&utilization->rest, wait_us, now_us))
+	if (!loom_loop_pause_due(&utilization->pause, wait_us, now_us))
 		return;
 	g_usleep(LOOM_LOOP_PAUSE_US);
-	loom_loop_pause_init(&utilization->rest, loom_now_us());
+	loom_loop_pause_init(&utilization->pause, loom_now_us());
 	atomic_fetch_add(&utilization->total_wait_us,
-	    utilization->rest.window_start_us - now_us);
+	    utilization->pause.window_start_us - now_us);
 }
 
 static void
@@ -49,7 +49,7 @@
     struct tevent_context *ev, uint64_t now_us)
 {
 	utilization->last_read_us = now_us;
-	loom_loop_pause_init(&utilization->rest, now_us);
+	loom_loop_pause_init(&utilization->pause, now_us);
 	tevent_set_trace_callback(ev, on_trace_point, utilization);
 }
 
--- a/src/daemon/loop_utilization.h
+++ b/src/daemon/loop_utilization.h
@@ -15,7 +15,7 @@
 struct loop_utilization {
 	atomic_uint_fast64_t wait_start_us; /* 0: not waiting now */
 	atomic_uint_fast64_t total_wait_us; /* of completed waits and pauses */
-	struct loom_loop_pause rest; /* loop's thread only */
+	struct loom_loop_pause pause; /* loop's thread only */
 	/* reading thread only */
 	uint64_t last_read_us;
 	uint64_t last_read_wait_us;
--- a/src/daemon/report.c
+++ b/src/daemon/report.c
@@ -273,7 +273,7 @@
 void
 report_admission(struct loom_daemon *daemon)
 {
-	const double share = loom_admission_keep(daemon->admission);
+	const double share = loom_admission_throttle_share(daemon->admission);
 	struct loom_admission_state state;
 
 	loom_admission_state(daemon->admission, &state);
--- a/src/daemon/run.c
+++ b/src/daemon/run.c
@@ -535,15 +535,15 @@
     struct timeval now, void *arg)
 {
 	struct loom_daemon *daemon = arg;
-	struct loom_verdicts moved;
+	struct loom_verdicts verdicts;
 	uint32_t tick_ms;
 
 	(void)timer;
 	(void)now;
 	measure_workers(daemon, loom_now_us());
-	loom_verdicts_init(&moved);
-	loom_admission_tick(daemon->admission, loom_now_us(), &moved);
-	executor_apply_verdicts(&moved);
+	loom_verdicts_init(&verdicts);
+	loom_admission_tick(daemon->admission, loom_now_us(), &verdicts);
+	executor_apply_verdicts(&verdicts);
 	if (loom_now_us() - daemon->last_report_us >= REPORT_INTERVAL_US) {
 		daemon->last_report_us = loom_now_us();
 		report_admission(daemon);
--- a/src/daemon/throttle.c
+++ b/src/daemon/throttle.c
@@ -103,7 +103,7 @@
 		return NULL;
 	text = g_string_new(NULL);
 	append_share(text, daemon->self.service_id,
-	    loom_admission_keep(daemon->admission), 0);
+	    loom_admission_throttle_share(daemon->admission), 0);
 	sum_costs(call, &sums);
 	for (i = 0; i < sums.n; i++) {
 		if (sums.costs[i].service_id != daemon->self.service_id)
--- a/src/decide/admission.c
+++ b/src/decide/admission.c
@@ -85,8 +85,9 @@
 	struct loom_limit limit;
 	struct loom_queue *queue;
 	struct loom_cuts *cuts;
-	struct loom_throttle_control keep;
-	atomic_uint keep_share_millionths; /* keep.share, for any thread */
+	struct loom_throttle_control throttle;
+	atomic_uint
+	    throttle_share_millionths; /* throttle.share, for any thread */
 	atomic_uint busy_thousandths;
 	atomic_uint lag_us;
 	atomic_uint used_thousandths; /* of the limit, at the last tick */
@@ -145,8 +146,8 @@
 	adm->settings = *settings;
 	adm->queue = loom_queue_new(adm, settings->queue);
 	adm->cuts = loom_cuts_new(adm);
-	loom_throttle_control_init(&adm->keep, now_us);
-	atomic_store(&adm->keep_share_millionths, MILLION);
+	loom_throttle_control_init(&adm->throttle, now_us);
+	atomic_store(&adm->throttle_share_millionths, MILLION);
 	adm->last_short_us = now_us;
 	adm->critical_last_short_us = now_us;
 	loom_limit_init(&adm->limit, &settings->limit, now_us);
@@ -632,7 +633,7 @@
 /* Updates the share of the fleet's load that this upstream can carry.  Slots,
  * processor time and event loop lag count as used by whichever is highest. */
 static void
-tick_keep(struct loom_admission *adm, uint64_t now_us)
+tick_throttle(struct loom_admission *adm, uint64_t now_us)
 {
 	double calls = loom_semaphore_in_flight(&adm->semaphore) +
 	    loom_queue_length(adm->queue);
@@ -646,11 +647,11 @@
 	lag = atomic_load_explicit(&adm->lag_us, memory_order_relaxed);
 	if (lag > LAG_NORMAL_US)
 		used = MAX(used, 1.0 + (lag - LAG_NORMAL_US) / LAG_FULL_US);
-	loom_throttle_control_update(&adm->keep, used, now_us);
+	loom_throttle_control_update(&adm->throttle, used, now_us);
 	atomic_store_explicit(&adm->used_thousandths,
 	    (unsigned)(used * THOUSAND), memory_order_relaxed);
-	atomic_store_explicit(&adm->keep_share_millionths,
-	    (unsigned)(adm->keep.share * MILLION), memory_order_relaxed);
+	atomic_store_explicit(&adm->throttle_share_millionths,
+	    (unsigned)(adm->throttle.share * MILLION), memory_order_relaxed);
 }
 
 void
@@ -675,10 +676,10 @@
 }
 
 double
-loom_admission_keep(struct loom_admission *adm)
+loom_admission_throttle_share(struct loom_admission *adm)
 {
 	return atomic_load_explicit(
-		   &adm->keep_share_millionths, memory_order_relaxed) /
+		   &adm->throttle_share_millionths, memory_order_relaxed) /
 	    (double)MILLION;
 }
 
@@ -695,7 +696,7 @@
 		loom_cuts_restart_windows(adm->cuts, now_us);
 		return;
 	}
-	tick_keep(adm, now_us);
+	tick_throttle(adm, now_us);
 	adm->mean_in_flight +=
 	    (in_flight - adm->mean_in_flight) * IN_FLIGHT_WEIGHT;
 	if (loom_queue_length(adm->queue) == 0)
--- a/src/decide/throttle.c
+++ b/src/decide/throttle.c
@@ -162,23 +162,23 @@
 }
 
 static int
-gate_destroy(struct loom_throttle *gate)
+throttle_destroy(struct loom_throttle *throttle)
 {
-	g_hash_table_unref(gate->services);
+	g_hash_table_unref(throttle->services);
 	return 0;
 }
 
 struct loom_throttle *
 loom_throttle_new(void *ctx)
 {
-	struct loom_throttle *gate = talloc_zero(ctx, struct loom_throttle);
+	struct loom_throttle *throttle = talloc_zero(ctx, struct loom_throttle);
 
-	if (gate == NULL)
+	if (throttle == NULL)
 		return NULL;
-	gate->services =
+	throttle->services =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-	talloc_set_destructor(gate, gate_destroy);
-	return gate;
+	talloc_set_destructor(throttle, throttle_destroy);
+	return throttle;
 }
 
 /*
@@ -198,19 +198,19 @@
 }
 
 void
-loom_throttle_add_report(struct loom_throttle *gate, uint64_t service_id,
+loom_throttle_add_report(struct loom_throttle *throttle, uint64_t service_id,
     double share, uint64_t now_us)
 {
 	struct service_state *service;
 	double elapsed_us, weight;
 
-	service = g_hash_table_lookup(gate->services, &service_id);
+	service = g_hash_table_lookup(throttle->services, &service_id);
 	if (service == NULL) {
 		service = g_new0(struct service_state, 1);
 		service->service_id = service_id;
 		service->share = 1.0;
 		g_hash_table_insert(
-		    gate->services, &service->service_id, service);
+		    throttle->services, &service->service_id, service);
 	}
 	elapsed_us = (double)(now_us - service->reported_us);
 	weight = MAX(elapsed_us / (elapsed_us + REPORT_TAU_US), REPORT_WEIGHT);
@@ -220,21 +220,21 @@
 
 double
 loom_throttle_share(
-    const struct loom_throttle *gate, uint64_t service_id, uint64_t now_us)
+    const struct loom_throttle *throttle, uint64_t service_id, uint64_t now_us)
 {
 	const struct service_state *service;
 
-	service = g_hash_table_lookup(gate->services, &service_id);
+	service = g_hash_table_lookup(throttle->services, &service_id);
 	return service == NULL ? 1.0 : current_share(service, now_us);
 }
 
 uint64_t
 loom_throttle_report_age_us(
-    const struct loom_throttle *gate, uint64_t service_id, uint64_t now_us)
+    const struct loom_throttle *throttle, uint64_t service_id, uint64_t now_us)
 {
 	const struct service_state *service;
 
-	service = g_hash_table_lookup(gate->services, &service_id);
+	service = g_hash_table_lookup(throttle->services, &service_id);
 	return service == NULL ? 0 : now_us - MIN(now_us, service->reported_us);
 }
 
@@ -289,13 +289,13 @@
 }
 
 bool
-loom_throttle_admit(struct loom_throttle *gate, uint64_t service_id,
+loom_throttle_admit(struct loom_throttle *throttle, uint64_t service_id,
     uint16_t rank, double calls, uint64_t now_us)
 {
 	struct service_state *service;
 	double share;
 
-	service = g_hash_table_lookup(gate->services, &service_id);
+	service = g_hash_table_lookup(throttle->services, &service_id);
 	if (service == NULL)
 		return true;
 	rank = adjust_rank_for_cost(service, rank, calls);
--- a/tests/decide/test_admission.c
+++ b/tests/decide/test_admission.c
@@ -722,8 +722,10 @@
 		adm = loom_admission_new(NULL, &settings, 0);
 		loom_admission_set_busy(adm, cases[i].busy);
 		tick_until(adm, 5 * LOOM_US_PER_S);
-		TEST_CHECK((loom_admission_keep(adm) < 0.9) == cases[i].refuses,
-		    "%.2f: %.3f", cases[i].busy, loom_admission_keep(adm));
+		TEST_CHECK((loom_admission_throttle_share(adm) < 0.9) ==
+			cases[i].refuses,
+		    "%.2f: %.3f", cases[i].busy,
+		    loom_admission_throttle_share(adm));
 		talloc_free(adm);
 	}
 }
@@ -758,7 +760,7 @@
 		loom_admission_set_loop_lag(
 		    adm, cases[i].lag_ms * LOOM_US_PER_MS);
 		tick_until(adm, LOOM_US_PER_S / 2);
-		share = loom_admission_keep(adm);
+		share = loom_admission_throttle_share(adm);
 		TEST_CHECK(
 		    share >= cases[i].share_min && share <= cases[i].share_max,
 		    "%u ms: %.3f", (unsigned)cases[i].lag_ms, share);
--- a/tests/decide/test_out_of_processor.c
+++ b/tests/decide/test_out_of_processor.c
@@ -157,7 +157,7 @@
 	    model->adm, &call->waiting, &result, now_us, &moved);
 	apply_moved(model, &moved, now_us);
 	*report = (struct report){
-		.share = loom_admission_keep(model->adm),
+		.share = loom_admission_throttle_share(model->adm),
 		.at_us = now_us + REPORT_DELAY_US,
 	};
 	g_queue_push_tail(&model->reports, report);
