--- a/tests/faults/test_crash.c
+++ b/tests/faults/test_crash.c
@@ -140,7 +140,7 @@
 }
 
 /* One row: who crashes what. */
-struct simulate_load {
+struct play {
 	const char *name;
 	uint32_t waits; /* limits until the last word has to come */
 	const struct testbed_service *services;
@@ -151,39 +151,38 @@
 static bool
 next_word(void *arg)
 {
-	struct simulate_load *simulate_load = arg;
+	struct play *play = arg;
 	bool over = true;
 	size_t i;
 
 	restart_crashed();
-	for (i = 0; i < simulate_load->nculprits; i++) {
-		if (simulate_load->culprits[i].quarantined >= LAST_WORDS)
+	for (i = 0; i < play->nculprits; i++) {
+		if (play->culprits[i].quarantined >= LAST_WORDS)
 			continue;
-		send_culprit(&simulate_load->culprits[i]);
+		send_culprit(&play->culprits[i]);
 		over = false;
 	}
 	return over;
 }
 
 static void
-check_culprit(
-    const struct simulate_load *simulate_load, const struct culprit *culprit)
+check_culprit(const struct play *play, const struct culprit *culprit)
 {
 	uint32_t crashes =
 	    testbed_ledger_count(&testbed, "photos", "crash", culprit->body);
 
 	TEST_CHECK(crashes >= 1 && crashes <= CRASHES_MAX, "%s: %u crashes",
-	    simulate_load->name, crashes);
+	    play->name, crashes);
 	TEST_CHECK(culprit->answered == 0 && culprit->not_final == 0,
 	    "answered %u, not final %u", culprit->answered, culprit->not_final);
 	printf("%s, %s: sent %u times, %u crashes at %u hosts, then 2400 %u "
 	       "times, the slowest after %.1f ms\n",
-	    simulate_load->name, culprit->body, culprit->sent, crashes,
-	    (unsigned)HOSTS, culprit->quarantined, culprit->slowest_ms);
+	    play->name, culprit->body, culprit->sent, crashes, (unsigned)HOSTS,
+	    culprit->quarantined, culprit->slowest_ms);
 }
 
 static void
-play_crash(struct simulate_load *simulate_load)
+play_crash(struct play *play)
 {
 	char *text = g_strdup_printf(document_format, testbed_key_digest(key));
 	struct neighbour neighbours[NEIGHBOURS] = { 0 }, sum = { 0 };
@@ -192,17 +191,16 @@
 
 	atomic_store(&stopping, false);
 	if (!TEST_CHECK(
-		testbed_start(&testbed, simulate_load->services, 1, 2, text),
-		"start"))
+		testbed_start(&testbed, play->services, 1, 2, text), "start"))
 		goto out;
 	for (i = 0; i < NEIGHBOURS; i++) {
 		neighbours[i].number = i;
 		neighbours[i].thread =
 		    g_thread_new("neighbour", run_neighbour, &neighbours[i]);
 	}
-	for (i = 0; i < simulate_load->waits && !found; i++)
-		found = testbed_wait_condition(next_word, simulate_load);
-	TEST_CHECK(found, "%s: never quarantined", simulate_load->name);
+	for (i = 0; i < play->waits && !found; i++)
+		found = testbed_wait_condition(next_word, play);
+	TEST_CHECK(found, "%s: never quarantined", play->name);
 	atomic_store(&stopping, true);
 	for (i = 0; i < NEIGHBOURS; i++) {
 		g_thread_join(neighbours[i].thread);
@@ -210,14 +208,14 @@
 		sum.answered += neighbours[i].answered;
 		sum.blamed += neighbours[i].blamed;
 	}
-	for (i = 0; i < simulate_load->nculprits; i++)
-		check_culprit(simulate_load, &simulate_load->culprits[i]);
+	for (i = 0; i < play->nculprits; i++)
+		check_culprit(play, &play->culprits[i]);
 	TEST_CHECK(sum.blamed == 0, "%u neighbours blamed", sum.blamed);
 	TEST_CHECK(sum.answered * 2 > sum.sent, "%u of %u neighbours served",
 	    sum.answered, sum.sent);
 	printf("point 11 crashing request, %s: neighbours: %u of %u answered, "
 	       "%u blamed\n",
-	    simulate_load->name, sum.answered, sum.sent, sum.blamed);
+	    play->name, sum.answered, sum.sent, sum.blamed);
 out:
 	testbed_stop(&testbed);
 	g_free(text);
@@ -232,7 +230,7 @@
 static void
 test_crash(void)
 {
-	struct simulate_load simulate_load = {
+	struct play play = {
 		.name = "one culprit",
 		.waits = 1,
 		.services = services,
@@ -240,7 +238,7 @@
 		.nculprits = 1,
 	};
 
-	play_crash(&simulate_load);
+	play_crash(&play);
 }
 
 /*
@@ -252,7 +250,7 @@
 static void
 test_back_at_once(void)
 {
-	struct simulate_load simulate_load = {
+	struct play play = {
 		.name = "back at once",
 		.waits = STRONG_WAITS,
 		.services = held_services,
@@ -260,7 +258,7 @@
 		.nculprits = 1,
 	};
 
-	play_crash(&simulate_load);
+	play_crash(&play);
 }
 
 /*
@@ -270,7 +268,7 @@
 static void
 test_two_culprits(void)
 {
-	struct simulate_load simulate_load = {
+	struct play play = {
 		.name = "two culprits",
 		.waits = STRONG_WAITS,
 		.services = services,
@@ -278,7 +276,7 @@
 		.nculprits = 2,
 	};
 
-	play_crash(&simulate_load);
+	play_crash(&play);
 }
 
 /*
--- a/tests/faults/test_importance.c
+++ b/tests/faults/test_importance.c
@@ -22,7 +22,7 @@
 #define LESSER_FIRST 500 /* calls of lesser work before the important */
 
 /* One row: who sends what, and how many hosts share the slots. */
-struct simulate_load {
+struct play {
 	const char *name;
 	uint32_t work_hosts;
 	uint32_t important_callers; /* of all teams */
@@ -45,10 +45,10 @@
 	gint64 team_done_us[TEAMS_MAX]; /* when its last call had ended */
 } seen;
 
-static const struct simulate_load *playing;
+static const struct play *playing;
 
 static bool
-start(const struct simulate_load *simulate_load)
+start(const struct play *play)
 {
 	static struct testbed_service services[] = {
 		{ .name = "front",
@@ -62,8 +62,8 @@
 	char *text;
 	bool ok;
 
-	services[1].hosts = simulate_load->work_hosts;
-	services[1].slots = SLOTS / simulate_load->work_hosts;
+	services[1].hosts = play->work_hosts;
+	services[1].slots = SLOTS / play->work_hosts;
 	g_strlcpy(digest[0], testbed_key_digest("k-one"), 65);
 	g_strlcpy(digest[1], testbed_key_digest("k-two"), 65);
 	text = g_strdup_printf(
@@ -82,8 +82,8 @@
 	    "\"deadline_ms\":1000},"
 	    "{\"name\":\"w\",\"service\":\"work\",\"method\":\"GET\","
 	    "\"path\":\"/work\"}]}",
-	    2 + simulate_load->work_hosts, digest[0], digest[1],
-	    SLOTS / simulate_load->work_hosts);
+	    2 + play->work_hosts, digest[0], digest[1],
+	    SLOTS / play->work_hosts);
 	ok = testbed_start(&testbed, services, 2, 1, text);
 	g_free(text);
 	return TEST_CHECK(ok, "the testbed starts");
@@ -154,21 +154,21 @@
 }
 
 static void
-send_all(const struct simulate_load *simulate_load)
+send_all(const struct play *play)
 {
 	GThread *lesser[LESSER_CALLERS], *important[IMPORTANT_CALLERS_MAX];
 	uint32_t i;
 
 	memset(&seen, 0, sizeof(seen));
-	playing = simulate_load;
+	playing = play;
 	for (i = 0; i < LESSER_CALLERS; i++)
 		lesser[i] =
 		    g_thread_new("lesser", send_lesser, &entries[i % 2]);
 	TEST_CHECK(testbed_wait_condition(lesser_fills, NULL), "load");
-	for (i = 0; i < simulate_load->important_callers; i++)
+	for (i = 0; i < play->important_callers; i++)
 		important[i] =
 		    g_thread_new("important", send_important, &entries[i % 2]);
-	for (i = 0; i < simulate_load->important_callers; i++)
+	for (i = 0; i < play->important_callers; i++)
 		g_thread_join(important[i]);
 	atomic_store(&seen.stop, true);
 	for (i = 0; i < LESSER_CALLERS; i++)
@@ -185,7 +185,7 @@
 static void
 test_shed_last(void)
 {
-	static const struct simulate_load plays[] = {
+	static const struct play plays[] = {
 		{ "lesser work of another team", 1, 2, "Loom-Key: k-two",
 		    { "Loom-Key: k-one", "Loom-Key: k-one" } },
 		{ "lesser work of the same team", 1, 2, "Loom-Key: k-one",
@@ -200,24 +200,23 @@
 		{ "two of them at four hosts", 4, 16, "Loom-Key: k-two",
 		    { "Loom-Key: k-one", "Loom-Key: k-two" } },
 	};
-	const struct simulate_load *simulate_load;
+	const struct play *play;
 	uint32_t important;
 	double part;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(plays); i++) {
-		simulate_load = &plays[i];
-		if (!start(simulate_load))
+		play = &plays[i];
+		if (!start(play))
 			break;
-		send_all(simulate_load);
-		important = simulate_load->important_callers * IMPORTANT_CALLS;
+		send_all(play);
+		important = play->important_callers * IMPORTANT_CALLS;
 		part = (double)atomic_load(&seen.important_whole) / important;
 		TEST_CHECK(part >= IMPORTANT_PART_MIN, "%s: %u of %u important",
-		    simulate_load->name, atomic_load(&seen.important_whole),
-		    important);
+		    play->name, atomic_load(&seen.important_whole), important);
 		printf("point 2 importance: %s: %.1f%% of %u important served, "
 		       "%.1f%% of %u lesser, the teams done %.2f s apart\n",
-		    simulate_load->name, 100 * part, important,
+		    play->name, 100 * part, important,
 		    100.0 * atomic_load(&seen.lesser_whole) /
 			MAX(atomic_load(&seen.lesser_done), 1U),
 		    atomic_load(&seen.lesser_done),
--- a/tests/faults/test_once.c
+++ b/tests/faults/test_once.c
@@ -502,7 +502,7 @@
 	const char *id;
 	const char *route;
 	const char *path;
-	void (*simulate_load)(struct order *);
+	void (*play)(struct order *);
 } cases[] = {
 	{ "copies-at-once", "pay", "/pay", copies_at_once },
 	{ "paused", "pay", "/pay", paused },
@@ -543,7 +543,7 @@
 
 /* Play one row and add its counts to the sum. */
 static void
-simulate_load(size_t row)
+play(size_t row)
 {
 	struct order order = { .id = cases[row].id, .path = cases[row].path };
 	uint32_t host = PAYMENTS + (uint32_t)row % PAYMENTS;
@@ -551,7 +551,7 @@
 	if (!take_ticket(&order, cases[row].route, host))
 		return;
 	TEST_CHECK(testbed_wait_ready(&testbed, other(&order)), "entry");
-	cases[row].simulate_load(&order);
+	cases[row].play(&order);
 	TEST_CHECK(runs(&order) <= 1, "%s: %u runs", order.id, runs(&order));
 	TEST_CHECK(order.not_run == 0 || runs(&order) == 0,
 	    "%s: ran and %u were told not-run", order.id, order.not_run);
@@ -573,7 +573,7 @@
 
 	for (row = 0; row < G_N_ELEMENTS(cases); row++) {
 		if (strcmp(cases[row].id, name) == 0 && start_fleet())
-			simulate_load(row);
+			play(row);
 	}
 }
 
